--- /dev/null
+++ b/tests/lab/recorded_runs_test.cpp
@@ -0,0 +1,141 @@
+// Characterization: emulated fleets (the real core with the decision module, the site controllers and the
+// lease holders in virtual time) give the figures that were recorded, to the byte.
+//
+// RUNS_RECORD=FILE writes the recorded lines anew; RUNS_DUMP=DIR leaves each run's whole text there.
+#include <doctest/doctest.h>
+
+#include <cinttypes>
+#include <cstdio>
+#include <cstdlib>
+#include <fstream>
+#include <functional>
+#include <map>
+
+#include "lab/council.hpp"
+#include "lab/fleet.hpp"
+
+namespace indigovane::lab {
+namespace {
+
+struct RecordedRun {
+    std::string name;
+    std::function<std::string()> text;  // all figures of the run
+};
+
+FleetOptions small_fleet(FleetOptions options, std::uint64_t seed) {
+    options.seconds = 4;
+    options.rate = 150;
+    options.seed = seed;
+    options.retries = 1;
+    return options;
+}
+
+FleetOptions zoned_fleet(FleetOptions options, std::uint64_t seed) {
+    options = small_fleet(options, seed);
+    options.seconds = 9;
+    options.poolers = 9;
+    options.zones = 3;
+    options.groups = 6;
+    options.members = 5;
+    options.checked = true;
+    options.sites.emplace();
+    options.sites->enabled = true;
+    return options;
+}
+
+RecordedRun fleet_run(std::string name, FleetOptions options) {
+    return {std::move(name), [options] { return run(options).text(); }};
+}
+
+std::vector<RecordedRun> fleet_runs() {
+    using Kind = Trouble::Kind;
+    std::vector<RecordedRun> runs;
+    const std::pair<Kind, const char*> host_faults[] = {
+        {Kind::jump, "surge"},         {Kind::lag, "lag"},          {Kind::kill, "kill"},
+        {Kind::drain, "drain"},        {Kind::gray, "slow-hosts"},  {Kind::restart, "restart"},
+        {Kind::blind, "no-discovery"}, {Kind::caller, "hot-client"}};
+    for (auto [kind, name] : host_faults) {
+        FleetOptions laundry = small_fleet(usual_fleet(), 31);
+        laundry.troubles = {{kind, 1, 2, 2, 0.5}};
+        runs.push_back(fleet_run(std::string("laundry-") + name, laundry));
+        FleetOptions charging = small_fleet(station_fleet(), 32);
+        charging.troubles = laundry.troubles;
+        runs.push_back(fleet_run(std::string("charging-") + name, charging));
+    }
+    const std::pair<Kind, const char*> zone_faults[] = {{Kind::zone_silent, "zone-silent"},
+                                                        {Kind::zone_reset, "zone-reset"},
+                                                        {Kind::zone_cut, "zone-cut"},
+                                                        {Kind::zone_deaf, "zone-one-way"},
+                                                        {Kind::zone_flap, "zone-flap"},
+                                                        {Kind::uplink, "own-link"},
+                                                        {Kind::stall, "stall"}};
+    for (auto [kind, name] : zone_faults) {
+        FleetOptions laundry = zoned_fleet(usual_fleet(), 33);
+        laundry.troubles = {{kind, 2, 3, 1, 0.3}};
+        runs.push_back(fleet_run(std::string("laundry-") + name, laundry));
+    }
+    return runs;
+}
+
+std::vector<RecordedRun> lease_runs() {
+    std::vector<RecordedRun> runs;
+    for (bool disks : {true, false}) {
+        CouncilOptions options;
+        options.seconds = 40;
+        options.loss = 0.1;
+        options.doubled = 0.05;
+        options.late = 0.01;
+        options.end_every_s = 4;
+        options.stall_every_s = 5;
+        options.disks = disks;
+        options.seed = disks ? 34 : 35;
+        runs.push_back(
+            {disks ? "leases-on-disk" : "leases-in-memory", [options] { return run(options).text(); }});
+    }
+    return runs;
+}
+
+// The first line of the text, and an FNV-1a hash of all of it.
+std::string summarize(const std::string& text) {
+    std::uint64_t hash = 0xcbf29ce484222325;
+    for (unsigned char byte : text) hash = (hash ^ byte) * 0x100000001b3;
+    char hex[17];
+    std::snprintf(hex, sizeof hex, "%016" PRIx64, hash);
+    return std::string(hex) + " " + text.substr(0, text.find('\n'));
+}
+
+std::map<std::string, std::string> read_recorded() {
+    std::map<std::string, std::string> recorded;
+    std::ifstream file(RECORDED_RUNS);
+    for (std::string line; std::getline(file, line);)
+        if (!line.empty() && line[0] != '#')
+            recorded[line.substr(0, line.find(' '))] = line.substr(line.find(' ') + 1);
+    return recorded;
+}
+
+void check_recorded(const std::vector<RecordedRun>& runs) {
+    const char* record = std::getenv("RUNS_RECORD");
+    const char* dump = std::getenv("RUNS_DUMP");
+    auto recorded = read_recorded();
+    for (const RecordedRun& run : runs) {
+        CAPTURE(run.name);
+        std::string text = run.text();
+        std::string summary = summarize(text);
+        if (record) std::ofstream(record, std::ios::app) << run.name << ' ' << summary << '\n';
+        if (dump) std::ofstream(std::string(dump) + "/" + run.name + ".txt") << text;
+        CHECK(summary == recorded[run.name]);
+    }
+}
+
+TEST_CASE("recorded runs: emulated fleets give the recorded figures") {
+    CHECK(fleet_runs().size() == 23);
+    check_recorded(fleet_runs());
+}
+
+TEST_CASE("recorded runs: emulated lease holders give the recorded figures") {
+    CHECK(lease_runs().size() == 2);
+    check_recorded(lease_runs());
+}
+
+}  // namespace
+}  // namespace indigovane::lab
--- a/tests/program_test.sh
+++ b/tests/program_test.sh
@@ -79,6 +79,10 @@
 expect 1 "damaged" "$program" store compact "$work/kept"
 [ "$before" = "$(cat "$work"/kept/* | cksum)" ] || fail "a damaged store was written to"
 expect 2 "store dump" "$program" store shake "$work/kept"
+# A store that version 789d1a3 wrote, with a record of every space, reads as it did there.
+cp -r "$here/tests/corpus/store-of-789d1a3" "$work/earlier"
+expect 0 "whole: 8 records" "$program" store verify "$work/earlier"
+"$program" store dump "$work/earlier" | cmp -s - "$here/tests/corpus/store-of-789d1a3.jsonl" || fail "an earlier version's store reads otherwise"
 rm -r "$work/kept"
 
 export TMPDIR="$work/scratch"
