--- a/src/brain.cpp
+++ b/src/policy/routing_policy.cpp
@@ -1,8 +1,8 @@
-// starlingpond's decisions. Interface: include/starlingpond/brain.hpp
+// indigovane's decisions. Interface: include/indigovane/brain.hpp
 //
 // Reading order: constants, tables, settings, events, learning, health, cold members, choice, a request's
 // life, upkeep. The ordinary path follows docs/design.md; "Exception:" marks each departure from it.
-#include "starlingpond/brain.hpp"
+#include "policy/routing_policy.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -13,7 +13,7 @@
 #include <unordered_map>
 #include <utility>
 
-namespace starlingpond {
+namespace indigovane::policy {
 namespace {
 
 using std::chrono::milliseconds;
@@ -30,12 +30,12 @@
 
 // Probing in trouble.
 constexpr Duration kSeekPrimary = milliseconds(100);  // probe a group with no usable primary: reports are
-constexpr double kSeekProbes = 2.5;         // hardly newer sooner; no more than so many a read,
-constexpr Duration kSeekMost = seconds(1);  // but each second at least
+constexpr double kSeekProbes = 2.5;                   // hardly newer sooner; no more than so many a read,
+constexpr Duration kSeekMost = seconds(1);            // but each second at least
 constexpr Duration kFirstHold = milliseconds(300);    // longest wait for a fresh router's first probes
 constexpr int kProbeFailures = 2;               // time-outs in a row before a probe counts against a member
-constexpr double kProbeShare = 0.015;   // of what requests earn may go into probes at their price...
-constexpr double kProbeCredit = 10;    // ...and so many may be saved up
+constexpr double kProbeShare = 0.015;           // of what requests earn may go into probes at their price...
+constexpr double kProbeCredit = 10;             // ...and so many may be saved up
 constexpr Duration kUpkeep = milliseconds(20);  // probes due, silence and give-ups are looked at this often
 constexpr Duration kUseMemory = seconds(1);     // over which a group's use is averaged
 constexpr double kAskPings = 3;  // an asked member that takes so many pings longer is passed over
@@ -45,7 +45,7 @@
 constexpr int kCatchUp = 2;      // a member that is behind applies the log about so much faster than time
 constexpr Duration kCommitUnheard = milliseconds(200);  // a member that checks hears of a commit this late
 constexpr Duration kMissRest = seconds(1);  // longer is waited, since misses keep it from catching up
-constexpr Duration kCopyAge = seconds(6);  // and a new one begins with a copy that may be so old
+constexpr Duration kCopyAge = seconds(6);   // and a new one begins with a copy that may be so old
 
 // Windows: how many requests this proxy has out at a member.
 constexpr double kWindowStart = 6;        // a few a core on small machines: neither starves nor floods
@@ -83,8 +83,8 @@
                                      // come again, and has cost it more than it could still earn
 constexpr int kStartsPerAim = 4;  // a read is to be on a connection after this part of its aim at the latest
 constexpr Duration kLeastStart = milliseconds(25);
-constexpr double kTail = 4;           // answer times that a held read keeps in hand: the rest comes again
-constexpr double kFirstGuess = 0.25;  // usual answer time before any answer, as a share of the aim
+constexpr double kTail = 4;              // answer times that a held read keeps in hand: the rest comes again
+constexpr double kFirstGuess = 0.25;     // usual answer time before any answer, as a share of the aim
 constexpr std::size_t kFirstProbes = 3;  // of a group at first use, where probes have a price
 constexpr int kRepeats = 2;  // further attempts after ones that may have run: failures multiply no load
 constexpr std::size_t kPatiencesKept = 16;  // a patience that came this often among the last so many
@@ -121,12 +121,12 @@
 
 enum class Trouble { none, unreachable, silent, erring };
 
-struct Member {
-    MemberId id{};
+struct Endpoint {
+    EndpointId id{};
     GroupId group{};
     ZoneId zone{};
-    bool listed = false;   // the list allows new work
-    bool drained = false;  // the list has named it as draining since it was last ready
+    bool listed = false;       // the list allows new work
+    bool drained = false;      // the list has named it as draining since it was last ready
     std::optional<Time> left;  // not listed since
     std::optional<Time> started;
 
@@ -142,9 +142,9 @@
     Time silent_since{};    // last answer, or when work first went out after none was
     double window = kWindowStart;
     bool slow_start = true;
-    double strain = 0;    // answer time as a share of the aim, averaged
-    double behind = 0;    // lag as last told, as a share of the tightest bound
-    double usual_ms = 0;  // answer time, averaged
+    double load_ratio = 0;  // answer time as a share of the aim, averaged
+    double behind = 0;      // lag as last told, as a share of the tightest bound
+    double usual_ms = 0;    // answer time, averaged
     double error_share = 0;
     Time cut_at{}, rest_until{};
     Duration rest{};
@@ -159,21 +159,21 @@
 };
 
 struct Group {
-    std::vector<Member*> members;  // in the order in which the list named them
+    std::vector<Endpoint*> members;  // in the order in which the list named them
     std::vector<RequestId> held;
     std::optional<Time> first_use;
     bool active = false;  // upkeep looks after it
     double reads = 0;     // that needed a position: a decaying count
     Time reads_at{};
-    std::optional<MemberId> logged_primary;
+    std::optional<EndpointId> logged_primary;
 };
 
 struct Class {
     Consistency consistency;
-    Effect effect;
-    RepeatScope scope;
-    Duration window, aim, deadline, bound;
-    double worth, late_share;
+    Idempotency idempotency;
+    DeduplicationScope scope;
+    Duration window, latency_objective, deadline, bound;
+    double priority_weight, late_share;
     double usual_ms;                   // answer time of this class, averaged over all members
     std::deque<Duration> patiences{};  // of the last requests
     std::optional<Duration> usual_patience{};
@@ -181,7 +181,7 @@
 };
 
 struct Attempt {
-    Member* member;
+    Endpoint* endpoint;
     Time sent;
     bool out = true;
     Execution execution = Execution::may_have_run;  // while it is out
@@ -189,16 +189,16 @@
 
 struct Live {  // a request that is owed an answer, or has attempts out
     RequestId id{};
-    std::shared_ptr<Class> cls;  // as it was when the request came
+    std::shared_ptr<Class> request_class;  // as it was when the request came
     std::size_t most_attempts = 0;
     GroupId group{};
     std::optional<SessionKey> session{};
     Time token{};     // a session read must see this, where its client says so
     double draw = 0;  // uniform in [0, 1): its place in whatever lets only a share of requests pass
-    Time arrived{}, deadline{}, aim{};
+    Time arrived{}, deadline{}, latency_objective{};
     bool finished = false, held = false, begun = false;
     std::vector<Attempt> attempts{};
-    Member* asked = nullptr;  // probed for this read's sake, its answer awaited since
+    Endpoint* asked = nullptr;  // probed for this read's sake, its answer awaited since
     Time asked_at{};
     int asks = 0;
     std::optional<Time> timer{};
@@ -208,29 +208,32 @@
         return int(attempts.size()) -
                int(std::ranges::count(attempts, Execution::never_ran, &Attempt::execution));
     }
-    bool tried(const Member* m) const { return std::ranges::count(attempts, m, &Attempt::member) > 0; }
-    bool writes_of(SessionKey s) const { return session == s && cls->consistency == Consistency::write; }
+    bool tried(const Endpoint* m) const { return std::ranges::count(attempts, m, &Attempt::endpoint) > 0; }
+    bool writes_of(SessionKey s) const {
+        return session == s && request_class->consistency == Consistency::write;
+    }
     bool for_primary() const {
-        return cls->consistency == Consistency::write || cls->consistency == Consistency::fresh;
+        return request_class->consistency == Consistency::write ||
+               request_class->consistency == Consistency::fresh;
     }
 };
 
-enum class Verdict { member, wait, hopeless };
+enum class Verdict { endpoint, wait, hopeless };
 struct Choice {
     Verdict verdict;
-    Member* member = nullptr;
+    Endpoint* endpoint = nullptr;
 };
 
 }  // namespace
 
-struct Brain::State {
+struct RoutingPolicy::State {
     Settings set;
     std::vector<std::shared_ptr<Class>> classes;
     std::mt19937_64 random;
     Time now;
     Actions* acts = nullptr;
 
-    std::map<MemberId, Member> members;
+    std::map<EndpointId, Endpoint> members;
     std::map<GroupId, Group> groups;
     std::unordered_map<RequestId, Live> live;  // looked up, never walked
     std::unordered_map<SessionKey, Time> tokens;
@@ -239,7 +242,7 @@
     Duration probe_every = kProbeAtLeast;
     double probe_credit = kProbeCredit;  // probes that requests have paid for...
     double ask_credit = kProbeCredit;    // ...and as many again for those that reads in hand ask for
-    std::vector<Group*> active;  // by the time since which upkeep looks after them
+    std::vector<Group*> active;          // by the time since which upkeep looks after them
     bool begun = false, list_asked = false, marked = false;  // marked: clients tell further tries from first
     Duration list_backoff = kListBackoff;
     std::optional<Time> logged;
@@ -255,11 +258,17 @@
         classes.clear();
         probe_every = kProbeAtLeast;
         for (const ClassSettings& c : s.classes) {
-            Class k{c.consistency.value_or(Consistency::write), c.effect.value_or(Effect::unsafe),
-                    c.repeat_scope.value_or(RepeatScope::group), c.repeat_window.value_or(Duration::zero()),
-                    c.aim.value_or(c.deadline.value_or(seconds(1))), c.deadline.value_or(seconds(1)),
-                    c.bound.value_or(Duration::zero()), c.worth.value_or(1), c.late_share.value_or(0), 0};
-            k.usual_ms = ms(k.aim) * kFirstGuess;
+            Class k{c.consistency.value_or(Consistency::write),
+                    c.idempotency.value_or(Idempotency::not_idempotent),
+                    c.deduplication_scope.value_or(DeduplicationScope::group),
+                    c.deduplication_window.value_or(Duration::zero()),
+                    c.latency_objective.value_or(c.deadline.value_or(seconds(1))),
+                    c.deadline.value_or(seconds(1)),
+                    c.bound.value_or(Duration::zero()),
+                    c.priority_weight.value_or(1),
+                    c.late_share.value_or(0),
+                    0};
+            k.usual_ms = ms(k.latency_objective) * kFirstGuess;
             if (k.consistency == Consistency::bounded && k.bound > Duration::zero())
                 probe_every = std::min(probe_every, k.bound / kProbesPerBound);
             classes.push_back(std::make_shared<Class>(std::move(k)));
@@ -267,19 +276,21 @@
     }
 
     // Of one probe, in requests that pay for it.
-    double probes_cost() const { return std::max(0.0, set.probe_price.value_or(0)) / kProbeShare; }
+    double probes_cost() const { return std::max(0.0, set.health_check_price.value_or(0)) / kProbeShare; }
     bool may_probe() const { return set.probes.value_or(false); }
-    bool checked() const { return set.server_check.value_or(ServerCheck::none) != ServerCheck::none; }
+    bool checked() const {
+        return set.staleness_check.value_or(StalenessCheck::none) != StalenessCheck::none;
+    }
     double fleet() const { return std::max<double>(1, set.fleet_size.value_or(1)); }
 
     void act(Action a) { acts->push_back(std::move(a)); }
     double chance() { return double(random() >> 11) * 0x1.0p-53; }
     void log(std::string text) {
         if (logged && now - *logged < kLogEvery) return;
-        act(Log{std::move(text)});
+        act(LogMessage{std::move(text)});
         logged = now;
     }
-    static std::string name(MemberId id) { return std::to_string(std::uint32_t(id)); }
+    static std::string name(EndpointId id) { return std::to_string(std::uint32_t(id)); }
 
     // ---- events --------------------------------------------------------------------------------
 
@@ -287,22 +298,22 @@
     void begin() {
         if (begun) return;
         begun = true;
-        if (set.list_mode.value_or(ListMode::pushed) == ListMode::asked)
+        if (set.endpoint_list_mode.value_or(EndpointListMode::pushed) == EndpointListMode::polled)
             act(SetTimer{kListTimer, from_ms(ms(kListSpread) * (kListLeast + fleet()) * chance())});
     }
 
-    void on(const List& list) {
-        if (list.kind == ListKind::failed) {
+    void on(const EndpointList& list) {
+        if (list.kind == EndpointListKind::failed) {
             // A call failed, or the subscription broke: ask again, ever more slowly, never in step.
             act(SetTimer{kListTimer, from_ms(ms(list_backoff) * (0.5 + chance()))});
             list_backoff = std::min(list_backoff * 2, kListBackoffMost);
             log("list call failed; keeping the last list");
             return;
         }
-        if (list_asked && list.kind != ListKind::cached) list_backoff = kListBackoff;
-        if (list.kind != ListKind::changes)
+        if (list_asked && list.kind != EndpointListKind::cached) list_backoff = kListBackoff;
+        if (list.kind != EndpointListKind::changes)
             for (auto& [id, m] : members) m.listed = !set.removal_binds.value_or(true) && !m.drained;
-        for (const ListEntry& e : list.entries) learn_entry(e);
+        for (const EndpointEntry& e : list.entries) learn_entry(e);
         for (auto& [id, g] : groups) pump(g);
         forget();
     }
@@ -311,7 +322,7 @@
     // memory. Never while a request refers to it; one that comes back later is new.
     void forget() {
         for (auto it = members.begin(); it != members.end();) {
-            Member& m = it->second;
+            Endpoint& m = it->second;
             if (m.listed) m.left.reset();
             if (!m.listed && !m.left) m.left = now;
             bool over = m.left && now - *m.left > kMemberKept && m.out == 0 && !m.probing &&
@@ -326,11 +337,11 @@
         std::erase_if(groups, [&](const auto& g) { return over(g.second); });
     }
 
-    void learn_entry(const ListEntry& e) {
-        auto [it, fresh] = members.try_emplace(e.member);
-        Member& m = it->second;
+    void learn_entry(const EndpointEntry& e) {
+        auto [it, fresh] = members.try_emplace(e.endpoint);
+        Endpoint& m = it->second;
         if (fresh) {
-            m.id = e.member;
+            m.id = e.endpoint;
             m.group = e.group;
             m.zone = e.zone;
             groups[e.group].members.push_back(&m);
@@ -341,24 +352,25 @@
             m.window = std::min(m.window, kWindowReturn);
             m.slow_start = true;
         }
-        m.drained = e.state == MemberState::draining || (m.drained && e.state == MemberState::gone);
-        m.listed = e.state == MemberState::ready ||
-                   (e.state == MemberState::gone && !set.removal_binds.value_or(true) && !m.drained);
+        m.drained = e.state == EndpointState::draining || (m.drained && e.state == EndpointState::gone);
+        m.listed = e.state == EndpointState::ready ||
+                   (e.state == EndpointState::gone && !set.removal_binds.value_or(true) && !m.drained);
     }
 
-    void on(const Request& q) {
-        std::size_t index = std::size_t(q.cls);
+    void on(const RequestArrival& q) {
+        std::size_t index = std::size_t(q.request_class);
         if (index >= classes.size() || !groups.count(q.group)) {  // an unknown class, or no list has named
             bool known = index < classes.size();                  // a member of the group: it never ran
-            act(Refuse{q.id, known ? advice() : std::nullopt, false});
+            act(RejectRequest{q.id, known ? advice() : std::nullopt, false});
             return;
         }
         Class& c = *classes[index];
         Live& r = live[q.id] = Live{q.id, classes[index], set.attempts.value_or(2), q.group, q.session};
         r.arrived = now;
         r.draw = chance();
-        r.deadline = now + q.patience;
-        r.aim = std::min(now + c.aim - passed(c, q.patience, q.repeat), r.deadline);
+        r.deadline = now + q.client_timeout;
+        r.latency_objective =
+            std::min(now + c.latency_objective - passed(c, q.client_timeout, q.repeat), r.deadline);
         Group& g = groups[q.group];
         if (q.since_last_write) r.token = now - *q.since_last_write;
         for (double* credit : {&probe_credit, &ask_credit})
@@ -366,8 +378,9 @@
         use(g, r);
         // No answer could earn anything any more, or the client leaves before one usually comes: it may come
         // again with the time that it would lose. Guards members against work and closed connections.
-        Duration usual = c.answers > 1 ? std::min(from_ms(c.usual_ms), c.aim / 2) : Duration::zero();
-        if (r.deadline <= now + kAnswerMargin + usual || (c.late_share <= 0 && r.aim <= now))
+        Duration usual =
+            c.answers > 1 ? std::min(from_ms(c.usual_ms), c.latency_objective / 2) : Duration::zero();
+        if (r.deadline <= now + kAnswerMargin + usual || (c.late_share <= 0 && r.latency_objective <= now))
             return conclude(r);
         hold(g, r);
         pump(g);
@@ -378,11 +391,11 @@
         if (!g.first_use) {
             g.first_use = now;
             // Exception: where probes have a price, the listed primary and a few others by chance at first.
-            std::vector<Member*> some = g.members;
+            std::vector<Endpoint*> some = g.members;
             std::shuffle(some.begin(), some.end(), random);
-            std::partition(some.begin(), some.end(), [](Member* m) { return !!m->primary_as_of; });
+            std::partition(some.begin(), some.end(), [](Endpoint* m) { return !!m->primary_as_of; });
             if (probes_cost() > 0) some.resize(std::min(some.size(), kFirstProbes));
-            for (Member* m : some) probe(*m);
+            for (Endpoint* m : some) probe(*m);
         }
         if (needed(r)) {
             g.reads = reads(g) + 1;
@@ -406,17 +419,17 @@
     // what is left of the deadline. Guards against work on tries whose aim has passed. Where patience varies
     // from client to client no value is usual, and nothing is held to have passed; nor of a first try, where
     // clients mark the others: the short patience of some may become the usual one.
-    Duration passed(Class& c, Duration patience, bool repeat) {
+    Duration passed(Class& c, Duration client_timeout, bool repeat) {
         marked = marked || repeat;
-        c.patiences.push_back(patience);
+        c.patiences.push_back(client_timeout);
         if (c.patiences.size() > kPatiencesKept) c.patiences.pop_front();
         auto alike = [&](Duration p) {
-            return p < patience + kPatienceJitter && patience < p + kPatienceJitter;
+            return p < client_timeout + kPatienceJitter && client_timeout < p + kPatienceJitter;
         };
         if (std::count_if(c.patiences.begin(), c.patiences.end(), alike) >= kUsualPatience)
-            c.usual_patience = patience;
+            c.usual_patience = client_timeout;
         if (!c.usual_patience || alike(*c.usual_patience) || (marked && !repeat)) return Duration::zero();
-        return std::max(Duration::zero(), c.deadline - patience);
+        return std::max(Duration::zero(), c.deadline - client_timeout);
     }
 
     // As the client carries it, or as it is remembered now: a session may write while a read of it waits.
@@ -430,44 +443,44 @@
     }
 
     // The member has done its work; what is left is to carry the answer over, at the client's pace.
-    void on(const Begun& b) {
-        auto mit = members.find(b.member);
+    void on(const ResponseStarted& b) {
+        auto mit = members.find(b.endpoint);
         auto it = live.find(b.id);
         if (mit == members.end() || it == live.end() || std::exchange(it->second.begun, true)) return;
         mit->second.out = std::max(0, mit->second.out - 1);
-        Outcome answered{b.id, 0, b.member, Status::ok, b.latency, {}, {}, {}, {}, {}};
-        judge(mit->second, answered, it->second.cls.get());
+        AttemptOutcome answered{b.id, 0, b.endpoint, AttemptStatus::ok, b.latency, {}, {}, {}, {}, {}};
+        judge(mit->second, answered, it->second.request_class.get());
         pump(groups[mit->second.group]);
     }
 
-    void on(const Outcome& o) {
-        auto mit = members.find(o.member);
+    void on(const AttemptOutcome& o) {
+        auto mit = members.find(o.endpoint);
         if (mit == members.end()) return;
-        Member& m = mit->second;
+        Endpoint& m = mit->second;
         auto it = live.find(o.id);
         bool begun = it != live.end() && it->second.begun;
         if (!begun) m.out = std::max(0, m.out - 1);
-        Class* c = it == live.end() ? nullptr : it->second.cls.get();
+        Class* c = it == live.end() ? nullptr : it->second.request_class.get();
         learn_answer(m, o, c);
-        if (!begun || o.status == Status::error || o.status == Status::reset) judge(m, o, c);
+        if (!begun || o.status == AttemptStatus::error || o.status == AttemptStatus::reset) judge(m, o, c);
         Group& g = groups[m.group];
         if (it != live.end()) settle(g, it->second, o);
         pump(g);
     }
 
-    void on(const Withdrawn& w) {
+    void on(const RequestCancelled& w) {
         auto it = live.find(w.id);
         if (it == live.end()) return;
         cancel(it->second);  // nobody waits for its answer any more
         finish(it->second);
     }
 
-    void on(const ProbeResult& p) {
-        auto it = members.find(p.member);
+    void on(const HealthCheckResult& p) {
+        auto it = members.find(p.endpoint);
         if (it == members.end()) return;
-        Member& m = it->second;
+        Endpoint& m = it->second;
         m.probing = false;
-        if (p.status == Status::ok) {
+        if (p.status == AttemptStatus::ok) {
             m.probe_failures = 0;
             m.pings.push_back(p.latency);
             if (m.pings.size() > kPingSamples) m.pings.pop_front();
@@ -475,25 +488,25 @@
             // A probe shows that the process runs, which is all that an unreachable member lacked. It says
             // nothing of one that takes work and answers none.
             if (m.trouble == Trouble::unreachable) recover(m);
-        } else if (p.status != Status::full && p.status != Status::moot) {
+        } else if (p.status != AttemptStatus::rejected && p.status != AttemptStatus::not_started) {
             ++m.probe_failures;
-            bool sure = p.status == Status::unreachable || p.status == Status::reset;
+            bool sure = p.status == AttemptStatus::unreachable || p.status == AttemptStatus::reset;
             if (sure || m.probe_failures >= kProbeFailures) trip(m, Trouble::unreachable);
         }
         pump(groups[m.group]);
     }
 
-    void on(const PrimaryHeard& h) {  // hearsay proves nothing: it is worth a look of one's own
-        auto it = members.find(h.member);
+    void on(const PrimaryGossip& h) {  // hearsay proves nothing: it is worth a look of one's own
+        auto it = members.find(h.endpoint);
         if (it != members.end() && primary(groups[it->second.group]) != &it->second) probe(it->second);
     }
 
-    void on(const Tokens& t) {
+    void on(const SessionTokens& t) {
         for (auto [key, commit] : t.commits) remember(key, commit);
         token_floor = std::max(token_floor, t.floor);
     }
 
-    void on(const Retune& t) {
+    void on(const SettingsChanged& t) {
         auto before = std::exchange(classes, {});
         apply(t.settings);
         for (std::size_t i = 0; i < std::min(classes.size(), t.continues.size()); ++i)
@@ -502,12 +515,12 @@
         for (auto& [id, g] : groups) pump(g);
     }
 
-    void on(const Timer& t) {
+    void on(const TimerExpired& t) {
         if (t.id == kUpkeepTimer) {
             upkeep();
         } else if (t.id == kListTimer) {
             list_asked = true;
-            act(FollowList{});
+            act(WatchEndpoints{});
         } else {
             auto it = live.find(RequestId(std::uint64_t(t.id) - kFirstRequestTimer));
             if (it == live.end() || (it->second.timer && *it->second.timer > now)) return;
@@ -518,30 +531,30 @@
 
     // ---- learning ------------------------------------------------------------------------------
 
-    void learn_position(Member& m, Time position) {
+    void learn_position(Endpoint& m, Time position) {
         m.told_at = now;
         m.position = std::max(m.position.value_or(position), position);  // positions never go back
     }
 
-    void learn_primary(Member& m, Time as_of) {
+    void learn_primary(Endpoint& m, Time as_of) {
         if (m.replica_as_of && *m.replica_as_of >= as_of) return;  // an old report of a role since lost
         m.primary_as_of = std::max(m.primary_as_of.value_or(as_of), as_of);
     }
 
-    void learn_answer(Member& m, const Outcome& o, const Class* c) {
+    void learn_answer(Endpoint& m, const AttemptOutcome& o, const Class* c) {
         learn_report(m, o.report);
-        bool commit = c && c->consistency == Consistency::write && o.status == Status::ok;
+        bool commit = c && c->consistency == Consistency::write && o.status == AttemptStatus::ok;
         if (o.position && !commit) learn_position(m, *o.position);
         if (o.role == Role::primary) learn_primary(m, now);
         if (o.role == Role::replica) learn_replica(m, now);
     }
 
-    static void learn_replica(Member& m, Time as_of) {
+    static void learn_replica(Endpoint& m, Time as_of) {
         m.replica_as_of = std::max(m.replica_as_of.value_or(as_of), as_of);
         m.primary_as_of.reset();
     }
 
-    void learn_report(Member& m, const Report& report) {
+    void learn_report(Endpoint& m, const LoadReport& report) {
         if (report.position) learn_position(m, *report.position);
         weigh_lag(m, report);
         if (!report.primary) return;
@@ -551,7 +564,7 @@
         if (m.primary_as_of && as_of > *m.primary_as_of) learn_replica(m, as_of);
     }
 
-    static Duration ping(const Member& m) {
+    static Duration ping(const Endpoint& m) {
         Duration sum{};
         for (Duration p : m.pings) sum += p;
         return sum / std::max(1, int(m.pings.size()));
@@ -560,45 +573,49 @@
     // ---- health --------------------------------------------------------------------------------
 
     // What an attempt's end says of the member: whether it answers, whether it errs, how strained it is.
-    void judge(Member& m, const Outcome& o, Class* c) {
-        Status s = o.status;
-        bool answered = s == Status::ok || s == Status::error || s == Status::full || s == Status::miss ||
-                        s == Status::stale;
-        if (s == Status::ok) m.rest /= 2;
+    void judge(Endpoint& m, const AttemptOutcome& o, Class* c) {
+        AttemptStatus s = o.status;
+        bool answered = s == AttemptStatus::ok || s == AttemptStatus::error || s == AttemptStatus::rejected ||
+                        s == AttemptStatus::miss || s == AttemptStatus::stale;
+        if (s == AttemptStatus::ok) m.rest /= 2;
         if (answered) {
             m.silent_since = now;
-            if (m.trouble != Trouble::none && (m.trouble != Trouble::erring || s == Status::ok)) recover(m);
+            if (m.trouble != Trouble::none && (m.trouble != Trouble::erring || s == AttemptStatus::ok))
+                recover(m);
         }
-        if (answered || s == Status::reset) {
-            m.error_share += kErrorGain * ((s == Status::error || s == Status::reset) - m.error_share);
+        if (answered || s == AttemptStatus::reset) {
+            m.error_share +=
+                kErrorGain * ((s == AttemptStatus::error || s == AttemptStatus::reset) - m.error_share);
             if (m.error_share > kErrorTrip) trip(m, Trouble::erring);
         }
-        if (s == Status::unreachable) trip(m, Trouble::unreachable);
-        if (s == Status::unreachable || s == Status::reset) probe(m);
-        if (s == Status::moot) m.rest_until = std::max(m.rest_until, now + kRest);  // no connection was free
-        if (o.status == Status::full) {
+        if (s == AttemptStatus::unreachable) trip(m, Trouble::unreachable);
+        if (s == AttemptStatus::unreachable || s == AttemptStatus::reset) probe(m);
+        if (s == AttemptStatus::not_started)
+            m.rest_until = std::max(m.rest_until, now + kRest);  // no connection was free
+        if (o.status == AttemptStatus::rejected) {
             m.rest = std::clamp(m.rest * 2, kRest, kRestMost);
             m.rest_until = now + from_ms(ms(m.rest) * (0.5 + chance()));
             cut(m, kShrinkFull);
         }
-        if (c && (o.status == Status::ok || o.status == Status::timeout || o.status == Status::cancelled))
+        if (c && (o.status == AttemptStatus::ok || o.status == AttemptStatus::timeout ||
+                  o.status == AttemptStatus::cancelled))
             weigh(m, *c, o);
     }
 
     // A member's window follows how its answers compare with what the clients want, whatever slows it: a
     // neighbour, a pause, an old machine, a crowd. It guards against a queue whose every answer is late. It
     // could do harm where answers are slow for a reason that less work doesn't mend.
-    void weigh(Member& m, Class& c, const Outcome& o) {
+    void weigh(Endpoint& m, Class& c, const AttemptOutcome& o) {
         double took = ms(o.latency);
-        if (o.status == Status::ok) {
+        if (o.status == AttemptStatus::ok) {
             c.usual_ms += std::max(kLatencyGain, 1 / ++c.answers) * (took - c.usual_ms);
             m.usual_ms += (m.usual_ms > 0 ? kStrainGain : 1) * (took - m.usual_ms);
         }
-        double aim = std::max(1.0, ms(c.aim));
-        m.strain += kStrainGain * (std::min(took / aim, 2.0) - m.strain);
-        if (m.strain > kStrainShrink) {
+        double latency_objective = std::max(1.0, ms(c.latency_objective));
+        m.load_ratio += kStrainGain * (std::min(took / latency_objective, 2.0) - m.load_ratio);
+        if (m.load_ratio > kStrainShrink) {
             cut(m, kShrink);
-        } else if (m.strain < kStrainGrow && m.behind < kLagGrow && o.status == Status::ok &&
+        } else if (m.load_ratio < kStrainGrow && m.behind < kLagGrow && o.status == AttemptStatus::ok &&
                    m.out + 1 >= m.window - 1) {
             m.window = std::min(kWindowMost, m.window + (m.slow_start ? 1 : 1 / m.window));
         }
@@ -607,21 +624,23 @@
     // A replica applies the log with what its reads leave of its cores, and answers as fast as ever while it
     // falls behind. Guards against reads that crowd out the log until no bounded read may go there at all.
     // Idle cores say that the log stands still for another reason: its primary is gone, or a link is cut.
-    void weigh_lag(Member& m, const Report& report) {
-        if (!report.position || !(report.busy || report.held) || &m == primary(groups[m.group])) return;
+    void weigh_lag(Endpoint& m, const LoadReport& report) {
+        if (!report.position || !(report.cpu_utilization || report.in_flight) ||
+            &m == primary(groups[m.group]))
+            return;
         m.behind = ms(now - *report.position) / ms(probe_every * kProbesPerBound);
-        double busy = report.busy.value_or(report.held.value_or(0) / kHeldBusy);
+        double busy = report.cpu_utilization.value_or(report.in_flight.value_or(0) / kHeldBusy);
         if (busy > (m.behind > kLagShrink ? kLagBusy : kBusyShrink)) cut(m, kShrink);
     }
 
-    void cut(Member& m, double by) {
+    void cut(Endpoint& m, double by) {
         m.slow_start = false;
         if (now - m.cut_at < from_ms(m.usual_ms)) return;  // one cut for what went out together
         m.cut_at = now;
         m.window = std::max(1.0, std::min(m.window, m.out + 1.0) * by);
     }
 
-    void trip(Member& m, Trouble t) {
+    void trip(Endpoint& m, Trouble t) {
         if (m.trouble == Trouble::none) {
             m.trouble_since = now;
             m.backoff = kTrialFirst;
@@ -634,34 +653,35 @@
         m.trial_at = now + m.backoff;
     }
 
-    void recover(Member& m) {
+    void recover(Endpoint& m) {
         log("member " + name(m.id) + " is back");
         m.trouble = Trouble::none;
         m.error_share = 0;
-        m.strain = 0;
+        m.load_ratio = 0;
         m.window = std::min(m.window, kWindowReturn);
         m.slow_start = true;
         m.silent_since = now;
     }
 
     // May the request be sent there as far as list and health go? In trouble only as a trial.
-    bool usable(const Member& m, const Live& r) const {
+    bool usable(const Endpoint& m, const Live& r) const {
         if (!m.listed || now < m.rest_until) return false;
         if (m.trouble == Trouble::none) return true;
         if (m.trouble == Trouble::unreachable && may_probe()) return false;  // a probe tries it at no risk
         if (now < m.trial_at) return false;
-        return r.cls->effect == Effect::safe || now - m.trouble_since >= kUnsafeTrial;
+        return r.request_class->idempotency == Idempotency::idempotent ||
+               now - m.trouble_since >= kUnsafeTrial;
     }
 
     // ---- cold members --------------------------------------------------------------------------
 
-    bool cold(const Member& m) const {
+    bool cold(const Endpoint& m) const {
         return m.started && now < *m.started + set.ramp.value_or(Duration::zero());
     }
 
     // The part of its full work that a member can surely do now.
-    double ready_share(const Member& m) const {
-        double from = set.cold_from.value_or(0), multiple = set.fall_multiple.value_or(0);
+    double ready_share(const Endpoint& m) const {
+        double from = set.slow_start_share.value_or(0), multiple = set.overload_multiple.value_or(0);
         double care = kColdCare * (multiple > 0 ? multiple : 1);  // zero is no figure: nothing would be sent
         return care * (from + (1 - from) * std::max(0.0, ms(now - *m.started) / ms(*set.ramp)));
     }
@@ -671,7 +691,7 @@
     // talking, however little each of them sees, and a held request passes once the share has grown to it.
     // Guards against a whole group that comes back cold, too. Could do harm where a member is warm long
     // before the stated time.
-    bool room(const Member& m, const Group& g, const Live& r, std::size_t rivals) const {
+    bool room(const Endpoint& m, const Group& g, const Live& r, std::size_t rivals) const {
         double part = r.for_primary() || &m != primary(g) ? 1 : kReadsOfPrimary;
         if (m.trouble == Trouble::none && m.out >= std::max(1.0, m.window * part)) return false;
         if (!cold(m)) return true;
@@ -683,34 +703,34 @@
     // ---- choice --------------------------------------------------------------------------------
 
     // The member that was last known to be primary: the newest of all claims, told by answers or reports.
-    static Member* primary(const Group& g) {
-        Member* best = nullptr;
-        for (Member* m : g.members)
+    static Endpoint* primary(const Group& g) {
+        Endpoint* best = nullptr;
+        for (Endpoint* m : g.members)
             if (m->primary_as_of && (!best || *m->primary_as_of > *best->primary_as_of)) best = m;
         return best;
     }
 
     // Writes, fresh reads, and session reads that no replica can serve. Without a usable primary they wait.
     Choice choose_primary(const Group& g, Live& r) {
-        Member* p = primary(g);
+        Endpoint* p = primary(g);
         if (!p || !usable(*p, r) || !room(*p, g, r, 1)) return {Verdict::wait};
-        return {Verdict::member, p};
+        return {Verdict::endpoint, p};
     }
 
     std::optional<Time> needed(const Live& r) const {
-        if (r.cls->consistency == Consistency::bounded) return now - r.cls->bound;
-        if (r.cls->consistency == Consistency::session && token(r) > Time{}) return token(r);
+        if (r.request_class->consistency == Consistency::bounded) return now - r.request_class->bound;
+        if (r.request_class->consistency == Consistency::session && token(r) > Time{}) return token(r);
         return std::nullopt;
     }
 
-    bool surely_behind(const Member& m, Duration bound) const {
+    bool surely_behind(const Endpoint& m, Duration bound) const {
         return m.position && now - m.told_at < kReportAge && m.told_at - *m.position > bound + kReportAge;
     }
 
     // Where the member is if it still lags as last told; behind all others if nothing was told.
-    Time stands(const Member& m) const { return m.position ? *m.position + (now - m.told_at) : Time{}; }
+    Time stands(const Endpoint& m) const { return m.position ? *m.position + (now - m.told_at) : Time{}; }
     // Just told to lag so far that it won't reach the position in time, even if it waits for the rest.
-    bool falls_short(const Member& m, Time need) const {
+    bool falls_short(const Endpoint& m, Time need) const {
         return need > Time{} && m.position && now - m.told_at < kReportAge && stands(m) + kMemberWait < need;
     }
 
@@ -719,44 +739,46 @@
         // Mode: replicas. Health drops members in trouble, but when it would drop all of them, what looks
         // like their trouble is everyone's (a slow network, a shared disk), and those that can be reached
         // stay in.
-        std::vector<Member*> up, doubtful;
-        const Member* p = primary(g);
-        for (Member* m : g.members) {
+        std::vector<Endpoint*> up, doubtful;
+        const Endpoint* p = primary(g);
+        for (Endpoint* m : g.members) {
             if (m == p || r.tried(m)) continue;
-            if (usable(*m, r)) up.push_back(m);
-            else if (m->listed && m->trouble != Trouble::unreachable) doubtful.push_back(m);
+            if (usable(*m, r))
+                up.push_back(m);
+            else if (m->listed && m->trouble != Trouble::unreachable)
+                doubtful.push_back(m);
         }
         if (up.empty()) up = doubtful;
         // Tags: none by default. Position:
         std::optional<Time> need = needed(r);
-        std::vector<Member*> fit;
-        for (Member* m : up)
+        std::vector<Endpoint*> fit;
+        for (Endpoint* m : up)
             if (!need || m->position >= need ||
-                (checked() && !must_be_proven(r) && expected(*m, *need, r.cls->bound)))
+                (checked() && !must_be_proven(r) && expected(*m, *need, r.request_class->bound)))
                 fit.push_back(m);
         if (fit.empty()) return choose_unfit(g, r, up);
         // Ping, then room, then chance.
         Duration nearest = ping(*fit.front());
-        for (Member* m : fit) nearest = std::min(nearest, ping(*m));
-        std::erase_if(fit, [&](Member* m) { return ping(*m) > nearest + kPingWindow; });
-        std::erase_if(fit, [&, rivals = fit.size()](Member* m) { return !room(*m, g, r, rivals); });
+        for (Endpoint* m : fit) nearest = std::min(nearest, ping(*m));
+        std::erase_if(fit, [&](Endpoint* m) { return ping(*m) > nearest + kPingWindow; });
+        std::erase_if(fit, [&, rivals = fit.size()](Endpoint* m) { return !room(*m, g, r, rivals); });
         // Exception: where no replica that has reached the token has room, the primary may.
-        if (fit.empty() && r.cls->consistency == Consistency::session) return choose_primary(g, r);
+        if (fit.empty() && r.request_class->consistency == Consistency::session) return choose_primary(g, r);
         if (fit.empty()) return {Verdict::wait};
         // Exception: while some replicas are too far behind for bounded reads, they serve the any reads.
         // Guards against long reads that hold up the log on one replica after another until none is fit for
         // the rest.
-        if (r.cls->consistency == Consistency::any) {
-            auto behind = [&](Member* m) { return surely_behind(*m, probe_every * kProbesPerBound); };
+        if (r.request_class->consistency == Consistency::any) {
+            auto behind = [&](Endpoint* m) { return surely_behind(*m, probe_every * kProbesPerBound); };
             if (std::any_of(fit.begin(), fit.end(), behind)) std::erase_if(fit, std::not_fn(behind));
         }
-        return {Verdict::member, fit[random() % fit.size()]};
+        return {Verdict::endpoint, fit[random() % fit.size()]};
     }
 
     // Exception: where members check, what one was last known to lag by lasts, and a bounded read tries it
     // again when it may do. Guards the one that a proxy has heard of last against all its reads, and gives
     // new ones a part of them.
-    bool expected(const Member& m, Time need, Duration bound) const {
+    bool expected(const Endpoint& m, Time need, Duration bound) const {
         if (!m.position) return m.started && *m.started - kCopyAge + kCatchUp * (now - *m.started) >= need;
         if (stands(m) >= need) return true;
         return bound != Duration::zero() && *m.position + kCatchUp * (now - m.told_at) >= need + kMissRest;
@@ -765,29 +787,29 @@
     // answers with older data. A read that may not run again after that is sent only where its data is known
     // to be new enough.
     bool must_be_proven(const Live& r) const {
-        return r.cls->effect == Effect::unsafe && r.cls->consistency == Consistency::session &&
-               now < token(r) + kCommitUnheard;
+        return r.request_class->idempotency == Idempotency::not_idempotent &&
+               r.request_class->consistency == Consistency::session && now < token(r) + kCommitUnheard;
     }
     // No replica is known to pass.
-    Choice choose_unfit(const Group& g, Live& r, const std::vector<Member*>& up) {
-        bool bounded = r.cls->consistency == Consistency::bounded;
-        std::vector<Member*> hopeful;  // what is known of them is merely old
-        for (Member* m : up)
-            if (!bounded || !(surely_behind(*m, r.cls->bound) || (checked() && m->position)))
+    Choice choose_unfit(const Group& g, Live& r, const std::vector<Endpoint*>& up) {
+        bool bounded = r.request_class->consistency == Consistency::bounded;
+        std::vector<Endpoint*> hopeful;  // what is known of them is merely old
+        for (Endpoint* m : up)
+            if (!bounded || !(surely_behind(*m, r.request_class->bound) || (checked() && m->position)))
                 hopeful.push_back(m);
         bool early = now < *g.first_use + kFirstHold, hope = g.members.empty() || !hopeful.empty();
-        std::erase_if(hopeful, [&](Member* m) { return !room(*m, g, r, 1); });
+        std::erase_if(hopeful, [&](Endpoint* m) { return !room(*m, g, r, 1); });
         if (checked() && r.attempts.empty() && !must_be_proven(r)) {
             std::shuffle(hopeful.begin(), hopeful.end(), random);
-            Member* least = nullptr;
-            for (Member* m : hopeful)
+            Endpoint* least = nullptr;
+            for (Endpoint* m : hopeful)
                 if (!falls_short(*m, token(r)) && (!least || stands(*m) > stands(*least))) least = m;
-            if (least) return {Verdict::member, least};
+            if (least) return {Verdict::endpoint, least};
         } else if (!checked() && may_probe() && (bounded || r.asks < kSessionAsks)) {
             if (r.asked && r.asked->probing &&
                 now < r.asked_at + std::max(kAskLeast, from_ms(ms(ping(*r.asked)) * kAskPings)))
                 return {Verdict::wait};
-            std::erase_if(hopeful, [&](Member* m) { return m->probing || now < m->told_at + probe_every; });
+            std::erase_if(hopeful, [&](Endpoint* m) { return m->probing || now < m->told_at + probe_every; });
             if (!hopeful.empty()) {
                 r.asked = hopeful[random() % hopeful.size()];
                 r.asked_at = now;
@@ -796,7 +818,8 @@
                 return {Verdict::wait};
             }
         }
-        if (r.cls->consistency == Consistency::session && now >= *g.first_use) return choose_primary(g, r);
+        if (r.request_class->consistency == Consistency::session && now >= *g.first_use)
+            return choose_primary(g, r);
         return {early || (hope && bounded) ? Verdict::wait : Verdict::hopeless};
     }
 
@@ -816,8 +839,10 @@
     }
     Time give_up(const Live& r) const {
         if (r.for_primary())
-            return std::min(r.deadline - kAnswerMargin - from_ms(r.cls->usual_ms), worth_holding_until(r));
-        return std::max(r.arrived + kLeastHold, r.aim - from_ms(r.cls->usual_ms * kTail));
+            return std::min(r.deadline - kAnswerMargin - from_ms(r.request_class->usual_ms),
+                            worth_holding_until(r));
+        return std::max(r.arrived + kLeastHold,
+                        r.latency_objective - from_ms(r.request_class->usual_ms * kTail));
     }
 
     // Serves what is held, as far as members have room: what can still meet its aim first, then by worth for
@@ -827,17 +852,20 @@
         std::vector<Live*> queue;
         for (RequestId id : g.held) queue.push_back(&live.at(id));
         g.held.clear();
-        auto late = [&](const Live* r) { return now > r->aim - from_ms(r->cls->usual_ms); };
+        auto late = [&](const Live* r) {
+            return now > r->latency_objective - from_ms(r->request_class->usual_ms);
+        };
         std::stable_sort(queue.begin(), queue.end(), [&](const Live* a, const Live* b) {
             if (late(a) != late(b)) return late(b);
-            double wa = a->cls->worth / a->cls->usual_ms, wb = b->cls->worth / b->cls->usual_ms;
+            double wa = a->request_class->priority_weight / a->request_class->usual_ms,
+                   wb = b->request_class->priority_weight / b->request_class->usual_ms;
             return wa != wb ? wa > wb : a->arrived > b->arrived;
         });
         for (Live* r : queue) {
             // The window of a keyed request may have closed while it was held.
             Choice c = may_go_again(*r) ? choose(g, *r) : Choice{Verdict::hopeless};
-            if (c.verdict == Verdict::member) {
-                send(*r, *c.member);
+            if (c.verdict == Verdict::endpoint) {
+                send(*r, *c.endpoint);
             } else if (c.verdict == Verdict::hopeless || now >= give_up(*r)) {
                 conclude(*r);
             } else {
@@ -847,11 +875,12 @@
         }
     }
 
-    void send(Live& r, Member& m) {
+    void send(Live& r, Endpoint& m) {
         r.held = false;
         Time start_by = std::min(worth_holding_until(r), repeat_until(r));
         r.attempts.push_back({&m, now});
-        m.awaited_ms = m.out == 0 ? r.cls->usual_ms : std::max(m.awaited_ms, r.cls->usual_ms);
+        m.awaited_ms =
+            m.out == 0 ? r.request_class->usual_ms : std::max(m.awaited_ms, r.request_class->usual_ms);
         if (m.out++ == 0) m.silent_since = now;
         if (m.trouble != Trouble::none) {
             m.backoff = std::min(m.backoff * 2, kTrialMost);
@@ -860,17 +889,18 @@
         // Without a connection by then it ends, with time left to go elsewhere or to come again. Others can
         // serve a read within its aim: it does not wait out a connection that does not come up.
         if (!r.for_primary())
-            start_by = std::min(start_by, now + std::max(kLeastStart, (r.aim - now) / kStartsPerAim));
-        act(Send{r.id, m.id, std::nullopt, needed(r), start_by - now});
+            start_by =
+                std::min(start_by, now + std::max(kLeastStart, (r.latency_objective - now) / kStartsPerAim));
+        act(SendAttempt{r.id, m.id, std::nullopt, needed(r), start_by - now});
         schedule(r, r.deadline - kAnswerMargin);
     }
 
-    void settle(Group& g, Live& r, const Outcome& o) {
+    void settle(Group& g, Live& r, const AttemptOutcome& o) {
         if (o.attempt < r.attempts.size()) {
             r.attempts[o.attempt].out = false;
             r.attempts[o.attempt].execution = o.execution();
         }
-        bool ok = o.status == Status::ok;
+        bool ok = o.status == AttemptStatus::ok;
         bool lost = !checked() && !ok && o.execution() != Execution::never_ran;
         if (r.session && r.writes_of(*r.session) && (lost || (o.finished && ok && o.position)))
             remember(*r.session, lost ? now : *o.position);
@@ -883,17 +913,18 @@
     bool may_go_again(const Live& r) const {
         if (r.attempts.size() >= r.most_attempts || now >= r.deadline - kAnswerMargin) return false;
         if (r.may_have_run() > kRepeats) return false;
-        if (r.cls->effect == Effect::safe || !r.may_have_run()) return true;
-        if (r.cls->effect == Effect::unsafe) return false;
+        if (r.request_class->idempotency == Idempotency::idempotent || !r.may_have_run()) return true;
+        if (r.request_class->idempotency == Idempotency::not_idempotent) return false;
         // A group may span zones: no repeat is sure to be dropped there.
-        return r.cls->scope != RepeatScope::zone && now < repeat_until(r);
+        return r.request_class->scope != DeduplicationScope::zone && now < repeat_until(r);
     }
     // From the first send that may have run. What waits for a connection then may not begin any more.
     static Time repeat_until(const Live& r) {
         auto may_have_run = [](const Attempt& a) { return a.execution != Execution::never_ran; };
         auto first = std::ranges::find_if(r.attempts, may_have_run);
-        if (first == r.attempts.end() || r.cls->effect == Effect::safe) return Time::max();
-        return first->sent + r.cls->window - kUpkeep;
+        if (first == r.attempts.end() || r.request_class->idempotency == Idempotency::idempotent)
+            return Time::max();
+        return first->sent + r.request_class->window - kUpkeep;
     }
 
     // A request in hand is looked at again: its time is up, or it may be.
@@ -916,23 +947,24 @@
 
     // The final answer, at once. A refusal promises that trying again is harmless.
     void conclude(Live& r) {
-        bool harmless = r.cls->effect == Effect::safe || !r.may_have_run() ||
-                        (r.cls->effect == Effect::keyed && r.cls->scope == RepeatScope::all);
+        bool harmless = r.request_class->idempotency == Idempotency::idempotent || !r.may_have_run() ||
+                        (r.request_class->idempotency == Idempotency::idempotency_key &&
+                         r.request_class->scope == DeduplicationScope::all);
         cancel(r);
         bool late = now >= r.deadline - kAnswerMargin;
-        act(harmless ? Action{Refuse{r.id, advice(), late}} : Action{Fail{r.id, late}});
+        act(harmless ? Action{RejectRequest{r.id, advice(), late}} : Action{FailRequest{r.id, late}});
         finish(r);
     }
 
     std::optional<Duration> advice() const {
         if (!set.retry_after.value_or(false)) return std::nullopt;
-        return std::min(kRetryAfter, set.longest_retry_after.value_or(kRetryAfter));
+        return std::min(kRetryAfter, set.max_retry_after.value_or(kRetryAfter));
     }
 
     void cancel(const Live& r) {
         if (!set.cancels.value_or(false)) return;
         for (std::size_t i = 0; i < r.attempts.size(); ++i)
-            if (r.attempts[i].out) act(Cancel{r.id, std::uint32_t(i)});
+            if (r.attempts[i].out) act(CancelAttempt{r.id, std::uint32_t(i)});
     }
 
     void finish(Live& r) {
@@ -976,7 +1008,7 @@
         for (Group* g : std::exchange(active, {})) {
             look_after(*g);
             bool out =
-                std::any_of(g->members.begin(), g->members.end(), [](Member* m) { return m->out > 0; });
+                std::any_of(g->members.begin(), g->members.end(), [](Endpoint* m) { return m->out > 0; });
             g->active = out || !g->held.empty() || steady(*g);
             if (g->active) busy.push_back(g);
         }
@@ -985,8 +1017,8 @@
     }
 
     void look_after(Group& g) {
-        for (Member* m : g.members) watch_silence(*m);
-        Member* p = primary(g);
+        for (Endpoint* m : g.members) watch_silence(*m);
+        Endpoint* p = primary(g);
         if (p && g.logged_primary != p->id) {
             log("primary is member " + name(p->id));
             g.logged_primary = p->id;
@@ -995,7 +1027,7 @@
         bool seeking = !g.held.empty() && (!p || !p->listed || p->trouble != Trouble::none);
         Duration seek = std::clamp(kUseMemory * int(g.members.size()) / int(kSeekProbes * reads(g) + 1),
                                    kSeekPrimary, kSeekMost);
-        for (Member* m : g.members) {
+        for (Endpoint* m : g.members) {
             if (!m->listed) continue;
             Duration every = m == p ? kProbeAtLeast : probe_every;
             bool due = paced && (now >= m->told_at + every || now >= m->probe_sent + kProbeAtLeast);
@@ -1012,7 +1044,7 @@
     // A member that has work and answers nothing at all: hung, cut off, or its answers are lost. Guards
     // writes against piling up where nobody serves them. Could do harm on a long pause: its first answer
     // undoes it.
-    void watch_silence(Member& m) {
+    void watch_silence(Endpoint& m) {
         if (m.trouble != Trouble::none || m.out < kSilentOut) return;
         if (now - m.silent_since >
             std::max(kSilence, from_ms(std::max(m.usual_ms, m.awaited_ms) * kSilentAnswers / m.out)))
@@ -1021,35 +1053,35 @@
 
     // Guards against probes that grow with proxies times members, or with the time that reads wait: what
     // they cost the fleet is paid for by the requests of the proxy that sends them.
-    void probe(Member& m, bool asked = false) {
+    void probe(Endpoint& m, bool asked = false) {
         double& credit = asked ? ask_credit : probe_credit;
         if (!may_probe() || m.probing || !m.listed || (probes_cost() > 0 && credit < 1)) return;
         credit -= probes_cost() > 0;
         m.probing = true;
         m.probe_sent = now;
-        act(Probe{m.id});
+        act(CheckHealth{m.id});
     }
 };
 
-Brain::Brain(const Settings& settings, std::uint64_t seed, Time now)
+RoutingPolicy::RoutingPolicy(const Settings& settings, std::uint64_t seed, Time now)
     : state_(std::make_unique<State>(settings, seed, now)) {}
-Brain::~Brain() = default;
-Brain::Brain(Brain&&) noexcept = default;
-Brain& Brain::operator=(Brain&&) noexcept = default;
+RoutingPolicy::~RoutingPolicy() = default;
+RoutingPolicy::RoutingPolicy(RoutingPolicy&&) noexcept = default;
+RoutingPolicy& RoutingPolicy::operator=(RoutingPolicy&&) noexcept = default;
 
-Tokens Brain::tokens() const {
-    Tokens all{{}, state_->token_floor};
+SessionTokens RoutingPolicy::tokens() const {
+    SessionTokens all{{}, state_->token_floor};
     for (auto& [key, commit] : state_->token_order)
         if (auto it = state_->tokens.find(key); it != state_->tokens.end() && it->second == commit)
             all.commits.push_back({key, commit});
     return all;
 }
 
-void Brain::handle(Time now, const Event& event, Actions& out) {
+void RoutingPolicy::handle(Time now, const Event& event, Actions& out) {
     state_->now = now;
     state_->acts = &out;
     state_->begin();
     std::visit([this](const auto& e) { state_->on(e); }, event);
 }
 
-}  // namespace starlingpond
+}  // namespace indigovane::policy
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -7,14 +7,14 @@
 #include <sstream>
 #include <tuple>
 
-#include "transport/endpoint.hpp"
-#include "wire/codec.hpp"
-#include "wire/frame.hpp"
+#include "simulator/codec.hpp"
+#include "simulator/frame.hpp"
+#include "transport/socket_address.hpp"
 
 namespace indigovane::program {
 
 using nlohmann::json;
-using starlingpond::Consistency;
+using policy::Consistency;
 
 namespace {
 
@@ -34,8 +34,8 @@
     }
 }
 
-transport::Endpoint endpoint(const std::string& text, const char* what) {
-    auto at = transport::read_endpoint(text);
+transport::SocketAddress address(const std::string& text, const char* what) {
+    auto at = transport::parse_socket_address(text);
     if (!at) throw ConfigError(std::string(what) + ": '" + text + "' is no address with a port");
     return *at;
 }
@@ -130,7 +130,7 @@
 // file switches the links on, and says so then.
 void read_peer_addresses(const json& root, Config& c) {
     auto take = [](const json& value) {
-        return value.is_string() ? transport::read_endpoint(value.get<std::string>()) : std::nullopt;
+        return value.is_string() ? transport::parse_socket_address(value.get<std::string>()) : std::nullopt;
     };
     if (auto listen = root.find("peer_listen"); listen != root.end()) c.peer_listen = take(*listen);
     auto peers = root.find("peers");
@@ -153,10 +153,10 @@
     Config c;
     try {
         c.name = root.value("name", variable("LB_NAME"));
-        c.listen = endpoint(root.value("listen", variable("LB_LISTEN")), "listen");
-        c.discovery = endpoint(root.value("discovery", variable("LB_DISCOVERY")), "discovery");
+        c.listen = address(root.value("listen", variable("LB_LISTEN")), "listen");
+        c.discovery = address(root.value("discovery", variable("LB_DISCOVERY")), "discovery");
         if (std::string at = root.value("control", variable("LB_CONTROL")); !at.empty())
-            c.control = endpoint(at, "control");
+            c.control = address(at, "control");
         if (root.contains("seed")) c.seed = read_seed(root["seed"]);
         read_peer_addresses(root, c);
         if (root.contains("limits")) {
@@ -167,8 +167,8 @@
         check_settings(settings);
         std::string flat = "SETTINGS";
         flatten(settings, "", flat);
-        starlingpond::wire::Line line(flat);
-        c.settings = starlingpond::wire::read_settings(line);
+        simulator::Line line(flat);
+        c.settings = simulator::read_settings(line);
         if (settings.contains("azs"))
             for (const json& zone : settings["azs"]) c.zones.push_back(zone.get<std::string>());
         if (settings.contains("allowed")) {
@@ -192,13 +192,13 @@
                 info.deadline = k.deadline.value_or(std::chrono::seconds(1));
                 info.write = k.consistency.value_or(Consistency::write) == Consistency::write;
                 info.session = k.consistency == Consistency::session;
-                info.keyed = k.effect == starlingpond::Effect::keyed;
+                info.keyed = k.idempotency == policy::Idempotency::idempotency_key;
                 c.longest_deadline = std::max(c.longest_deadline, info.deadline);
                 classes.push_back(info);
             }
         }
         c.classes = adapters::Classes(std::move(classes));
-        if (root.contains("known")) c.known = routing::read_member_list(root["known"], c.zones);
+        if (root.contains("known")) c.known = routing::read_endpoint_listing(root["known"], c.zones);
         for (const char* fleeting : {"known", "seed"}) root.erase(fleeting);
         c.shape = shape_of(root, "");
         for (const char* moving : {"discovery", "settings"}) root.erase(moving);
@@ -234,7 +234,7 @@
     try {
         RestConfig& r = config.rest;
         r.enabled = root.value("enabled", false);
-        r.listen = endpoint(root.value("listen", std::string("127.0.0.1:8080")), "listen");
+        r.listen = address(root.value("listen", std::string("127.0.0.1:8080")), "listen");
         r.page_size = root.value("page_size", r.page_size);
         r.page_size_most = root.value("page_size_most", r.page_size_most);
         r.connections = root.value("connections", r.connections);
@@ -244,7 +244,7 @@
         if (members != "pg" && members != "rest") throw ConfigError("members: 'pg' or 'rest'");
         config.members = members == "rest" ? Wire::rest : Wire::pg;
         if (root.contains("syslog") && !root["syslog"].is_null()) {
-            auto at = endpoint(root["syslog"].get<std::string>(), "syslog");
+            auto at = address(root["syslog"].get<std::string>(), "syslog");
             if (!at.address().is_loopback()) throw ConfigError("syslog: a loopback address is wanted");
             r.syslog = at;
         }
@@ -258,16 +258,16 @@
 void take_statements(StatementConfig s, const std::string& path, Config& config) {
     auto wrong = [&](const std::string& what) { throw StatementConfigError(path + ": " + what); };
     auto find = [&](const std::string& name, const char* where) {
-        const adapters::ClassInfo* cls = config.classes.find(name);
-        if (!cls) wrong(std::string(where) + ": the settings have no class '" + name + "'");
-        return cls;
+        const adapters::ClassInfo* request_class = config.classes.find(name);
+        if (!request_class) wrong(std::string(where) + ": the settings have no class '" + name + "'");
+        return request_class;
     };
     for (const statement::ClassRule& rule : s.rules.classes()) {
-        const adapters::ClassInfo* cls = find(rule.name, "[[class]]");
+        const adapters::ClassInfo* request_class = find(rule.name, "[[class]]");
         if (rule.bound_us == 0) continue;
-        auto& bound = config.settings.classes[std::size_t(cls->id)].bound;
-        auto wanted = starlingpond::Duration(std::int64_t(rule.bound_us));
-        if (config.settings.classes[std::size_t(cls->id)].consistency != Consistency::bounded)
+        auto& bound = config.settings.classes[std::size_t(request_class->id)].bound;
+        auto wanted = policy::Duration(std::int64_t(rule.bound_us));
+        if (config.settings.classes[std::size_t(request_class->id)].consistency != Consistency::bounded)
             wrong("[[class]] " + rule.name + ": a bound is for a class of bounded reads");
         bound = std::min(bound.value_or(wanted), wanted);
     }
@@ -281,8 +281,8 @@
         wrong("open: members that speak REST can't be sent open statements");
     s.judge.seed = config.seed ^ 0x9e3779b97f4a7c15u;
     s.limits.retry_after = config.settings.retry_after.value_or(false);
-    if (auto longest = config.settings.longest_retry_after)
-        s.limits.longest_retry_after = std::min<limits::Duration>(s.limits.longest_retry_after, *longest);
+    if (auto longest = config.settings.max_retry_after)
+        s.limits.max_retry_after = std::min<limits::Duration>(s.limits.max_retry_after, *longest);
     config.statements = std::move(s);
 }
 
--- a/src/program/config.hpp
+++ b/src/program/config.hpp
@@ -8,13 +8,13 @@
 #include <vector>
 
 #include "adapters/classes.hpp"
+#include "policy/routing_policy.hpp"
 #include "program/peer_config.hpp"
 #include "program/site_config.hpp"
 #include "program/statement_rules.hpp"
 #include "program/store_config.hpp"
-#include "routing/catalog.hpp"
 #include "routing/core.hpp"
-#include "starlingpond/brain.hpp"
+#include "routing/discovery_client.hpp"
 #include "transport/connection.hpp"
 
 namespace indigovane::program {
@@ -28,20 +28,20 @@
 // The REST front's file.
 struct RestConfig {
     bool enabled = false;
-    transport::Endpoint listen;
+    transport::SocketAddress listen;
     std::uint32_t page_size = 50, page_size_most = 500;
     std::size_t connections = 256;
-    std::optional<transport::Endpoint> syslog;  // a collector on this machine
+    std::optional<transport::SocketAddress> syslog;  // a collector on this machine
 };
 
 struct Config {
     std::string name = "indigovane";
-    transport::Endpoint listen, discovery;
-    std::optional<transport::Endpoint> control;  // for operators alone; none: that front is off
+    transport::SocketAddress listen, discovery;
+    std::optional<transport::SocketAddress> control;  // for operators alone; none: that front is off
     std::uint64_t seed = 0;
     std::size_t memory_mb = 192, sockets = 1024;
-    routing::MemberList known;
-    starlingpond::Settings settings;
+    routing::EndpointListing known;
+    policy::Settings settings;
     std::vector<std::string> zones;
     adapters::Classes classes;
     routing::Duration connect_timeout = std::chrono::milliseconds(250), idle_limit = std::chrono::seconds(30),
@@ -52,8 +52,8 @@
     std::optional<StatementConfig> statements;  // none: the package is off
     // Other poolers, where the platform permits datagrams between them and names them.
     bool peers_permitted = false;
-    std::vector<transport::Endpoint> peers;
-    std::optional<transport::Endpoint> peer_listen;
+    std::vector<transport::SocketAddress> peers;
+    std::optional<transport::SocketAddress> peer_listen;
     std::optional<PeerConfig> peering;  // none: nothing is told and nothing heard
     std::optional<SiteConfig> sites;    // none: sites are not watched
     // The keys that the file holds, by path, with the type of each: a file read again must hold them all.
--- a/src/program/taken_out.cpp
+++ b/src/program/excluded_endpoints.cpp
@@ -1,4 +1,4 @@
-#include "program/taken_out.hpp"
+#include "program/excluded_endpoints.hpp"
 
 #include <fcntl.h>
 #include <sys/file.h>
@@ -36,13 +36,13 @@
 }
 }  // namespace
 
-TakenOut::TakenOut(const std::string& folder, const std::string& name) {
+ExcludedEndpoints::ExcludedEndpoints(const std::string& folder, const std::string& name) {
     if (folder.empty()) return;
     path_ = folder + "/" + name + ".down";
     load();
 }
 
-bool TakenOut::load() {
+bool ExcludedEndpoints::load() {
     seen_ = identity(path_);
     std::set<std::string> stored;
     std::ifstream in(path_);
@@ -53,15 +53,15 @@
     return changed;
 }
 
-bool TakenOut::stored() const {
+bool ExcludedEndpoints::stored() const {
     return !path_.empty() && ::access(path_.c_str(), F_OK) == 0;
 }
 
-bool TakenOut::refresh() {
+bool ExcludedEndpoints::refresh() {
     return !path_.empty() && identity(path_) != seen_ && load();
 }
 
-void TakenOut::change(const std::string& uid, bool out) {
+void ExcludedEndpoints::change(const std::string& uid, bool out) {
     auto apply = [&](std::set<std::string>& set) { out ? void(set.insert(uid)) : void(set.erase(uid)); };
     if (path_.empty()) return apply(uids_);
     Lock lock(path_ + ".lock");
--- a/src/program/taken_out.hpp
+++ b/src/program/excluded_endpoints.hpp
@@ -7,10 +7,10 @@
 
 namespace indigovane::program {
 
-class TakenOut {
+class ExcludedEndpoints {
   public:
     // The file lies in `folder`; an empty one: the set is kept in memory alone.
-    TakenOut(const std::string& folder, const std::string& name);
+    ExcludedEndpoints(const std::string& folder, const std::string& name);
 
     const std::set<std::string>& uids() const { return uids_; }
     // Changes what is stored, by whichever process, and takes that in. Stored when it returns; throws
--- a/src/program/lifecycle.cpp
+++ b/src/program/lifecycle.cpp
@@ -21,7 +21,7 @@
 // Whoever sends clients here asks every 100 ms, and sends some for 200 ms after a no.
 constexpr auto kRefusing = milliseconds(400);
 // What another process has stored is looked at this often; a drain leaves 2 s.
-constexpr auto kTakenOutEvery = milliseconds(200);
+constexpr auto kExcludedEndpointsEvery = milliseconds(200);
 // An heir waits so long for discovery's list before it serves with the one in its configuration.
 constexpr auto kListWait = std::chrono::seconds(3);
 // Costs of shapes are written down this often, of so many.
@@ -87,12 +87,13 @@
     : config_(config),
       reread_(std::move(reread)),
       log_(log),
-      taken_out_(scratch_folder(), config.name),
-      succession_(io_, scratch_folder(), config.name, static_cast<Succession::Estate&>(*this)),
+      excluded_endpoints_(scratch_folder(), config.name),
+      process_handover_(io_, scratch_folder(), config.name,
+                        static_cast<ProcessHandover::HandoverOwner&>(*this)),
       stop_signals_(io_, SIGTERM, SIGINT),
       reload_signals_(io_, SIGHUP),
       timer_(io_),
-      taken_out_timer_(io_) {}
+      excluded_endpoints_timer_(io_) {}
 
 Lifecycle::~Lifecycle() {
     log_.also({});
@@ -106,7 +107,8 @@
 void Lifecycle::start() {
     await_stop();
     await_reload();
-    std::size_t aside = kSpareSockets + adapters::Door::kLingering * (config_.rest.enabled ? 2 : 1) +
+    std::size_t aside = kSpareSockets +
+                        adapters::ClientListener::kLingering * (config_.rest.enabled ? 2 : 1) +
                         (config_.control ? kControlLimits.sockets() : 0);
     if (config_.sockets < aside + kLeastSockets)
         throw ConfigError("limits.sockets: at least " + std::to_string(aside + kLeastSockets) +
@@ -131,33 +133,33 @@
             config_.statements->rules, config_.statements->judge, options_of(*config_.statements));
         if (config_.statements->limits.enabled)
             limited_ =
-                std::make_unique<adapters::LimitedIntake>(io_, clock_, config_.statements->limits, *core_);
+                std::make_unique<adapters::LimitedAdmission>(io_, clock_, config_.statements->limits, *core_);
     }
-    bool asked = config_.settings.list_mode == starlingpond::ListMode::asked;
-    catalog_ = std::make_unique<Catalog>(
+    bool asked = config_.settings.endpoint_list_mode == policy::EndpointListMode::polled;
+    discovery_client_ = std::make_unique<DiscoveryClient>(
         io_, config_.discovery, config_.zones, *core_, log_,
-        asked ? ListWatch::shared(config_.settings.fleet_size.value_or(1)) : ListWatch::Timing{},
+        asked ? WatchSchedule::shared(config_.settings.fleet_size.value_or(1)) : WatchSchedule::Timing{},
         config_.seed);
     if (config_.store) open_store();
-    if (keeper_ && limited_)
-        for (const auto& prior : keeper_->shapes()) limited_->learn(prior);
-    core_->lay_over(taken_out_.uids());
-    catalog_->seed(config_.known);
-    if (auto last = keeper_ ? keeper_->last_list(config_.known.revision) : std::nullopt) {
+    if (persistent_state_ && limited_)
+        for (const auto& prior : persistent_state_->shapes()) limited_->learn(prior);
+    core_->set_excluded(excluded_endpoints_.uids());
+    discovery_client_->seed(config_.known);
+    if (auto last = persistent_state_ ? persistent_state_->last_list(config_.known.revision) : std::nullopt) {
         // Newer than what the configuration knows; it may be old, as that may.
-        MemberList list = read_member_list(nlohmann::json::parse(*last), config_.zones);
-        catalog_->seed(list);
+        EndpointListing list = read_endpoint_listing(nlohmann::json::parse(*last), config_.zones);
+        discovery_client_->seed(list);
         log_.log(
             Level::notice, "store", "discovery's list of the last process",
             {{"revision", std::to_string(list.revision)}, {"members", std::to_string(list.members.size())}});
     }
-    if (keeper_) catalog_->on_list([this](std::int64_t revision) { keep_list(revision); });
-    watch_taken_out();
+    if (persistent_state_) discovery_client_->on_list([this](std::int64_t revision) { keep_list(revision); });
+    watch_excluded_endpoints();
     if (config_.peering) open_peers();
     if (asked)
-        core_->on_follow_list([this] { catalog_->follow(); });
+        core_->on_follow_list([this] { discovery_client_->follow(); });
     else
-        catalog_->follow();
+        discovery_client_->follow();
     if (config_.control) {
         control_ = std::make_unique<adapters::ControlFront>(io_, *config_.control, kControlLimits,
                                                             static_cast<Operations&>(*this), log_);
@@ -172,11 +174,11 @@
         log_.also([this](const std::string& line) { syslog_->send(line); });
     }
     core_->on_commit([this](std::uint64_t session, Time commit) {
-        if (keeper_) keeper_->commit(session, commit);
-        succession_.commit(session, commit);
+        if (persistent_state_) persistent_state_->commit(session, commit);
+        process_handover_.commit(session, commit);
     });
     started_ = clock_.now();
-    if (succession_.ask())
+    if (process_handover_.ask())
         enter(Phase::inheriting);
     else
         open_fronts();
@@ -184,18 +186,19 @@
 
 // An heir shows itself only with all that it needs: the listener, the sessions' positions, the list.
 bool Lifecycle::may_open_fronts() const {
-    return !succession_.inheriting() && (catalog_->told() || clock_.now() >= started_ + kListWait);
+    return !process_handover_.inheriting() &&
+           (discovery_client_->told() || clock_.now() >= started_ + kListWait);
 }
 
 void Lifecycle::open_fronts() {
     auto unread =
         std::size_t(double(config_.memory_mb) * kUnreadShare * 1048576) / (rest_clients_ > 0 ? 2 : 1);
-    auto where = [&](const transport::Endpoint& at, const char* front) {
+    auto where = [&](const transport::SocketAddress& at, const char* front) {
         return transport::ListenAt(at, true, inherited_[front].release());
     };
     auto pg_front =
         std::make_unique<adapters::PgFront>(io_, where(config_.listen, "pg"), clients_, config_.classes,
-                                            adapters::PgOptions{}, intake(), log_, statements_.get());
+                                            adapters::PgOptions{}, admission(), log_, statements_.get());
     pg_front->limit_bytes(unread);
     pg_front->limit_long(std::size_t(double(config_.memory_mb) * kLongShare * 1048576));
     pg_front->limit_served(std::size_t(double(config_.sockets) * kServedShare));
@@ -204,8 +207,9 @@
         adapters::RestOptions options;
         options.page_size = config_.rest.page_size;
         options.page_size_most = config_.rest.page_size_most;
-        auto front = std::make_unique<adapters::RestFront>(
-            io_, where(config_.rest.listen, "rest"), rest_clients_, config_.classes, options, intake(), log_);
+        auto front =
+            std::make_unique<adapters::RestFront>(io_, where(config_.rest.listen, "rest"), rest_clients_,
+                                                  config_.classes, options, admission(), log_);
         front->limit_bytes(unread);
         fronts_.push_back(std::move(front));
     }
@@ -216,9 +220,9 @@
     }
     enter(Phase::serving);
     try {
-        succession_.announce();
+        process_handover_.announce();
     } catch (const std::exception& error) {  // serving does not depend on it
-        log_.log(Level::warning, "succession", error.what(), {});
+        log_.log(Level::warning, "handover", error.what(), {});
     }
 }
 
@@ -228,9 +232,9 @@
         io_.run_one();
         io_.poll();
         core_->run_batch();
-        if (keeper_) keeper_->carry();
+        if (persistent_state_) persistent_state_->carry();
         if (phase_ == Phase::inheriting && may_open_fronts()) open_fronts();
-        if (phase_ == Phase::reloading && catalog_->told()) enter(Phase::serving);
+        if (phase_ == Phase::reloading && discovery_client_->told()) enter(Phase::serving);
         if (phase_ == Phase::handing_over) hand_over();
         if (phase_ == Phase::draining) check_drained();
         if (io_.stopped()) io_.restart();
@@ -260,8 +264,8 @@
         Config fresh = reread_();
         check_complete(fresh, config_);
         retune(fresh);
-        catalog_->set_zones(fresh.zones);
-        catalog_->move_to(fresh.discovery);
+        discovery_client_->set_zones(fresh.zones);
+        discovery_client_->move_to(fresh.discovery);
         log_.log(Level::notice, "reload", "the configuration has been read again",
                  {{"discovery",
                    fresh.discovery.address().to_string() + ":" + std::to_string(fresh.discovery.port())},
@@ -274,7 +278,7 @@
         log_.log(Level::error, "reload", error.what(), {{"kept", "the old configuration"}});
         return;
     }
-    if (phase_ == Phase::serving && !catalog_->told()) enter(Phase::reloading);
+    if (phase_ == Phase::serving && !discovery_client_->told()) enter(Phase::reloading);
 }
 
 void Lifecycle::retune(const Config& fresh) {
@@ -319,11 +323,11 @@
 // Two processes of one pooler have together what one may have in flight.
 limits::Settings Lifecycle::shared_limits() const {
     limits::Settings limits = config_.statements->limits;
-    if (succession_.company()) limits.work /= 2;
+    if (process_handover_.company()) limits.work /= 2;
     return limits;
 }
 
-routing::Intake& Lifecycle::intake() {
+routing::RequestAdmission& Lifecycle::admission() {
     if (limited_) return *limited_;
     return *core_;
 }
@@ -331,41 +335,42 @@
 // Before anything is served: a store that can't be used ends the start, rather than have operators believe in
 // it.
 void Lifecycle::open_store() {
-    keeper_ = std::make_unique<StoreKeeper>(io_, clock_, *config_.store, scratch_folder(), config_.name,
-                                            *core_, log_);
-    keeper_->open(true);
+    persistent_state_ = std::make_unique<PersistentState>(io_, clock_, *config_.store, scratch_folder(),
+                                                          config_.name, *core_, log_);
+    persistent_state_->open(true);
     core_->on_write([this](std::uint64_t session, bool begins) {
-        begins ? keeper_->begun(session) : keeper_->ended(session);
+        begins ? persistent_state_->begun(session) : persistent_state_->ended(session);
     });
     // What the machine has lost, the store still has.
-    if (!taken_out_.stored())
-        for (const std::string& uid : keeper_->taken_out()) taken_out_.change(uid, true);
+    if (!excluded_endpoints_.stored())
+        for (const std::string& uid : persistent_state_->excluded_endpoints())
+            excluded_endpoints_.change(uid, true);
 }
 
 // Other poolers are told of a group's new primary, and what they tell is worth a probe here. Serving does not
 // depend on it.
 void Lifecycle::open_peers() {
-    auto udp = [](const transport::Endpoint& at) {
+    auto udp = [](const transport::SocketAddress& at) {
         return boost::asio::ip::udp::endpoint(at.address(), at.port());
     };
     auto millis = [](limits::Duration d) { return std::chrono::duration_cast<milliseconds>(d); };
     adapters::PeerOptions options;
     options.listen = udp(*config_.peer_listen);
-    for (const transport::Endpoint& at : config_.peers) options.peers.push_back(udp(at));
+    for (const transport::SocketAddress& at : config_.peers) options.peers.push_back(udp(at));
     options.cluster = protocol::peer::cluster_number(config_.peering->cluster);
     options.incarnation = std::uint64_t(clock_.to_unix(clock_.now()));  // no start is at another's instant
     options.again = millis(config_.peering->again), options.gather = millis(config_.peering->gather);
     try {
         peers_ = std::make_unique<adapters::PeerLink>(io_, options, [this](const protocol::peer::Primary& p) {
-            bool known = core_->hear_primary(p.uid, p.group, p.as_of_unix_us);
+            bool known = core_->on_primary_gossip(p.uid, p.group, p.as_of_unix_us);
             log_.log(Level::info, "peers", known ? "heard of a primary" : "heard of nothing that counts here",
-                     {{"member", p.uid}, {"group", std::to_string(p.group)}});
+                     {{"endpoint", p.uid}, {"group", std::to_string(p.group)}});
         });
     } catch (const std::exception& error) {
         log_.log(Level::error, "peers", error.what(), {{"without", "goes on alone"}});
         return;
     }
-    core_->on_primary([this](const MemberInfo& m, Time as_of) {
+    core_->on_primary([this](const EndpointInfo& m, Time as_of) {
         peers_->tell({m.group, clock_.to_unix(as_of), m.uid});
     });
     log_.log(Level::notice, "peers", "poolers tell each other of primaries",
@@ -376,28 +381,28 @@
 
 void Lifecycle::keep_list(std::int64_t revision) {
     nlohmann::json targets = nlohmann::json::array();
-    for (const MemberInfo& m : core_->listed()) {
+    for (const EndpointInfo& m : core_->listed()) {
         nlohmann::json t{
-            {"uid", m.uid}, {"endpoint", m.endpoint}, {"pod_group", m.group}, {"boot_ms", m.boot_unix_ms}};
-        t["state"] = m.state == starlingpond::MemberState::ready ? "ready" : "draining";
+            {"uid", m.uid}, {"endpoint", m.address}, {"pod_group", m.group}, {"boot_ms", m.boot_unix_ms}};
+        t["state"] = m.state == policy::EndpointState::ready ? "ready" : "draining";
         t["recovery"] = m.primary ? "off" : "on";
         if (m.zone < config_.zones.size()) t["az"] = config_.zones[m.zone];
         targets.push_back(std::move(t));
     }
     nlohmann::json list{{"rev", revision}, {"all", true}, {"targets", std::move(targets)}};
-    keeper_->list(list.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace), revision);
+    persistent_state_->list(list.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace), revision);
 }
 
-void Lifecycle::watch_taken_out() {
-    taken_out_timer_.expires_after(kTakenOutEvery);
-    taken_out_timer_.async_wait([this](const boost::system::error_code& ec) {
+void Lifecycle::watch_excluded_endpoints() {
+    excluded_endpoints_timer_.expires_after(kExcludedEndpointsEvery);
+    excluded_endpoints_timer_.async_wait([this](const boost::system::error_code& ec) {
         if (ec) return;
-        if (taken_out_.refresh()) core_->lay_over(taken_out_.uids());
-        if (keeper_ && limited_ && clock_.now() >= shapes_kept_ + kKeepShapesEvery) {
+        if (excluded_endpoints_.refresh()) core_->set_excluded(excluded_endpoints_.uids());
+        if (persistent_state_ && limited_ && clock_.now() >= shapes_kept_ + kKeepShapesEvery) {
             shapes_kept_ = clock_.now();
-            keeper_->shapes(limited_->limiter().priors(kShapesKept));
+            persistent_state_->shapes(limited_->limiter().priors(kShapesKept));
         }
-        watch_taken_out();
+        watch_excluded_endpoints();
     });
 }
 
@@ -410,21 +415,22 @@
 
 Lifecycle::Reply Lifecycle::set_out(const std::string& uid, bool out) {
     try {
-        taken_out_.refresh();
+        excluded_endpoints_.refresh();
         // One that has left the list may still be put back: it was taken out under this id.
-        if (!core_->knows(uid) && !taken_out_.uids().count(uid)) return {false, "no host has this id"};
-        taken_out_.change(uid, out);
+        if (!core_->knows(uid) && !excluded_endpoints_.uids().count(uid))
+            return {false, "no host has this id"};
+        excluded_endpoints_.change(uid, out);
     } catch (const std::exception& error) {
         return {false, error.what()};
     }
-    core_->lay_over(taken_out_.uids());
+    core_->set_excluded(excluded_endpoints_.uids());
     Reply reply{true, out ? "taken out" : "in use", {}};
-    if (keeper_ && keeper_->is_open())
+    if (persistent_state_ && persistent_state_->is_open())
         reply.later = [this, text = reply.text](std::function<void(std::string)> answer) {
-            keeper_->hosts(taken_out_.uids(), core_->put_back(),
-                           [text, answer = std::move(answer)](bool on_disk) {
-                               answer(on_disk ? text : text + " (not on disk: see the log)");
-                           });
+            persistent_state_->hosts(excluded_endpoints_.uids(), core_->put_back(),
+                                     [text, answer = std::move(answer)](bool on_disk) {
+                                         answer(on_disk ? text : text + " (not on disk: see the log)");
+                                     });
         };
     return reply;
 }
@@ -437,7 +443,7 @@
     if (!on) {
         timer_.cancel();
         for (auto& front : fronts_) front->welcome();
-        enter(catalog_->told() ? Phase::serving : Phase::reloading);
+        enter(discovery_client_->told() ? Phase::serving : Phase::reloading);
         return {true, name(phase_)};
     }
     for (auto& front : fronts_) front->refuse_checks();
@@ -455,7 +461,7 @@
     if (!limited_) return {false, "limits by cost are off"};
     auto text = [](const limits::ShapeId& id) {
         std::string out = statement::Shape{id.high, id.low}.hex();
-        using Verb = Item::Verb;
+        using Verb = ClientRequest::Verb;
         for (auto [verb, name] :
              {std::pair{Verb::lookup, "lookup"}, {Verb::write, "write"}, {Verb::page, "page"}})
             if (statement::Shape known = adapters::fixed_shape(verb);
@@ -472,7 +478,7 @@
         const auto* known = statements_->known({line.shape.high, line.shape.low});
         o["text"] = known ? known->text : form;
         o["kind"] = known ? statement::name(known->kind) : "";
-        o["class"] = known ? known->cls : "";
+        o["class"] = known ? known->request_class : "";
         o["work_ms"] = line.work.count() / 1000;
         o["mean_ms"] = double(line.view.mean.count()) / 1000;
         o["p95_ms"] = double(line.view.tail.count()) / 1000;
@@ -487,7 +493,7 @@
 Lifecycle::Reply Lifecycle::site_status() {
     if (!core_->sites()) return Operations::site_status();
     return {true,
-            status_json(core_->sites()->director(), config_.zones, SiteShell::time(clock_.now())).dump(),
+            status_json(core_->sites()->manager(), config_.zones, SiteController::time(clock_.now())).dump(),
             {}};
 }
 
@@ -496,10 +502,10 @@
     if (!core_->sites()) return Operations::site_plan(name);
     auto zone = zone_number(config_.zones, name);
     if (!zone) return {false, "no zone has this name", {}};
-    const site::Director& director = core_->sites()->director();
+    const site::SiteManager& manager = core_->sites()->manager();
     site::Plan plan =
-        site::make_plan(director.plan_input({site::SiteId{*zone}}, SiteShell::time(clock_.now())));
-    auto uid = [&](site::HostId id) { return core_->uid(MemberId(std::uint32_t(id))); };
+        site::make_plan(manager.plan_input({site::SiteId{*zone}}, SiteController::time(clock_.now())));
+    auto uid = [&](site::HostId id) { return core_->uid(EndpointId(std::uint32_t(id))); };
     return {
         true,
         plan_json(plan, config_.zones, uid).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace),
@@ -526,40 +532,41 @@
     inherited_[front] = std::move(socket);
 }
 
-void Lifecycle::inherit_client(const std::string& name, ClientParcel parcel) {
+void Lifecycle::inherit_client(const std::string& name, ClientHandover handover) {
     for (auto& front : fronts_)
-        if (front->name() == name) return front->take_over(std::move(parcel));
-    transport::Descriptor nobody_takes_it(parcel.socket);
+        if (front->name() == name) return front->take_over(std::move(handover));
+    transport::Descriptor nobody_takes_it(handover.socket);
 }
 
 // Two processes count as one pooler: each has half of what it may hold while there are two.
 void Lifecycle::on_company() {
-    std::size_t parts = succession_.company() ? 2 : 1;
+    std::size_t parts = process_handover_.company() ? 2 : 1;
     core_->limit(limits_.links / parts, limits_.bytes / parts);
     if (limited_) limited_->set(shared_limits());
-    log_.log(Level::notice, "succession",
+    log_.log(Level::notice, "handover",
              parts == 2 ? "another process serves as well" : "this process serves alone", {});
     if (parts == 1 && phase_ == Phase::handing_over) begin_drain();  // the heir is gone
 }
 
 // Only once told to stop: until then an heir may still be given up.
-void Lifecycle::on_heir_ready() {
+void Lifecycle::on_successor_ready() {
     if (phase_ != Phase::lingering) return;
     timer_.cancel();
     bound_drain();
     for (auto& front : fronts_) front->stop_accepting();
     // The heir can open it from now on. What is still acknowledged here is told to the heir, which writes it
     // down.
-    if (keeper_) keeper_->close();
+    if (persistent_state_) persistent_state_->close();
     enter(Phase::handing_over);
 }
 
 void Lifecycle::hand_over() {
     for (auto& front : fronts_)
-        handed_ += front->hand_over([&](ClientParcel p) { succession_.give(front->name(), std::move(p)); });
+        handed_ +=
+            front->hand_over([&](ClientHandover p) { process_handover_.give(front->name(), std::move(p)); });
     check_drained();
     if (phase_ == Phase::stopped)
-        log_.log(Level::notice, "succession", "clients' connections went to the other process",
+        log_.log(Level::notice, "handover", "clients' connections went to the other process",
                  {{"count", std::to_string(handed_)}});
 }
 
@@ -571,7 +578,7 @@
         return;
     if (phase_ == Phase::inheriting) return enter(Phase::stopped);
     enter(Phase::lingering);
-    if (succession_.heir_ready()) return on_heir_ready();
+    if (process_handover_.successor_ready()) return on_successor_ready();
     timer_.expires_after(kLinger);
     timer_.async_wait([this](const boost::system::error_code& ec) {
         if (!ec && phase_ == Phase::lingering) begin_drain();
@@ -598,11 +605,11 @@
 void Lifecycle::check_drained() {
     bool empty = core_->idle() && (!limited_ || limited_->idle());
     for (auto& front : fronts_) empty = empty && front->connections() == 0 && front->lingering() == 0;
-    if (phase_ == Phase::handing_over) empty = empty && succession_.all_sent();
+    if (phase_ == Phase::handing_over) empty = empty && process_handover_.all_sent();
     Time now = clock_.now();
     if (now >= drain_until_ && !core_->idle()) core_->finish_all();
     if (empty || now >= drain_until_ + kLastWords) {
-        if (keeper_ && keeper_->is_open()) keeper_->close();
+        if (persistent_state_ && persistent_state_->is_open()) persistent_state_->close();
         enter(Phase::stopped);
         return;
     }
--- a/src/program/lifecycle.hpp
+++ b/src/program/lifecycle.hpp
@@ -9,16 +9,16 @@
 #include <vector>
 
 #include "adapters/control_front.hpp"
-#include "adapters/limited_intake.hpp"
+#include "adapters/limited_admission.hpp"
 #include "adapters/peer_link.hpp"
 #include "adapters/statements.hpp"
 #include "adapters/syslog_sink.hpp"
 #include "program/config.hpp"
+#include "program/excluded_endpoints.hpp"
 #include "program/log.hpp"
-#include "program/store_keeper.hpp"
-#include "program/succession.hpp"
-#include "program/taken_out.hpp"
-#include "routing/catalog.hpp"
+#include "program/persistent_state.hpp"
+#include "program/process_handover.hpp"
+#include "routing/discovery_client.hpp"
 #include "routing/loop_core.hpp"
 
 namespace indigovane::program {
@@ -37,7 +37,7 @@
 };
 const char* name(Phase phase);
 
-class Lifecycle : private adapters::Operations, private Succession::Estate {
+class Lifecycle : private adapters::Operations, private ProcessHandover::HandoverOwner {
   public:
     // `reread` reads the configuration again, as it is by then; it throws ConfigError where it is bad.
     Lifecycle(const Config& config, std::function<Config()> reread, Log& log);
@@ -56,9 +56,9 @@
     void retune(const Config& fresh);
     void retune_statements(const Config& fresh);
     limits::Settings shared_limits() const;
-    routing::Intake& intake();
+    routing::RequestAdmission& admission();
     void check_drained();
-    void watch_taken_out();
+    void watch_excluded_endpoints();
     void open_store();
     void open_peers();
     void keep_list(std::int64_t revision);
@@ -69,17 +69,17 @@
     void bound_drain();
 
     std::vector<std::pair<std::string, int>> listening_sockets() override;
-    starlingpond::Tokens tokens() override { return core_->tokens(); }
+    policy::SessionTokens tokens() override { return core_->tokens(); }
     std::map<std::string, Time> put_back() override { return core_->put_back(); }
     void inherit_socket(const std::string& front, transport::Descriptor socket) override;
-    void inherit_tokens(starlingpond::Tokens tokens) override {
-        if (keeper_) keeper_->inherit(tokens);
+    void inherit_tokens(policy::SessionTokens tokens) override {
+        if (persistent_state_) persistent_state_->inherit(tokens);
         core_->take_over(std::move(tokens));
     }
     void inherit_put_back(const std::string& uid, Time at) override { core_->take_over_put_back(uid, at); }
-    void inherit_client(const std::string& front, routing::ClientParcel parcel) override;
+    void inherit_client(const std::string& front, routing::ClientHandover handover) override;
     void on_company() override;
-    void on_heir_ready() override;
+    void on_successor_ready() override;
 
     Reply check() override;
     Reply set_down(const std::string& uid) override { return set_out(uid, true); }
@@ -100,21 +100,21 @@
     std::unique_ptr<adapters::SyslogSink> syslog_;
     std::unique_ptr<routing::Backend> backend_;
     std::unique_ptr<routing::Core> core_;
-    std::unique_ptr<routing::Catalog> catalog_;
-    std::unique_ptr<StoreKeeper> keeper_;               // none: nothing outlasts the process
-    std::unique_ptr<adapters::Statements> statements_;  // none: off
-    std::unique_ptr<adapters::LimitedIntake> limited_;  // none: no limits by cost
+    std::unique_ptr<routing::DiscoveryClient> discovery_client_;
+    std::unique_ptr<PersistentState> persistent_state_;    // none: nothing outlasts the process
+    std::unique_ptr<adapters::Statements> statements_;     // none: off
+    std::unique_ptr<adapters::LimitedAdmission> limited_;  // none: no limits by cost
     std::vector<std::unique_ptr<routing::Front>> fronts_;
     std::unique_ptr<adapters::ControlFront> control_;
     std::unique_ptr<adapters::PeerLink> peers_;  // none: off
-    TakenOut taken_out_;
-    Succession succession_;
+    ExcludedEndpoints excluded_endpoints_;
+    ProcessHandover process_handover_;
     std::map<std::string, transport::Descriptor> inherited_;  // listening sockets, by front
     routing::CoreLimits limits_;
     std::size_t clients_ = 0, rest_clients_ = 0, handed_ = 0;
     Time started_{}, shapes_kept_{};
     boost::asio::signal_set stop_signals_, reload_signals_;
-    boost::asio::steady_timer timer_, taken_out_timer_;
+    boost::asio::steady_timer timer_, excluded_endpoints_timer_;
     routing::Time drain_until_{};
     bool checking_ = false;  // a look at what is left is due
 };
--- a/src/program/log_output.cpp
+++ b/src/program/log_output.cpp
@@ -8,7 +8,7 @@
 
 namespace indigovane::program {
 
-bool LogOutput::has_room() const {
+bool LogOutput::has_capacity() const {
     pollfd p{descriptor_, POLLOUT, 0};
     int ready = ::poll(&p, 1, 0);
     if (ready < 0) return errno == EINTR;  // interrupted: the write itself tells
@@ -20,7 +20,7 @@
     bytes += '\n';
     std::size_t written = 0;
     while (written < bytes.size()) {
-        if (!has_room()) return false;
+        if (!has_capacity()) return false;
         ssize_t count = ::write(descriptor_, bytes.data() + written, bytes.size() - written);
         if (count < 0 && errno == EINTR) continue;
         if (count <= 0) return false;
--- a/src/program/log_output.hpp
+++ b/src/program/log_output.hpp
@@ -19,7 +19,7 @@
     static constexpr std::size_t kLongest = 4096;
 
   private:
-    bool has_room() const;
+    bool has_capacity() const;
 
     int descriptor_;
 };
--- a/src/program/store_keeper.cpp
+++ b/src/program/persistent_state.cpp
@@ -1,4 +1,4 @@
-#include "program/store_keeper.hpp"
+#include "program/persistent_state.hpp"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -12,7 +12,7 @@
 namespace indigovane::program {
 
 using namespace routing;
-using starlingpond::Tokens;
+using policy::SessionTokens;
 using store::Durability;
 using store::Space;
 using store::Witness;
@@ -30,8 +30,8 @@
 }
 }  // namespace
 
-StoreKeeper::StoreKeeper(boost::asio::io_context& io, const Clock& clock, StoreConfig config,
-                         std::string scratch, const std::string& name, Core& core, Logger& logger)
+PersistentState::PersistentState(boost::asio::io_context& io, const Clock& clock, StoreConfig config,
+                                 std::string scratch, const std::string& name, Core& core, Logger& logger)
     : io_(io),
       clock_(clock),
       config_(std::move(config)),
@@ -40,9 +40,9 @@
       logger_(logger),
       timer_(io) {}
 
-StoreKeeper::~StoreKeeper() = default;
+PersistentState::~PersistentState() = default;
 
-Witness StoreKeeper::read_witness() const {
+Witness PersistentState::read_witness() const {
     if (witness_path_.empty())
         return Witness::lapsed;  // nowhere to keep one: nothing proves that there was none
     std::ifstream in(witness_path_);
@@ -53,7 +53,7 @@
 }
 
 // In place, with one small write: a memory-backed file, so this is no disk's time.
-bool StoreKeeper::keep_witness(Witness witness) {
+bool PersistentState::keep_witness(Witness witness) {
     if (witness_path_.empty()) return false;
     if (witness == Witness::none) return ::unlink(witness_path_.c_str()) == 0 || errno == ENOENT;
     int fd = ::open(witness_path_.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
@@ -64,23 +64,23 @@
     return well;
 }
 
-void StoreKeeper::open(bool wait) {
+void PersistentState::open(bool wait) {
     if (config_.in_memory)
         logger_.log(Level::warning, "store", "the folder is in memory: nothing there outlasts the machine",
                     {});
     try_open(!wait);
 }
 
-void StoreKeeper::try_open(bool must) {
+void PersistentState::try_open(bool must) {
     std::unique_ptr<store::Environment> environment;
     store::Recovered found;
     std::string why;
-    if (store::Status s = store::open_folder(config_.folder, environment); !s.ok())
+    if (store::IoStatus s = store::open_folder(config_.folder, environment); !s.ok())
         throw FileError(config_.folder + ": " + s.text());
     store::OpenOptions options;
-    options.carrier.writer.segment = config_.segment;
-    options.carrier.budget = config_.budget;
-    options.carrier.compact_per_second = config_.compact_per_second;
+    options.log_worker.writer.segment = config_.segment;
+    options.log_worker.budget = config_.budget;
+    options.log_worker.compact_per_second = config_.compact_per_second;
     options.sync_interval_us = std::uint64_t(config_.sync_interval.count());
     options.salvage = config_.salvage;
     std::random_device random;
@@ -110,7 +110,7 @@
     });
 }
 
-void StoreKeeper::begin(store::Recovered& found) {
+void PersistentState::begin(store::Recovered& found) {
     store::Positions::Options options;
     options.retention_us = std::uint64_t(config_.retention.count());
     options.lease_us = std::uint64_t(config_.lease.count());
@@ -119,11 +119,10 @@
     bool salvaged = found.salvaged;
     bool recovered = found.outcome != store::Recovered::Outcome::fresh;
     auto start = positions_->start(recovered, salvaged, read_witness(), boot_id(), now_us());
-    Tokens tokens;
+    SessionTokens tokens;
     tokens.floor = clock_.from_unix(std::int64_t(start.floor.floor_us));
     for (auto [session, commit] : start.commits)
-        tokens.commits.emplace_back(starlingpond::SessionKey{session},
-                                    clock_.from_unix(std::int64_t(commit)));
+        tokens.commits.emplace_back(policy::SessionKey{session}, clock_.from_unix(std::int64_t(commit)));
     core_.take_over(std::move(tokens));
     logger_.log(Level::notice, "store", start.floor.why,
                 {{"records", std::to_string(found.records)},
@@ -132,13 +131,13 @@
                  {"floor_ms_ago",
                   std::to_string((std::int64_t(now_us()) - std::int64_t(start.floor.floor_us)) / 1000)}});
     // What this process has heard while another had the store.
-    Tokens before = std::exchange(inherited_, {});
+    SessionTokens before = std::exchange(inherited_, {});
     inherit(before);
     carry();
     watch();
 }
 
-void StoreKeeper::watch() {
+void PersistentState::watch() {
     timer_.expires_after(kTick);
     timer_.async_wait([this](const boost::system::error_code& ec) {
         if (ec || !thread_) return;
@@ -149,14 +148,14 @@
     });
 }
 
-void StoreKeeper::carry() {
+void PersistentState::carry() {
     if (!thread_) return;
     for (const std::string& line : thread_->poll()) logger_.log(Level::warning, "store", line, {});
     thread_->flush();
     tell();
 }
 
-void StoreKeeper::tell() {
+void PersistentState::tell() {
     auto due = std::exchange(waiting_, {});
     for (auto& [ticket, then] : due)
         if (thread_ && thread_->store().durable() >= ticket)
@@ -167,7 +166,7 @@
             waiting_.emplace_back(ticket, std::move(then));
 }
 
-void StoreKeeper::close() {
+void PersistentState::close() {
     closed_ = true;
     timer_.cancel();
     if (!thread_) return;
@@ -183,24 +182,24 @@
     tell();
 }
 
-void StoreKeeper::commit(std::uint64_t session, Time at) {
+void PersistentState::commit(std::uint64_t session, Time at) {
     auto us = std::uint64_t(std::max<std::int64_t>(0, clock_.to_unix(at)));
     if (positions_ && thread_) {
         positions_->committed(session, us, now_us());
     } else if (closed_) {
         keep_witness(Witness::lapsed);  // the heir is told, writes it down, and lowers the witness then
     } else {
-        inherited_.commits.emplace_back(starlingpond::SessionKey{session}, at);
+        inherited_.commits.emplace_back(policy::SessionKey{session}, at);
     }
 }
-void StoreKeeper::begun(std::uint64_t session) {
+void PersistentState::begun(std::uint64_t session) {
     if (thread_) positions_->begun(session, now_us());
 }
-void StoreKeeper::ended(std::uint64_t session) {
+void PersistentState::ended(std::uint64_t session) {
     if (thread_) positions_->ended(session, now_us());
 }
 
-void StoreKeeper::inherit(const Tokens& tokens) {
+void PersistentState::inherit(const SessionTokens& tokens) {
     if (!thread_) {
         inherited_.commits.insert(inherited_.commits.end(), tokens.commits.begin(), tokens.commits.end());
         inherited_.floor = std::max(inherited_.floor, tokens.floor);
@@ -212,15 +211,15 @@
                               std::uint64_t(std::max<std::int64_t>(0, clock_.to_unix(at))), now_us());
 }
 
-void StoreKeeper::hosts(const std::set<std::string>& taken_out, const std::map<std::string, Time>& put_back,
-                        std::function<void(bool)> then) {
+void PersistentState::hosts(const std::set<std::string>& excluded_endpoints,
+                            const std::map<std::string, Time>& put_back, std::function<void(bool)> then) {
     if (!thread_) {
         if (then) then(false);
         return;
     }
     store::Store& s = thread_->store();
     std::map<std::string, std::string> wanted, have;
-    for (const std::string& uid : taken_out) wanted[uid] = "out";
+    for (const std::string& uid : excluded_endpoints) wanted[uid] = "out";
     for (auto& [uid, at] : put_back)
         if (!wanted.count(uid)) wanted[uid] = "back " + std::to_string(clock_.to_unix(at));
     s.each(Space::hosts, [&](const std::string& uid, const std::string& value) { have[uid] = value; });
@@ -237,7 +236,7 @@
 
 // As text, so that a dump can be read: mean, baseline, outcomes, when. Old knowledge misleads more than none:
 // an hour.
-void StoreKeeper::shapes(const std::vector<limits::CostModel::Prior>& priors) {
+void PersistentState::shapes(const std::vector<limits::CostModel::Prior>& priors) {
     if (!thread_) return;
     std::uint64_t now = now_us() / 1000;
     for (const auto& p : priors) {
@@ -252,7 +251,7 @@
     thread_->flush();
 }
 
-std::vector<limits::CostModel::Prior> StoreKeeper::shapes() const {
+std::vector<limits::CostModel::Prior> PersistentState::shapes() const {
     std::vector<limits::CostModel::Prior> out;
     if (!thread_) return out;
     std::uint64_t now = now_us() / 1000;
@@ -268,7 +267,7 @@
     return out;
 }
 
-std::set<std::string> StoreKeeper::taken_out() const {
+std::set<std::string> PersistentState::excluded_endpoints() const {
     std::set<std::string> out;
     if (thread_)
         thread_->store().each(Space::hosts, [&](const std::string& uid, const std::string& value) {
@@ -277,14 +276,14 @@
     return out;
 }
 
-void StoreKeeper::list(const std::string& members, std::int64_t revision) {
+void PersistentState::list(const std::string& members, std::int64_t revision) {
     if (!thread_ || members.size() > store::kValueMost - 64) return;
     nlohmann::json o{{"revision", revision}, {"told_ms", now_us() / 1000}, {"members", members}};
     thread_->store().put(Space::list, "members", o.dump());
     thread_->flush();
 }
 
-std::optional<std::string> StoreKeeper::last_list(std::int64_t revision) const {
+std::optional<std::string> PersistentState::last_list(std::int64_t revision) const {
     if (!thread_) return std::nullopt;
     auto text = thread_->store().get(Space::list, "members");
     if (!text) return std::nullopt;
--- a/src/program/store_keeper.hpp
+++ b/src/program/persistent_state.hpp
@@ -16,12 +16,13 @@
 
 namespace indigovane::program {
 
-class StoreKeeper {
+class PersistentState {
   public:
     // `scratch`: memory-backed, for the witness; it outlasts the process, not the machine.
-    StoreKeeper(boost::asio::io_context& io, const routing::Clock& clock, StoreConfig config,
-                std::string scratch, const std::string& name, routing::Core& core, routing::Logger& logger);
-    ~StoreKeeper();
+    PersistentState(boost::asio::io_context& io, const routing::Clock& clock, StoreConfig config,
+                    std::string scratch, const std::string& name, routing::Core& core,
+                    routing::Logger& logger);
+    ~PersistentState();
 
     // `wait`: another process may have it open still: it is tried again until it has not. Throws FileError
     // where it can't be used for another reason.
@@ -34,18 +35,18 @@
     void begun(std::uint64_t session);
     void ended(std::uint64_t session);
     // What another process has written that goes on here.
-    void inherit(const starlingpond::Tokens& tokens);
+    void inherit(const policy::SessionTokens& tokens);
     // Strict: `then` is called once it is on disk (true), or can't be for now (false); at once where nothing
     // changes.
-    void hosts(const std::set<std::string>& taken_out, const std::map<std::string, routing::Time>& put_back,
-               std::function<void(bool)> then = {});
+    void hosts(const std::set<std::string>& excluded_endpoints,
+               const std::map<std::string, routing::Time>& put_back, std::function<void(bool)> then = {});
     void list(const std::string& members, std::int64_t revision);
     void shapes(const std::vector<limits::CostModel::Prior>& priors);
     // From the last process: costs of shapes, no older than an hour;
     std::vector<limits::CostModel::Prior> shapes() const;
     // hosts taken out, and the list as it was last told, if it is newer than
     // `revision`.
-    std::set<std::string> taken_out() const;
+    std::set<std::string> excluded_endpoints() const;
     std::optional<std::string> last_list(std::int64_t revision) const;
 
   private:
@@ -67,7 +68,7 @@
     std::unique_ptr<store::Positions> positions_;
     boost::asio::steady_timer timer_;
     std::vector<std::pair<std::uint64_t, std::function<void(bool)>>> waiting_;  // tickets
-    starlingpond::Tokens inherited_;                                            // until it is open
+    policy::SessionTokens inherited_;                                           // until it is open
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     bool closed_ = false;
 };
--- a/src/program/settings_log.cpp
+++ b/src/program/settings_log.cpp
@@ -2,10 +2,10 @@
 
 namespace indigovane::program {
 
-using starlingpond::ClassSettings;
-using starlingpond::Consistency;
-using starlingpond::Effect;
-using starlingpond::RepeatScope;
+using policy::ClassSettings;
+using policy::Consistency;
+using policy::DeduplicationScope;
+using policy::Idempotency;
 
 namespace {
 
@@ -25,32 +25,32 @@
     return "unknown";
 }
 
-const char* name_of(std::optional<Effect> effect) {
-    switch (effect.value_or(Effect::unsafe)) {
-        case Effect::safe:
+const char* name_of(std::optional<Idempotency> idempotency) {
+    switch (idempotency.value_or(Idempotency::not_idempotent)) {
+        case Idempotency::idempotent:
             return "safe";
-        case Effect::keyed:
+        case Idempotency::idempotency_key:
             return "keyed";
-        case Effect::unsafe:
+        case Idempotency::not_idempotent:
             return "unsafe";
     }
     return "unknown";
 }
 
-const char* name_of(std::optional<RepeatScope> scope) {
-    switch (scope.value_or(RepeatScope::group)) {
-        case RepeatScope::all:
+const char* name_of(std::optional<DeduplicationScope> scope) {
+    switch (scope.value_or(DeduplicationScope::group)) {
+        case DeduplicationScope::all:
             return "all";
-        case RepeatScope::zone:
+        case DeduplicationScope::zone:
             return "zone";
-        case RepeatScope::group:
+        case DeduplicationScope::group:
             return "group";
     }
     return "unknown";
 }
 
-std::string milliseconds(std::optional<starlingpond::Duration> d) {
-    return std::to_string(d.value_or(starlingpond::Duration::zero()).count() / 1000);
+std::string milliseconds(std::optional<policy::Duration> d) {
+    return std::to_string(d.value_or(policy::Duration::zero()).count() / 1000);
 }
 
 }  // namespace
@@ -60,11 +60,11 @@
         const ClassSettings& c = config.settings.classes.at(std::size_t(info.id));
         routing::Logger::Data data{{"class", info.name},
                                    {"consistency", name_of(c.consistency)},
-                                   {"effect", name_of(c.effect)},
+                                   {"effect", name_of(c.idempotency)},
                                    {"deadline_ms", milliseconds(c.deadline)}};
-        if (c.effect == Effect::keyed) {
-            data.push_back({"repeat_scope", name_of(c.repeat_scope)});
-            data.push_back({"repeat_window_ms", milliseconds(c.repeat_window)});
+        if (c.idempotency == Idempotency::idempotency_key) {
+            data.push_back({"repeat_scope", name_of(c.deduplication_scope)});
+            data.push_back({"repeat_window_ms", milliseconds(c.deduplication_window)});
         }
         logger.log(routing::Level::notice, "class", "settings in force", data);
     }
--- a/src/program/shapes_command.cpp
+++ b/src/program/shapes_command.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-ordered_json describe(const Judgement& j, const Rules& rules) {
+ordered_json describe(const StatementProfile& j, const Rules& rules) {
     ordered_json o;
     o["shape"] = j.shape.hex();
     o["kind"] = name(j.kind);
@@ -22,7 +22,7 @@
     o["reason"] = j.reason;
     o["cost"] = estimate_cost(j);
     o["class"] = nullptr;
-    if (j.cls >= 0) o["class"] = rules.classes()[std::size_t(j.cls)].name;
+    if (j.request_class >= 0) o["class"] = rules.classes()[std::size_t(j.request_class)].name;
     o["tables"] = j.tables;
     return o;
 }
@@ -31,7 +31,7 @@
     return o.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
-int classify(Judge& judge, bool null, std::istream& in, std::ostream& out) {
+int classify(StatementAnalyzer& judge, bool null, std::istream& in, std::ostream& out) {
     std::string sql;
     while (std::getline(in, sql, null ? '\0' : '\n')) {
         if (!null && !sql.empty() && sql.back() == '\r') sql.pop_back();
@@ -41,8 +41,8 @@
     return 0;
 }
 
-int explain(Judge& judge, const std::string& sql, std::ostream& out) {
-    const Judgement& j = judge.judge(sql, {});
+int explain(StatementAnalyzer& judge, const std::string& sql, std::ostream& out) {
+    const StatementProfile& j = judge.judge(sql, {});
     const Scanner& scanner = judge.scanner();
     out << "shape     " << j.shape.hex() << "\n"
         << "text      " << printable(scanner.text(), 2000) << "\n"
@@ -51,7 +51,9 @@
         << "route     " << name(j.route) << "\n"
         << "reason    " << j.reason << "\n"
         << "class     "
-        << (j.cls >= 0 ? judge.rules().classes()[std::size_t(j.cls)].name : "none by the rules") << "\n"
+        << (j.request_class >= 0 ? judge.rules().classes()[std::size_t(j.request_class)].name
+                                 : "none by the rules")
+        << "\n"
         << "cost      " << estimate_cost(j) << " us before it has ever run\n"
         << "tables   ";
     for (const std::string& t : j.tables) out << " " << t;
@@ -87,7 +89,7 @@
     if (values.count("rules")) config = read_statement_config(values["rules"].as<std::string>());
     // Here nobody waits: each statement is parsed, whatever their number.
     config.judge.parses_per_second = 1e18;
-    Judge judge(std::move(config.rules), config.judge);
+    StatementAnalyzer judge(std::move(config.rules), config.judge);
     return explains ? explain(judge, words[1], out) : classify(judge, values.count("null") > 0, in, out);
 }
 
--- a/src/program/site_command.cpp
+++ b/src/program/site_command.cpp
@@ -16,12 +16,12 @@
     site::PlanInput in;
     std::set<std::uint32_t> groups;
     for (std::size_t i = 0; i < config.known.members.size(); ++i) {
-        const routing::MemberInfo& m = config.known.members[i];
+        const routing::EndpointInfo& m = config.known.members[i];
         site::Host h;
         h.id = site::HostId{std::uint32_t(i)};
         h.site = site::SiteId{m.zone};
         h.group = site::GroupId{m.group};
-        h.ready = m.state == starlingpond::MemberState::ready;
+        h.ready = m.state == policy::EndpointState::ready;
         h.primary = m.primary;
         h.capacity = sites.cores;
         groups.insert(m.group);
@@ -29,13 +29,15 @@
     }
     std::vector<site::Demand> classes = site_classes(config);
     for (const SiteDemand& d : sites.demand) {
-        auto cls = std::find_if(classes.begin(), classes.end(), [&](auto& c) { return c.cls == d.cls; });
-        if (cls == classes.end()) throw FileError(path + ": [[demand]]: no class is named '" + d.cls + "'");
+        auto request_class = std::find_if(classes.begin(), classes.end(),
+                                          [&](auto& c) { return c.request_class == d.request_class; });
+        if (request_class == classes.end())
+            throw FileError(path + ": [[demand]]: no class is named '" + d.request_class + "'");
         if (d.group && !groups.count(*d.group))
             throw FileError(path + ": [[demand]]: no host belongs to group " + std::to_string(*d.group));
         for (std::uint32_t g : groups) {
             if (d.group && *d.group != g) continue;
-            site::Demand each = *cls;
+            site::Demand each = *request_class;
             each.group = site::GroupId{g};
             double part = d.group ? 1 : 1 / double(groups.size());
             each.rate = d.per_second * part;
--- a/src/program/site_config.cpp
+++ b/src/program/site_config.cpp
@@ -61,8 +61,8 @@
                             {"ceiling", &s.ceiling},
                             {"floor", &s.floor}})
         share(t, key, *out);
-    for (auto [key, out] : {std::pair{"hold_out", &s.hold_out},
-                            {"rescue", &s.rescue},
+    for (auto [key, out] : {std::pair{"hold_out", &s.exclude},
+                            {"rescue", &s.abandon_unresponsive},
                             {"ramp_probes", &s.ramp_probes},
                             {"shed", &s.shed},
                             {"budget", &s.budget},
@@ -102,7 +102,7 @@
         reader.one(root, "plan", [&](TomlReader::Table& t) { positive(t, "cores", c.cores); });
         reader.each(root, "demand", [&](TomlReader::Table& t) {
             SiteDemand d;
-            d.cls = t.name("class");
+            d.request_class = t.name("class");
             if (t.get("group")) {
                 std::uint32_t group = 0;
                 t.size<std::uint32_t>("group", group, 0, 1'000'000);
--- a/src/program/site_config.hpp
+++ b/src/program/site_config.hpp
@@ -11,7 +11,7 @@
 
 struct SiteDemand {
     std::optional<std::uint32_t> group;  // none: evenly over all
-    std::string cls;
+    std::string request_class;
     double per_second = 0;  // the sum of `tenants`, where those are told
     std::map<std::string, double> tenants;
     limits::Duration work{};
--- a/src/program/site_text.cpp
+++ b/src/program/site_text.cpp
@@ -48,7 +48,7 @@
 ordered_json plan_json(const site::Plan& plan, const std::vector<std::string>& zones,
                        const std::function<std::string(site::HostId)>& name) {
     ordered_json o;
-    o["worth_kept"] = plan.worth_asked > 0 ? rounded(plan.worth_kept / plan.worth_asked) : 1.0;
+    o["worth_kept"] = plan.weight_offered > 0 ? rounded(plan.weight_retained / plan.weight_offered) : 1.0;
     o["groups"] = ordered_json::array();
     for (const auto& [id, g] : plan.groups) {
         ordered_json j;
@@ -56,7 +56,7 @@
         j["primary_lost"] = g.primary_lost;
         j["moved"] = rounded(g.moved);
         j["refused"] = rounded(g.refused);
-        j["strain"] = rounded(g.strain);
+        j["strain"] = rounded(g.load_ratio);
         o["groups"].push_back(std::move(j));
     }
     o["refused"] = ordered_json::array();
@@ -64,7 +64,7 @@
         if (s.admit >= 1) continue;
         ordered_json j;
         j["rank"] = s.rank;
-        j["class"] = s.cls;
+        j["class"] = s.request_class;
         j["group"] = std::uint32_t(s.group);
         j["let_in"] = rounded(s.admit);
         for (const auto& [tenant, part] : s.tenants) j["tenants"][tenant] = rounded(part);
@@ -88,19 +88,19 @@
 std::string plan_text(const site::Plan& plan, const std::vector<std::string>& zones,
                       const std::function<std::string(site::HostId)>& name) {
     std::string out;
-    double kept = plan.worth_asked > 0 ? plan.worth_kept / plan.worth_asked : 1;
+    double kept = plan.weight_offered > 0 ? plan.weight_retained / plan.weight_offered : 1;
     out += line("worth kept        %.1f%%\n\n", kept * 100);
     out += "group  primary            work moved  work refused  a replica's load\n";
     for (const auto& [id, g] : plan.groups)
         out += line("%-6u %-18s %10.2f  %12.2f  %10.2f times\n", std::uint32_t(id),
-                    g.primary_lost ? "lost: waits" : "stays", g.moved, g.refused, g.strain);
+                    g.primary_lost ? "lost: waits" : "stays", g.moved, g.refused, g.load_ratio);
     out += "\nrefused, in this order\nrank   class                group  let in\n";
     bool any = false;
     for (const site::Share& s : plan.shares) {
         if (s.admit >= 1) continue;
         any = true;
-        out +=
-            line("%-6u %-20s %5u  %5.1f%%\n", s.rank, s.cls.c_str(), std::uint32_t(s.group), s.admit * 100);
+        out += line("%-6u %-20s %5u  %5.1f%%\n", s.rank, s.request_class.c_str(), std::uint32_t(s.group),
+                    s.admit * 100);
         for (const auto& [tenant, part] : s.tenants)
             out += line("         tenant %-24s %5.1f%%\n", tenant.c_str(), part * 100);
     }
@@ -115,18 +115,18 @@
     return out;
 }
 
-ordered_json status_json(const site::Director& director, const std::vector<std::string>& zones,
+ordered_json status_json(const site::SiteManager& manager, const std::vector<std::string>& zones,
                          site::Time now) {
     ordered_json o;
-    o["own_link_down"] = director.verdicts().uplink_down();
-    o["hosts_out"] = director.held_out();
-    o["refused"] = director.refused();
-    o["repeats_held_back"] = director.repeats_held_back();
+    o["own_link_down"] = manager.verdicts().uplink_down();
+    o["hosts_out"] = manager.site_excluded();
+    o["refused"] = manager.refused();
+    o["repeats_held_back"] = manager.repeats_held_back();
     o["sites"] = ordered_json::array();
-    for (site::SiteId id : director.evidence().sites()) {
-        const site::Verdict& v = director.verdicts().of(id);
+    for (site::SiteId id : manager.evidence().sites()) {
+        const site::SiteHealth& v = manager.verdicts().of(id);
         site::SiteEvidence e =
-            director.evidence().of(id, now, director.settings().fresh, director.patience());
+            manager.evidence().of(id, now, manager.settings().fresh, manager.response_timeout());
         ordered_json j;
         j["zone"] = zone_name(zones, id);
         j["is"] = site::name(v.standing);
--- a/src/program/site_text.hpp
+++ b/src/program/site_text.hpp
@@ -5,7 +5,7 @@
 
 #include "adapters/classes.hpp"
 #include "program/config.hpp"
-#include "site/director.hpp"
+#include "site/site_manager.hpp"
 
 namespace indigovane::program {
 
@@ -16,7 +16,7 @@
                                  const std::function<std::string(site::HostId)>& name);
 std::string plan_text(const site::Plan& plan, const std::vector<std::string>& zones,
                       const std::function<std::string(site::HostId)>& name);
-nlohmann::ordered_json status_json(const site::Director& director, const std::vector<std::string>& zones,
+nlohmann::ordered_json status_json(const site::SiteManager& manager, const std::vector<std::string>& zones,
                                    site::Time now);
 std::optional<std::uint32_t> zone_number(const std::vector<std::string>& zones, const std::string& name);
 
--- a/src/program/statement_rules.cpp
+++ b/src/program/statement_rules.cpp
@@ -90,7 +90,7 @@
         t.size<unsigned>("timeouts", l.timeouts, 1, 1000);
         t.duration("quarantine", l.quarantine);
         t.duration("quarantine_most", l.quarantine_most);
-        t.duration("longest_retry_after", l.longest_retry_after);
+        t.duration("longest_retry_after", l.max_retry_after);
         if (l.quarantine_most < l.quarantine)
             reader.wrong(t.raw().source(), "quarantine_most: shorter than quarantine");
     });
--- a/src/program/statement_rules.hpp
+++ b/src/program/statement_rules.hpp
@@ -8,14 +8,14 @@
 
 #include "limits/types.hpp"
 #include "program/units.hpp"
-#include "statement/judge.hpp"
+#include "statement/statement_analyzer.hpp"
 
 namespace indigovane::program {
 
 struct StatementConfig {
     bool open = false;  // any single statement passes at the PostgreSQL front, not the known forms alone
     statement::Rules rules;
-    statement::Judge::Options judge;
+    statement::StatementAnalyzer::Options judge;
     limits::Settings limits;
     // Where a statement's comment says nothing. Class names are the platform's.
     std::optional<std::uint32_t> group;
--- a/src/program/store_command.cpp
+++ b/src/program/store_command.cpp
@@ -7,7 +7,7 @@
 #include <nlohmann/json.hpp>
 #include <random>
 
-#include "store/carrier.hpp"
+#include "store/log_worker.hpp"
 #include "store/positions.hpp"
 
 namespace indigovane::program {
@@ -138,8 +138,8 @@
             if (FolderCheck check = check_folder(folder_); !check.status.ok())
                 return fail(check.status.text());
         }
-        if (Status s = open_folder(folder_, environment_); !s.ok()) return fail(s.text());
-        if (Status s = environment_->lock(lock_, make || writes); !s.ok())
+        if (IoStatus s = open_folder(folder_, environment_); !s.ok()) return fail(s.text());
+        if (IoStatus s = environment_->lock(lock_, make || writes); !s.ok())
             return fail(s.code == EWOULDBLOCK ? "another process has it open" : s.text());
         found_ = recover(*environment_, salvage_, [&](Record&& r, std::uint64_t sequence) {
             auto at = std::pair(r.space, r.key);
@@ -248,12 +248,12 @@
         tell();
         std::uint64_t before = found_.bytes;
         Writer writer(*environment_, {});
-        if (Status s = begin(writer, 0); !s.ok()) return fail(s.text()), 1;
-        if (Status s = writer.restart(found_.next_sequence); !s.ok()) return fail(s.text()), 1;
+        if (IoStatus s = begin(writer, 0); !s.ok()) return fail(s.text()), 1;
+        if (IoStatus s = writer.restart(found_.next_sequence); !s.ok()) return fail(s.text()), 1;
         std::vector<Record> records;
         for (auto& [at, line] : live_) records.push_back(line.record);
         if (!write(writer, std::move(records), found_.next_sequence)) return 1;
-        if (Status s = writer.switch_over(); !s.ok()) return fail(s.text()), 1;
+        if (IoStatus s = writer.switch_over(); !s.ok()) return fail(s.text()), 1;
         out_ << before << " bytes before, " << writer.bytes() << " after, " << live_.size() << " records\n";
         return 0;
     }
@@ -275,22 +275,22 @@
         tell();
         std::random_device random;
         Writer writer(*environment_, {});
-        if (Status s = begin(writer, std::uint64_t(random()) << 32 | random()); !s.ok())
+        if (IoStatus s = begin(writer, std::uint64_t(random()) << 32 | random()); !s.ok())
             return fail(s.text()), 1;
         std::size_t count = records.size();
         // A new generation of what was there and what comes: one or the other after a crash, never half.
         std::vector<Record> all;
         for (auto& [at, line] : live_) all.push_back(line.record);
         for (Record& r : records) all.push_back(std::move(r));
-        if (Status s = writer.restart(found_.next_sequence); !s.ok()) return fail(s.text()), 1;
+        if (IoStatus s = writer.restart(found_.next_sequence); !s.ok()) return fail(s.text()), 1;
         if (!write(writer, std::move(all), found_.next_sequence)) return 1;
-        if (Status s = writer.switch_over(); !s.ok()) return fail(s.text()), 1;
+        if (IoStatus s = writer.switch_over(); !s.ok()) return fail(s.text()), 1;
         out_ << count << " records loaded\n";
         return 0;
     }
 
   private:
-    Status begin(Writer& writer, std::uint64_t number) {
+    IoStatus begin(Writer& writer, std::uint64_t number) {
         return found_.salvaged ? writer.adopt(found_, number) : writer.begin(found_, number);
     }
     bool write(Writer& writer, std::vector<Record> records, std::uint64_t sequence) {
@@ -298,7 +298,7 @@
         std::size_t bytes = 0;
         auto flush = [&] {
             if (group.empty()) return true;
-            Status s = writer.write(group);
+            IoStatus s = writer.write(group);
             group.clear();
             bytes = 0;
             return s.ok() || fail(s.text());
--- a/src/program/toml_reader.hpp
+++ b/src/program/toml_reader.hpp
@@ -16,7 +16,7 @@
 #include <toml++/toml.h>
 
 #include "program/units.hpp"
-#include "statement/judgement.hpp"
+#include "statement/statement_profile.hpp"
 
 namespace indigovane::program {
 
--- a/src/routing/attempt.hpp
+++ b/src/routing/attempt.hpp
@@ -8,14 +8,14 @@
 namespace indigovane::routing {
 
 struct Attempt {
-    Job job;
-    MemberId member{};
+    BackendTask task;
+    EndpointId endpoint{};
     std::uint32_t zone = 0, group = 0;  // of the member
     bool out = true;
-    starlingpond::Execution execution = starlingpond::Execution::may_have_run;  // while it is out
-    std::optional<starlingpond::Status> status;                                 // none: it is out
+    policy::Execution execution = policy::Execution::may_have_run;  // while it is out
+    std::optional<policy::AttemptStatus> status;                    // none: it is out
 
-    bool may_have_run() const { return execution != starlingpond::Execution::never_ran; }
+    bool may_have_run() const { return execution != policy::Execution::never_ran; }
 };
 
 }  // namespace indigovane::routing
--- a/src/routing/catalog.hpp
+++ b/src/routing/discovery_client.hpp
@@ -8,31 +8,32 @@
 
 #include "protocol/http.hpp"
 #include "routing/core.hpp"
-#include "routing/list_watch.hpp"
+#include "routing/watch_schedule.hpp"
 #include "transport/connection.hpp"
 
 namespace indigovane::routing {
 
-struct MemberList {
+struct EndpointListing {
     std::int64_t revision = 0;
     bool all = false;
-    std::vector<MemberInfo> members;
+    std::vector<EndpointInfo> members;
 };
 // Throws std::runtime_error on what is no list; entries that name no member are passed over.
-MemberList read_member_list(const nlohmann::json& json, const std::vector<std::string>& zones);
+EndpointListing read_endpoint_listing(const nlohmann::json& json, const std::vector<std::string>& zones);
 
-class Catalog : private transport::Connection::Handler {
+class DiscoveryClient : private transport::Connection::Handler {
   public:
-    using Timing = ListWatch::Timing;
-    Catalog(boost::asio::io_context& io, const transport::Endpoint& at, std::vector<std::string> zones,
-            Core& core, Logger& logger, Timing timing, std::uint64_t seed = 0);
-    ~Catalog();
+    using Timing = WatchSchedule::Timing;
+    DiscoveryClient(boost::asio::io_context& io, const transport::SocketAddress& at,
+                    std::vector<std::string> zones, Core& core, Logger& logger, Timing timing,
+                    std::uint64_t seed = 0);
+    ~DiscoveryClient();
 
-    void seed(const MemberList& known);  // the list as last held; it may be old
-    void follow();                       // from now on; called again: at once, if a retry is due
+    void seed(const EndpointListing& known);  // the list as last held; it may be old
+    void follow();                            // from now on; called again: at once, if a retry is due
     // Goes on at another address, at once and with the whole list: revisions mean nothing there. Until that
     // list has come the members are those last told; called again before that, only the last address counts.
-    void move_to(const transport::Endpoint& at);
+    void move_to(const transport::SocketAddress& at);
     // Members are numbered by them: where they have changed, the whole list is asked for at once.
     void set_zones(std::vector<std::string> zones);
     // Called after each list or change that is taken, with its revision.
@@ -42,9 +43,9 @@
   private:
     void call();
     void disconnect();
-    void set_timer(std::chrono::milliseconds after, void (Catalog::*then)());
-    void no_answer() { lost(ListWatch::Failure::silent, "no answer"); }
-    void lost(ListWatch::Failure how, const char* why);
+    void set_timer(std::chrono::milliseconds after, void (DiscoveryClient::*then)());
+    void no_answer() { lost(WatchSchedule::Failure::silent, "no answer"); }
+    void lost(WatchSchedule::Failure how, const char* why);
     bool read(std::string_view in, bool at_end, std::size_t& length);
     void take(const protocol::http::Response& response);
     void on_connected() override;
@@ -52,11 +53,11 @@
     void on_closed(const transport::error_code& ec) override;
 
     boost::asio::io_context& io_;
-    transport::Endpoint at_;
+    transport::SocketAddress at_;
     std::vector<std::string> zones_;
     Core& core_;
     Logger& logger_;
-    ListWatch watch_;
+    WatchSchedule watch_;
     std::shared_ptr<transport::Connection> connection_;
     protocol::http::Parser parser_;
     boost::asio::steady_timer timer_;
--- a/src/routing/interfaces.hpp
+++ b/src/routing/interfaces.hpp
@@ -9,33 +9,33 @@
 namespace indigovane::routing {
 
 // A connection to a member. It carries one job at a time.
-class Link {
+class BackendConnection {
   public:
     // How a link that nobody closed came to its end.
     enum class End {
         unreachable,  // it never came up
         unopened,     // this machine had no means to open it, which says nothing of the member
-        turned_away,  // the member said that it has no room
+        rejected,     // the member said that it has no room
         unwritten,    // it broke before the last byte of its job was written
         written,      // it broke after that: the job may have run
     };
     class Owner {
       public:
-        virtual void on_ready(Link& link) = 0;  // it came up
-        virtual void on_result(Link& link, Result result) = 0;
+        virtual void on_ready(BackendConnection& link) = 0;  // it came up
+        virtual void on_result(BackendConnection& link, AttemptResult result) = 0;
         // A long value has begun; its pieces follow, then on_result() with no rows. False: no more for now.
-        virtual void on_begun(Link& link, const Answer& head, std::size_t length) = 0;
-        virtual bool on_piece(Link& link, std::string_view bytes) = 0;
-        virtual void on_end(Link& link, End end) = 0;
+        virtual void on_begun(BackendConnection& link, const Answer& head, std::size_t length) = 0;
+        virtual bool on_piece(BackendConnection& link, std::string_view bytes) = 0;
+        virtual void on_end(BackendConnection& link, End end) = 0;
 
       protected:
         ~Owner() = default;
     };
 
-    virtual ~Link() = default;
+    virtual ~BackendConnection() = default;
     // `remaining`: how long the answer is waited for. `needs`: the position, a Unix time in milliseconds,
     // that the answer's data must have reached.
-    virtual void submit(const Item& item, Duration remaining, std::optional<std::int64_t> needs) = 0;
+    virtual void submit(const ClientRequest& item, Duration remaining, std::optional<std::int64_t> needs) = 0;
     virtual void probe() = 0;
     virtual void resume() {}  // there is room for pieces again
     // Nothing has come on it that no job asked for, its end neither.
@@ -47,12 +47,13 @@
   public:
     virtual ~Backend() = default;
     // Starts to connect. The owner outlives the link, or closes it.
-    virtual std::shared_ptr<Link> open(const std::string& endpoint, Duration timeout, Link::Owner& owner) = 0;
+    virtual std::shared_ptr<BackendConnection> open(const std::string& address, Duration timeout,
+                                                    BackendConnection::Owner& owner) = 0;
 };
 
 // A client's connection on its way to another process of this program: all that there is to it between
 // requests.
-struct ClientParcel {
+struct ClientHandover {
     int socket = -1;
     char state = 0;    // of the front's wire
     std::string read;  // of what the client has sent, and nobody has answered
@@ -73,18 +74,18 @@
     // For the process that takes over: it listens by the same socket, so that closing it here resets nothing.
     virtual int listening_socket() = 0;
     // Gives away the connections on which nothing is owed; says how many.
-    virtual std::size_t hand_over(const std::function<void(ClientParcel)>& to) = 0;
-    virtual void take_over(ClientParcel parcel) = 0;
+    virtual std::size_t hand_over(const std::function<void(ClientHandover)>& to) = 0;
+    virtual void take_over(ClientHandover handover) = 0;
     virtual std::string name() const = 0;     // of its wire
     virtual std::string address() const = 0;  // where it listens
 };
 
 // The core's side of a front.
-class Intake {
+class RequestAdmission {
   public:
-    virtual RequestId accept(Item item, Responder& responder) = 0;
+    virtual RequestId accept(ClientRequest item, Responder& responder) = 0;
     // Whether an item of that many bytes may be taken in: beyond the memory's budget a front turns it away.
-    virtual bool has_room(std::size_t bytes) const = 0;
+    virtual bool has_capacity(std::size_t bytes) const = 0;
     // Whether a request of that client's id is in hand: two of them could not be told apart by a member.
     virtual bool is_open(const std::string& id) const = 0;
     virtual void resume(RequestId id) = 0;  // its responder has room for pieces again
@@ -96,7 +97,7 @@
     virtual void withdraw(RequestId id, Departure departure) = 0;
 
   protected:
-    ~Intake() = default;
+    ~RequestAdmission() = default;
 };
 
 // Lines for the operators.
--- a/src/routing/loop_core.cpp
+++ b/src/routing/loop_core.cpp
@@ -4,7 +4,7 @@
 
 namespace indigovane::routing {
 
-LoopCore::LoopCore(boost::asio::io_context& io, const Clock& clock, const starlingpond::Settings& settings,
+LoopCore::LoopCore(boost::asio::io_context& io, const Clock& clock, const policy::Settings& settings,
                    std::uint64_t seed, CoreLimits limits, Backend& backend, Logger& logger)
     : Core(static_cast<Driver&>(*this), clock, settings, seed, limits, backend, logger),
       io_(io),
@@ -22,7 +22,7 @@
     }
     timer_.expires_after(std::max(Duration::zero(), *at - clock_.now()));
     timer_.async_wait([this](const boost::system::error_code& ec) {
-        if (!ec) rang();
+        if (!ec) timer_expired();
     });
 }
 
--- a/src/routing/loop_core.hpp
+++ b/src/routing/loop_core.hpp
@@ -11,7 +11,7 @@
 
 class LoopCore : private Driver, public Core {
   public:
-    LoopCore(boost::asio::io_context& io, const Clock& clock, const starlingpond::Settings& settings,
+    LoopCore(boost::asio::io_context& io, const Clock& clock, const policy::Settings& settings,
              std::uint64_t seed, CoreLimits limits, Backend& backend, Logger& logger);
 
   private:
--- a/src/routing/pool.cpp
+++ b/src/routing/pool.cpp
@@ -4,48 +4,52 @@
 
 namespace indigovane::routing {
 
-using starlingpond::Status;
+using policy::AttemptStatus;
 
 namespace {
-Result ended(Status status) {
-    Result result;
+AttemptResult ended(AttemptStatus status) {
+    AttemptResult result;
     result.status = status;
     result.reusable = false;
     return result;
 }
 
-Status status_of(Link::End end) {
+AttemptStatus status_of(BackendConnection::End end) {
     switch (end) {
-        case Link::End::turned_away:
-            return Status::full;
-        case Link::End::written:
-            return Status::reset;
-        case Link::End::unopened:
-            return Status::moot;
-        case Link::End::unreachable:
-        case Link::End::unwritten:
+        case BackendConnection::End::rejected:
+            return AttemptStatus::rejected;
+        case BackendConnection::End::written:
+            return AttemptStatus::reset;
+        case BackendConnection::End::unopened:
+            return AttemptStatus::not_started;
+        case BackendConnection::End::unreachable:
+        case BackendConnection::End::unwritten:
             break;
     }
-    return Status::unreachable;
+    return AttemptStatus::unreachable;
 }
 }  // namespace
 
-Pool::Pool(MemberId member, Backend& backend, const Clock& clock, Duration connect_timeout, Owner& owner)
-    : member_(member), backend_(backend), clock_(clock), connect_timeout_(connect_timeout), owner_(owner) {}
+Pool::Pool(EndpointId endpoint, Backend& backend, const Clock& clock, Duration connect_timeout, Owner& owner)
+    : endpoint_(endpoint),
+      backend_(backend),
+      clock_(clock),
+      connect_timeout_(connect_timeout),
+      owner_(owner) {}
 
 Pool::~Pool() {
     for (Entry& e : links_) e.link->close();
 }
 
-void Pool::set_endpoint(const std::string& endpoint) {
-    if (endpoint == endpoint_) return;
-    endpoint_ = endpoint;
+void Pool::set_address(const std::string& address) {
+    if (address == address_) return;
+    address_ = address;
     while (close_oldest_idle()) {
     }
 }
 
-void Pool::submit(const Job& job) {
-    waiting_.push_back(job);
+void Pool::submit(const BackendTask& task) {
+    waiting_.push_back(task);
     serve_waiting();
 }
 
@@ -55,7 +59,7 @@
         // Guards against what came behind an answer, which would be taken for the next one, and against
         // writing to a connection whose other side has closed.
         // A member may have moved while the connection was at work, too.
-        if (!entry->link->quiet() || entry->endpoint != endpoint_) {
+        if (!entry->link->quiet() || entry->address != address_) {
             drop(entry);
             continue;
         }
@@ -69,27 +73,27 @@
     while (connecting_ < waiting_.size() && owner_.may_open()) {
         ++connecting_;
         links_.push_back(
-            {backend_.open(endpoint_, connect_timeout_, *this), endpoint_, false, std::nullopt, {}});
+            {backend_.open(address_, connect_timeout_, *this), address_, false, std::nullopt, {}});
     }
 }
 
 // Gives the link the oldest job that may still start; with none left it is idle.
 void Pool::put_to_use(Entries::iterator entry) {
     while (!waiting_.empty()) {
-        Job job = waiting_.front();
+        BackendTask task = waiting_.front();
         waiting_.pop_front();
-        if (job.probe) {
-            entry->job = job;
+        if (task.probe) {
+            entry->task = task;
             entry->link->probe();
             return;
         }
-        const Item* item = owner_.may_start(*this, job);
+        const ClientRequest* item = owner_.may_start(*this, task);
         if (!item) {
-            owner_.on_job_end(*this, job, ended(Status::moot));
+            owner_.on_job_end(*this, task, ended(AttemptStatus::not_started));
             continue;
         }
-        entry->job = job;
-        entry->link->submit(*item, job.until - clock_.now(), job.needs);
+        entry->task = task;
+        entry->link->submit(*item, task.until - clock_.now(), task.needs);
         return;
     }
     rest(entry);
@@ -100,21 +104,22 @@
     idle_.push_back(entry);
 }
 
-Pool::Given Pool::give_up(const Job& job) {
-    auto w = std::find_if(waiting_.begin(), waiting_.end(), [&](const Job& j) { return j.same(job); });
+Pool::Given Pool::give_up(const BackendTask& task) {
+    auto w =
+        std::find_if(waiting_.begin(), waiting_.end(), [&](const BackendTask& j) { return j.same(task); });
     if (w != waiting_.end()) {
         waiting_.erase(w);
         return Given::waiting;
     }
-    auto e =
-        std::find_if(links_.begin(), links_.end(), [&](const Entry& x) { return x.job && x.job->same(job); });
+    auto e = std::find_if(links_.begin(), links_.end(),
+                          [&](const Entry& x) { return x.task && x.task->same(task); });
     if (e == links_.end()) return Given::none;
     drop(e);
     return Given::out;
 }
 
-bool Pool::waits(const Job& job) const {
-    return std::any_of(waiting_.begin(), waiting_.end(), [&](const Job& j) { return j.same(job); });
+bool Pool::waits(const BackendTask& task) const {
+    return std::any_of(waiting_.begin(), waiting_.end(), [&](const BackendTask& j) { return j.same(task); });
 }
 
 void Pool::close_idle(Time idle_since_before) {
@@ -133,7 +138,7 @@
     return idle_.front()->idle_since;
 }
 
-Pool::Entries::iterator Pool::find(const Link& link) {
+Pool::Entries::iterator Pool::find(const BackendConnection& link) {
     return std::find_if(links_.begin(), links_.end(), [&](const Entry& e) { return e.link.get() == &link; });
 }
 
@@ -145,7 +150,7 @@
     owner_.on_link_gone();
 }
 
-void Pool::on_ready(Link& link) {
+void Pool::on_ready(BackendConnection& link) {
     auto entry = find(link);
     if (entry == links_.end()) return;
     entry->up = true;
@@ -153,48 +158,48 @@
     put_to_use(entry);
 }
 
-void Pool::on_result(Link& link, Result result) {
+void Pool::on_result(BackendConnection& link, AttemptResult result) {
     auto entry = find(link);
-    if (entry == links_.end() || !entry->job) return;
-    Job job = *entry->job;
-    entry->job.reset();
+    if (entry == links_.end() || !entry->task) return;
+    BackendTask task = *entry->task;
+    entry->task.reset();
     if (result.reusable)
         rest(entry);
     else
         drop(entry);
-    owner_.on_job_end(*this, job, std::move(result));
+    owner_.on_job_end(*this, task, std::move(result));
     serve_waiting();
 }
 
-void Pool::on_begun(Link& link, const Answer& head, std::size_t length) {
+void Pool::on_begun(BackendConnection& link, const Answer& head, std::size_t length) {
     auto entry = find(link);
-    if (entry != links_.end() && entry->job) owner_.on_job_begun(*this, *entry->job, head, length);
+    if (entry != links_.end() && entry->task) owner_.on_job_begun(*this, *entry->task, head, length);
 }
 
-bool Pool::on_piece(Link& link, std::string_view bytes) {
+bool Pool::on_piece(BackendConnection& link, std::string_view bytes) {
     auto entry = find(link);
-    return entry == links_.end() || !entry->job || owner_.on_job_piece(*entry->job, bytes);
+    return entry == links_.end() || !entry->task || owner_.on_job_piece(*entry->task, bytes);
 }
 
-void Pool::resume(const Job& job) {
+void Pool::resume(const BackendTask& task) {
     for (Entry& e : links_)
-        if (e.job && e.job->same(job)) {
+        if (e.task && e.task->same(task)) {
             auto link = e.link;  // it may end on what it has
             return link->resume();
         }
 }
 
-void Pool::on_end(Link& link, Link::End end) {
+void Pool::on_end(BackendConnection& link, BackendConnection::End end) {
     auto entry = find(link);
     if (entry == links_.end()) return;
-    std::optional<Job> job = entry->job;
+    std::optional<BackendTask> task = entry->task;
     // A link that never came up takes the oldest waiting job with it: one link was opened for each.
-    if (!entry->up && !job && waiting_.size() >= connecting_) {
-        job = waiting_.front();
+    if (!entry->up && !task && waiting_.size() >= connecting_) {
+        task = waiting_.front();
         waiting_.pop_front();
     }
     drop(entry);
-    if (job) owner_.on_job_end(*this, *job, ended(status_of(end)));
+    if (task) owner_.on_job_end(*this, *task, ended(status_of(end)));
     serve_waiting();
 }
 
--- a/src/routing/request_guard.hpp
+++ b/src/routing/request_guard.hpp
@@ -31,12 +31,12 @@
 
 // What a class promises, as the settings had it when the request came. What they leave out means the
 // strictest.
-struct RepeatRule {
-    starlingpond::Effect effect = starlingpond::Effect::unsafe;
-    starlingpond::RepeatScope scope = starlingpond::RepeatScope::group;
+struct RetryRule {
+    policy::Idempotency idempotency = policy::Idempotency::not_idempotent;
+    policy::DeduplicationScope scope = policy::DeduplicationScope::group;
     Duration window{};
 
-    static RepeatRule of(const starlingpond::Settings& settings, ClassId cls);
+    static RetryRule of(const policy::Settings& settings, ClassId request_class);
 };
 
 class RequestGuard {
@@ -45,14 +45,14 @@
 
     // The invariant that another attempt at that member would break now, if any. `earlier`: all attempts
     // before it.
-    static std::optional<Invariant> against_attempt(const RepeatRule& rule, std::span<const Attempt> earlier,
+    static std::optional<Invariant> against_attempt(const RetryRule& rule, std::span<const Attempt> earlier,
                                                     std::uint32_t zone, std::uint32_t group, Time now);
-    static bool refusal_is_harmless(const RepeatRule& rule, std::span<const Attempt> attempts);
-    static bool ran_twice(const RepeatRule& rule, std::span<const Attempt> attempts);
+    static bool refusal_is_harmless(const RetryRule& rule, std::span<const Attempt> attempts);
+    static bool ran_twice(const RetryRule& rule, std::span<const Attempt> attempts);
     static bool answered_late(Time deadline, Time now);
 
     // Counts a violation, prevented or observed, and tells the operators which request it was.
-    void violated(Invariant invariant, const Item& item, std::span<const Attempt> attempts);
+    void violated(Invariant invariant, const ClientRequest& item, std::span<const Attempt> attempts);
 
     using Counts = std::array<std::uint64_t, kInvariants>;
     const Counts& violations() const { return violations_; }
--- a/src/routing/request_log.cpp
+++ b/src/routing/request_log.cpp
@@ -2,7 +2,7 @@
 
 namespace indigovane::routing {
 
-using starlingpond::Status;
+using policy::AttemptStatus;
 
 namespace {
 std::string milliseconds(Duration d) {
@@ -10,27 +10,27 @@
 }
 }  // namespace
 
-const char* status_name(Status status) {
+const char* status_name(AttemptStatus status) {
     switch (status) {
-        case Status::ok:
+        case AttemptStatus::ok:
             return "ok";
-        case Status::error:
+        case AttemptStatus::error:
             return "error";
-        case Status::full:
+        case AttemptStatus::rejected:
             return "full";
-        case Status::timeout:
+        case AttemptStatus::timeout:
             return "timeout";
-        case Status::unreachable:
+        case AttemptStatus::unreachable:
             return "unreachable";
-        case Status::reset:
+        case AttemptStatus::reset:
             return "reset";
-        case Status::cancelled:
+        case AttemptStatus::cancelled:
             return "cancelled";
-        case Status::moot:
+        case AttemptStatus::not_started:
             return "moot";
-        case Status::miss:
+        case AttemptStatus::miss:
             return "miss";
-        case Status::stale:
+        case AttemptStatus::stale:
             return "stale";
     }
     return "unknown";
@@ -45,35 +45,36 @@
             {"left_ms", milliseconds(request.left)}};
 }
 
-void RequestLog::attempt_ended(const Request& request, std::uint32_t attempt, const std::string& member,
-                               Status status, Duration took) {
+void RequestLog::attempt_ended(const Request& request, std::uint32_t attempt, const std::string& endpoint,
+                               AttemptStatus status, Duration took) {
     if (!logger_.wants("attempt")) return;
     Logger::Data data = describe(request);
     data.push_back({"attempt", std::to_string(attempt)});
-    data.push_back({"member", member});
+    data.push_back({"endpoint", endpoint});
     data.push_back({"status", status_name(status)});
     data.push_back({"took_ms", milliseconds(took)});
     logger_.log(Level::info, "attempt", "an attempt ended without an answer for the client", data);
 }
 
-void RequestLog::retried(const Request& request, const std::string& member, std::optional<Status> after) {
+void RequestLog::retried(const Request& request, const std::string& endpoint,
+                         std::optional<AttemptStatus> after) {
     if (!logger_.wants("retry")) return;
     Logger::Data data = describe(request);
-    data.push_back({"member", member});
+    data.push_back({"endpoint", endpoint});
     data.push_back({"after", after ? status_name(*after) : "out"});
     logger_.log(Level::info, "retry", "a further attempt is sent", data);
 }
 
-void RequestLog::ended(const Request& request, const Ending& ending, const char* why) {
+void RequestLog::ended(const Request& request, const FinalError& ending, const char* why) {
     if (!logger_.wants("ended")) return;
     Logger::Data data = describe(request);
-    data.push_back({"as", ending.kind == Ending::Kind::refused ? "refused" : "failed"});
+    data.push_back({"as", ending.kind == FinalError::Kind::refused ? "refused" : "failed"});
     logger_.log(Level::info, "ended", why, data);
 }
 
 void RequestLog::withdrawn(const Request& request) {
-    if (!logger_.wants("withdrawn")) return;
-    logger_.log(Level::info, "withdrawn", "the client left before it was answered", describe(request));
+    if (!logger_.wants("client_left")) return;
+    logger_.log(Level::info, "client_left", "the client left before it was answered", describe(request));
 }
 
 }  // namespace indigovane::routing
--- a/src/routing/request_log.hpp
+++ b/src/routing/request_log.hpp
@@ -14,7 +14,7 @@
 
 namespace indigovane::routing {
 
-const char* status_name(starlingpond::Status status);
+const char* status_name(policy::AttemptStatus status);
 
 class RequestLog {
   public:
@@ -22,18 +22,18 @@
 
     // What all lines say of the request.
     struct Request {
-        const Item& item;
+        const ClientRequest& item;
         std::size_t attempts;  // sent so far
         Duration age;          // since it was taken in
         Duration left;         // until its deadline
         bool may_have_run;     // one of its attempts
     };
 
-    void attempt_ended(const Request& request, std::uint32_t attempt, const std::string& member,
-                       starlingpond::Status status, Duration took);
-    void retried(const Request& request, const std::string& member,
-                 std::optional<starlingpond::Status> after);
-    void ended(const Request& request, const Ending& ending, const char* why);
+    void attempt_ended(const Request& request, std::uint32_t attempt, const std::string& endpoint,
+                       policy::AttemptStatus status, Duration took);
+    void retried(const Request& request, const std::string& endpoint,
+                 std::optional<policy::AttemptStatus> after);
+    void ended(const Request& request, const FinalError& ending, const char* why);
     void withdrawn(const Request& request);
 
   private:
--- a/src/routing/ledger.hpp
+++ b/src/routing/request_statistics.hpp
@@ -9,12 +9,12 @@
 
 namespace indigovane::routing {
 
-struct Ledger {
+struct RequestStatistics {
     std::uint32_t first = 0, repeated = 0;  // requests taken in; repeats are those that clients mark
     std::uint32_t sent = 0, refused = 0, refused_at_once = 0, failed = 0;
     std::uint32_t withdrawn = 0;  // their clients left before they were answered
     std::uint32_t probes = 0, probes_unanswered = 0, connections = 0, lists = 0;
-    std::array<std::uint32_t, starlingpond::kStatuses> ended{};  // attempts, by status
+    std::array<std::uint32_t, policy::kStatuses> ended{};  // attempts, by status
 
     bool empty() const { return first + repeated + sent + probes + connections + lists == 0; }
     Logger::Data data() const;  // what is zero is left out
--- a/src/routing/types.hpp
+++ b/src/routing/types.hpp
@@ -11,16 +11,16 @@
 #include <utility>
 #include <vector>
 
-#include "starlingpond/brain.hpp"
+#include "policy/routing_policy.hpp"
 
 namespace indigovane::routing {
 
-using starlingpond::ClassId;
-using starlingpond::Duration;
-using starlingpond::GroupId;
-using starlingpond::MemberId;
-using starlingpond::RequestId;
-using starlingpond::Time;
+using policy::ClassId;
+using policy::Duration;
+using policy::EndpointId;
+using policy::GroupId;
+using policy::RequestId;
+using policy::Time;
 
 // The number of a class once the settings have changed: `continues` says of each class which one it was.
 constexpr ClassId kNoClass{std::uint32_t(-1)};  // it is gone
@@ -48,7 +48,7 @@
 };
 
 // One thing that a client asks for. A front fills in what its wire tells.
-struct Item {
+struct ClientRequest {
     enum class Verb { lookup, write, page, other };
     Verb verb = Verb::other;
     std::string name;                    // the row looked up or written; a page begins after it
@@ -58,11 +58,11 @@
 
     std::string id, tenant, key;  // the client's id, its tenant, its idempotency key
     std::string class_name;
-    ClassId cls{};
+    ClassId request_class{};
     GroupId group{};
     std::optional<std::uint64_t> session;
     std::optional<std::int64_t> after_unix_ms;  // a carried token: the session's last commit
-    Duration patience{};
+    Duration client_timeout{};
     bool repeat = false;
     bool in_pieces = false;  // its responder takes a long value as it comes
     std::string statement;   // as the client wrote it, where its wire has statements
@@ -94,7 +94,7 @@
 };
 
 // The final word on an item that was not served.
-struct Ending {
+struct FinalError {
     enum class Kind { refused, failed } kind = Kind::refused;
     bool deadline = false;  // because its time is up
     std::optional<Duration> retry_after;
@@ -105,11 +105,11 @@
   public:
     virtual void served(const Answer& answer) = 0;
     // A value of that length follows in pieces, then served() with no rows, or broken(). Only where the item
-    // says so. False: no room for more now; Intake::resume() when there is.
+    // says so. False: no room for more now; RequestAdmission::resume() when there is.
     virtual void began(const Answer&, std::size_t) {}
     virtual bool piece(std::string_view) { return true; }
     virtual void broken() {}
-    virtual void ended(const Ending& ending) = 0;
+    virtual void ended(const FinalError& ending) = 0;
     // Whether its client is still there as far as this machine's kernel knows, also where nothing has been
     // read yet that says so.
     virtual bool present() { return true; }
@@ -119,23 +119,23 @@
 };
 
 // How an attempt or a probe came out, as a backend's wire tells it. Positions are Unix times.
-struct Result {
-    starlingpond::Status status = starlingpond::Status::error;
-    std::optional<starlingpond::Role> role;
+struct AttemptResult {
+    policy::AttemptStatus status = policy::AttemptStatus::error;
+    std::optional<policy::Role> role;
     std::optional<std::int64_t> position_unix_us;
     std::optional<std::int64_t> report_position_unix_us;
-    starlingpond::Report report;  // its position is left out: see above
+    policy::LoadReport report;  // its position is left out: see above
     Answer answer;
-    bool reusable = true;          // the link may carry another
-    const char* spoilt = nullptr;  // what was wrong with an answer that can't be used
+    bool reusable = true;             // the link may carry another
+    const char* malformed = nullptr;  // what was wrong with an answer that can't be used
     // What the wire has shown of the statement's execution beyond what the status proves.
-    starlingpond::Execution evidence = starlingpond::Execution::never_ran;
+    policy::Execution evidence = policy::Execution::never_ran;
 };
 
-struct MemberInfo {  // an entry of the list
-    std::string uid, endpoint;
+struct EndpointInfo {  // an entry of the list
+    std::string uid, address;
     std::uint32_t zone = 0, group = 0;
-    starlingpond::MemberState state = starlingpond::MemberState::ready;
+    policy::EndpointState state = policy::EndpointState::ready;
     bool primary = false;
     std::int64_t boot_unix_ms = 0;  // 0: long ago
 };
--- a/src/routing/list_watch.hpp
+++ b/src/routing/watch_schedule.hpp
@@ -10,7 +10,7 @@
 
 namespace indigovane::routing {
 
-class ListWatch {
+class WatchSchedule {
   public:
     using Millis = std::chrono::milliseconds;
     struct Timing {
@@ -50,12 +50,12 @@
         return t;
     }
 
-    explicit ListWatch(Timing timing) : timing_(timing) {}
+    explicit WatchSchedule(Timing timing) : timing_(timing) {}
     const Timing& timing() const { return timing_; }
 
     struct Call {
         std::optional<std::int64_t> from;  // none: the whole list
-        Millis hold{}, patience{};
+        Millis hold{}, client_timeout{};
     };
     Call next() const {
         if (!revision_) return {std::nullopt, Millis(0), timing_.whole};
--- a/src/wire/frame.cpp
+++ b/src/simulator/frame.cpp
@@ -1,10 +1,10 @@
-#include "wire/frame.hpp"
+#include "simulator/frame.hpp"
 
 #include <charconv>
 #include <cmath>
 #include <cstdio>
 
-namespace starlingpond::wire {
+namespace indigovane::simulator {
 namespace {
 
 template <typename T, typename... Base>
@@ -79,4 +79,4 @@
     return text;
 }
 
-}  // namespace starlingpond::wire
+}  // namespace indigovane::simulator
--- a/src/wire/frame.hpp
+++ b/src/simulator/frame.hpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-namespace starlingpond::wire {
+namespace indigovane::simulator {
 
 struct Malformed : std::runtime_error {
     using std::runtime_error::runtime_error;
@@ -35,4 +35,4 @@
 std::int64_t to_micros(std::string_view millis);
 std::string from_micros(std::int64_t micros);
 
-}  // namespace starlingpond::wire
+}  // namespace indigovane::simulator
--- a/src/wire/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,18 +1,18 @@
-// The host: reads frames, lets each instance's Brain decide, prints the replies.
+// The host: reads frames, lets each instance's RoutingPolicy decide, prints the replies.
 #include <algorithm>
 #include <iostream>
 #include <map>
 #include <string>
 
-#include "wire/codec.hpp"
+#include "simulator/codec.hpp"
 
 namespace {
 
-using namespace starlingpond;
-using namespace starlingpond::wire;
+using namespace indigovane::policy;
+using namespace indigovane::simulator;
 
 struct Instance {
-    Brain brain;
+    RoutingPolicy policy;
     Scale scale;
     Names names;
 };
@@ -57,8 +57,8 @@
         }
         if (kind == "OPEN_INSTANCE") {
             std::uint64_t number = to_count(line.need("proxy"));
-            Brain brain(read_settings(line), to_count(line.need("nonce64")), now_);
-            instances_.insert_or_assign(number, Instance{std::move(brain), read_scale(line), {}});
+            RoutingPolicy policy(read_settings(line), to_count(line.need("nonce64")), now_);
+            instances_.insert_or_assign(number, Instance{std::move(policy), read_scale(line), {}});
             return;
         }
         auto known = {"POWER_OFF", "TARGETS", "ORDER", "DONE", "WITHDRAWN", "TIMER", "PROBE_RESULT"};
@@ -72,7 +72,7 @@
             return;
         }
         actions_.clear();
-        instance.brain.handle(now_, read(line, instance), actions_);
+        instance.policy.handle(now_, read(line, instance), actions_);
         for (const Action& action : actions_) out += write_action(number, action, instance.names) + "\n";
     }
 
@@ -80,11 +80,11 @@
         std::string_view kind = line.name();
         if (kind == "ORDER") return read_request(line);
         if (kind == "DONE") return read_outcome(line, instance.scale, instance.names);
-        if (kind == "WITHDRAWN") return Withdrawn{read_request_id(line)};
-        if (kind == "TIMER") return Timer{read_timer(line)};
+        if (kind == "WITHDRAWN") return RequestCancelled{read_request_id(line)};
+        if (kind == "TIMER") return TimerExpired{read_timer(line)};
         if (kind == "PROBE_RESULT") return read_probe_result(line, instance.scale, instance.names);
-        List list = read_list_kind(line);
-        if (list.kind == ListKind::failed) return list;
+        EndpointList list = read_list_kind(line);
+        if (list.kind == EndpointListKind::failed) return list;
         auto entries = lists_.find(to_count(line.need("list")));
         if (entries == lists_.end()) throw Malformed("no such list was given");
         for (const std::string& text : entries->second)
@@ -119,7 +119,7 @@
         }
         if (!host.idle()) throw Malformed("input ended within a frame");
     } catch (const std::exception& error) {
-        std::cerr << "starlingpond_wirehost: line " << count << ": " << error.what() << "\n";
+        std::cerr << "indigovane_simulator_adapter: line " << count << ": " << error.what() << "\n";
         return 1;
     }
     return 0;
--- a/src/site/evidence.cpp
+++ b/src/site/evidence.cpp
@@ -5,19 +5,19 @@
 
 namespace indigovane::site {
 
-const char* name(Standing s) {
+const char* name(SiteState s) {
     switch (s) {
-        case Standing::reachable:
+        case SiteState::reachable:
             return "reachable";
-        case Standing::doubtful:
+        case SiteState::doubtful:
             return "doubtful";
-        case Standing::lost:
+        case SiteState::lost:
             return "lost";
-        case Standing::cut_off:
+        case SiteState::cut_off:
             return "cut off";
-        case Standing::drained:
+        case SiteState::drained:
             return "drained";
-        case Standing::returning:
+        case SiteState::returning:
             return "returning";
     }
     return "";
@@ -47,11 +47,11 @@
     if (it != seen_.end() && it->second.out > 0) --it->second.out;
 }
 
-void Evidence::sign(HostId id, Sign sign, Time sent, Time now) {
+void Evidence::sign(HostId id, ContactResult sign, Time sent, Time now) {
     if (!index_.count(std::uint32_t(id))) return;
-    if (sign != Sign::answer && sent < woke_) return;
+    if (sign != ContactResult::answer && sent < woke_) return;
     HostEvidence& e = seen_[std::uint32_t(id)];
-    if (sign == Sign::answer) {
+    if (sign == ContactResult::answer) {
         e.answered = e.waiting = now;
         e.mute_since.reset();
         e.mute_at.reset();
@@ -63,7 +63,7 @@
     if (!e.mute_since) e.mute_since = sent;
     e.mute_at = now;
     ++e.mutes;
-    if (sign == Sign::broken) ++e.broken;
+    if (sign == ContactResult::broken) ++e.broken;
 }
 
 void Evidence::woke(Time now) {
@@ -88,7 +88,7 @@
     }
 }
 
-SiteEvidence Evidence::of(SiteId site, Time now, Duration fresh, Duration patience) const {
+SiteEvidence Evidence::of(SiteId site, Time now, Duration fresh, Duration response_timeout) const {
     SiteEvidence out;
     for (const Host& h : hosts_) {
         const HostEvidence* e = h.site == site ? of(h.id) : nullptr;
@@ -102,7 +102,7 @@
         // Not all that it ever dealt with: a small pooler comes to know every host of a large site in time,
         // and could never hear a third of them fall silent within `fresh`.
         if (e->out > 0 || (e->asked != Time::min() && now - e->asked <= fresh)) ++out.known;
-        bool waits = e->out > 0 && now - e->waiting >= patience;
+        bool waits = e->out > 0 && now - e->waiting >= response_timeout;
         bool ended = e->mute_since && now - *e->mute_at <= fresh;
         if (waits || ended) {
             ++out.mute;
--- a/src/site/evidence.hpp
+++ b/src/site/evidence.hpp
@@ -39,13 +39,13 @@
     void hosts(const std::vector<Host>& hosts);
     void sent(HostId host, Time now);
     void over(HostId host);  // one that was sent, however it ended
-    void sign(HostId host, Sign sign, Time sent, Time now);
+    void sign(HostId host, ContactResult sign, Time sent, Time now);
     // This process has slept until now: what it failed to hear before says nothing of the others.
     void woke(Time now);
     void forget(SiteId site, Time now);  // all that is held against its hosts
 
     // What is out for `patience` counts as unanswered before it is over.
-    SiteEvidence of(SiteId site, Time now, Duration fresh, Duration patience) const;
+    SiteEvidence of(SiteId site, Time now, Duration fresh, Duration response_timeout) const;
     const HostEvidence* of(HostId host) const;
     const Host* host(HostId id) const;
     const std::vector<Host>& all() const { return hosts_; }
--- a/src/site/fairness.cpp
+++ b/src/site/fairness.cpp
@@ -13,14 +13,15 @@
 const std::string kOthers = std::string("\0others", 7);  // no wire carries such a name
 }  // namespace
 
-double fair_level(std::vector<Ask> asks, double budget) {
+double fair_level(std::vector<ShareDemand> demands, double budget) {
     double all = 0, weights = 0;
-    for (const Ask& a : asks) all += a.rate, weights += a.weight;
+    for (const ShareDemand& a : demands) all += a.rate, weights += a.weight;
     if (all <= budget) return std::numeric_limits<double>::infinity();
     // Those that ask least for their weight are satisfied first; what they leave is for the others.
-    std::sort(asks.begin(), asks.end(),
-              [](const Ask& a, const Ask& b) { return a.rate / a.weight < b.rate / b.weight; });
-    for (const Ask& a : asks) {
+    std::sort(demands.begin(), demands.end(), [](const ShareDemand& a, const ShareDemand& b) {
+        return a.rate / a.weight < b.rate / b.weight;
+    });
+    for (const ShareDemand& a : demands) {
         double level = budget / weights;
         if (a.rate / a.weight >= level) return level;
         budget -= a.rate;
@@ -34,7 +35,7 @@
     return it == shares.end() ? 1 : it->second;
 }
 
-double fair_part(const Ask& ask, double level) {
+double fair_part(const ShareDemand& ask, double level) {
     return ask.rate <= 0 ? 1 : std::min(1.0, ask.weight * level / ask.rate);
 }
 
@@ -73,14 +74,14 @@
     if (it == tenants_.end()) return part;
     if (s.by_tenant) {
         if (level_part_ != part || now - levelled_ >= kLevelKept) {
-            std::vector<Ask> asks;
+            std::vector<ShareDemand> demands;
             double all = 0;
             for (auto& [name, r] : tenants_) {
                 r.age(now);
-                asks.push_back({r.all, r.weight});
+                demands.push_back({r.all, r.weight});
                 all += r.all;
             }
-            level_ = fair_level(std::move(asks), part * all);
+            level_ = fair_level(std::move(demands), part * all);
             level_part_ = part;
             levelled_ = now;
         }
--- a/src/site/fairness.hpp
+++ b/src/site/fairness.hpp
@@ -10,17 +10,17 @@
 
 namespace indigovane::site {
 
-struct Ask {
+struct ShareDemand {
     double rate = 0, weight = 1;  // requests a second; weight above 0
 };
 
 // The level at which each gets min(rate, weight x level) and all together `budget` (of rate); infinite where
 // all fit.
-double fair_level(std::vector<Ask> asks, double budget);
+double fair_level(std::vector<ShareDemand> demands, double budget);
 // A tenant's weight: 1 where nobody has named it.
 double share_of(const std::map<std::string, double>& shares, const std::string& tenant);
 // Of the requests of one, at that level: from 0 to 1.
-double fair_part(const Ask& ask, double level);
+double fair_part(const ShareDemand& ask, double level);
 // Of the young and of the old requests, where `part` of all are let in and `old` of all are old: young first.
 struct ByAge {
     double young = 1, old = 1;
--- a/src/site/plan.cpp
+++ b/src/site/plan.cpp
@@ -33,11 +33,11 @@
 }
 
 std::map<std::string, double> tenant_parts(const Demand& d, double part, const PlanInput& in) {
-    std::vector<Ask> asks;  // in the order of `tenants`
-    for (const auto& [name, rate] : d.tenants) asks.push_back({rate, share_of(in.shares, name)});
-    double level = fair_level(asks, part * d.rate);
+    std::vector<ShareDemand> demands;  // in the order of `tenants`
+    for (const auto& [name, rate] : d.tenants) demands.push_back({rate, share_of(in.shares, name)});
+    double level = fair_level(demands, part * d.rate);
     std::map<std::string, double> parts;
-    for (const auto& [name, rate] : d.tenants) parts[name] = fair_part(asks[parts.size()], level);
+    for (const auto& [name, rate] : d.tenants) parts[name] = fair_part(demands[parts.size()], level);
     return parts;
 }
 
@@ -53,17 +53,20 @@
 }  // namespace
 
 bool refused_before(const Demand& a, const Demand& b, const std::vector<std::string>& last) {
-    auto place = [&](const Demand& d) { return std::find(last.begin(), last.end(), d.cls) - last.begin(); };
+    auto place = [&](const Demand& d) {
+        return std::find(last.begin(), last.end(), d.request_class) - last.begin();
+    };
     auto pa = place(a), pb = place(b);
     if (pa != pb) return pa > pb;
-    double wa = a.worth / std::max(kNothing, a.cost), wb = b.worth / std::max(kNothing, b.cost);
+    double wa = a.priority_weight / std::max(kNothing, a.cost),
+           wb = b.priority_weight / std::max(kNothing, b.cost);
     if (wa != wb) return wa < wb;
-    return a.cls < b.cls;
+    return a.request_class < b.request_class;
 }
 
-double Plan::admit(GroupId group, const std::string& cls) const {
+double Plan::admit(GroupId group, const std::string& request_class) const {
     for (const Share& s : shares)
-        if (s.group == group && s.cls == cls) return s.admit;
+        if (s.group == group && s.request_class == request_class) return s.admit;
     return 1;
 }
 
@@ -120,10 +123,10 @@
             for (std::size_t i = 0; i < wants.size(); ++i) {
                 const Demand& d = *wants[i];
                 plan.shares.push_back(
-                    {group, d.cls, primary, 0, d.rate, parts[i], tenant_parts(d, parts[i], in)});
+                    {group, d.request_class, primary, 0, d.rate, parts[i], tenant_parts(d, parts[i], in)});
                 kept += d.work() * parts[i];
-                plan.worth_asked += d.rate * d.worth;
-                plan.worth_kept += d.rate * d.worth * parts[i];
+                plan.weight_offered += d.rate * d.priority_weight;
+                plan.weight_retained += d.rate * d.priority_weight * parts[i];
             }
             g.refused += work - kept;
             if (primary) {
@@ -138,7 +141,8 @@
             double stays =
                 was.replicas.empty() ? 0 : work * double(now.replicas.size()) / double(was.replicas.size());
             g.moved += std::max(0.0, kept - stays);
-            if (!now.replicas.empty()) g.strain = double(was.replicas.size()) / double(now.replicas.size());
+            if (!now.replicas.empty())
+                g.load_ratio = double(was.replicas.size()) / double(now.replicas.size());
         }
     }
     for (const Host& h : in.hosts)
@@ -146,14 +150,16 @@
             {h.id, h.site, h.group, h.primary, is_lost(in, h), h.capacity, load_before[&h], load_after[&h]});
     std::stable_sort(plan.shares.begin(), plan.shares.end(), [&](const Share& a, const Share& b) {
         auto find = [&](const Share& s) -> const Demand& {
-            return *std::find_if(in.demand.begin(), in.demand.end(),
-                                 [&](const Demand& d) { return d.group == s.group && d.cls == s.cls; });
+            return *std::find_if(in.demand.begin(), in.demand.end(), [&](const Demand& d) {
+                return d.group == s.group && d.request_class == s.request_class;
+            });
         };
         return refused_before(find(a), find(b), in.last);
     });
     for (std::size_t i = 0; i < plan.shares.size(); ++i)
-        plan.shares[i].rank =
-            i > 0 && plan.shares[i].cls == plan.shares[i - 1].cls ? plan.shares[i - 1].rank : unsigned(i);
+        plan.shares[i].rank = i > 0 && plan.shares[i].request_class == plan.shares[i - 1].request_class
+                                  ? plan.shares[i - 1].rank
+                                  : unsigned(i);
     return plan;
 }
 
--- a/src/site/plan.hpp
+++ b/src/site/plan.hpp
@@ -12,11 +12,11 @@
 // One class's demand on one group. Work is in the hosts' own time: seconds of a core a second.
 struct Demand {
     GroupId group{};
-    std::string cls;
+    std::string request_class;
     bool primary = false;  // only the primary takes it
     double rate = 0;       // requests a second
     double cost = 0;       // seconds of work each
-    double worth = 1;
+    double priority_weight = 1;
     std::map<std::string, double> tenants = {};  // whose, requests a second; empty: not told
     double work() const { return rate * cost; }
 };
@@ -42,7 +42,7 @@
 // What is let in of one class at one group.
 struct Share {
     GroupId group{};
-    std::string cls;
+    std::string request_class;
     bool primary = false;
     unsigned rank = 0;                      // 0: refused first
     double asked = 0;                       // requests a second
@@ -56,15 +56,15 @@
     double replicas_before = 0, replicas_after = 0;  // their capacity
     double moved = 0;                                // work that goes to other sites
     double refused = 0;                              // work that nobody takes
-    double strain = 1;  // load of a remaining replica in this plan, as a multiple of what it had
+    double load_ratio = 1;  // load of a remaining replica in this plan, as a multiple of what it had
 };
 
 struct Plan {
     std::vector<HostLoad> hosts;
     std::vector<Share> shares;  // in the order of refusal
     std::map<GroupId, GroupPlan> groups;
-    double worth_asked = 0, worth_kept = 0;  // a second
-    double admit(GroupId group, const std::string& cls) const;
+    double weight_offered = 0, weight_retained = 0;  // a second
+    double admit(GroupId group, const std::string& request_class) const;
 };
 
 // Reads go to a group's replicas in equal parts, what needs the primary to the primary; refused, never
--- a/src/site/ramp.cpp
+++ b/src/site/ramp.cpp
@@ -5,7 +5,7 @@
 
 namespace indigovane::site {
 
-void Ramp::begin(const std::vector<Host>& hosts, const std::function<double(GroupId)>& strain,
+void Ramp::begin(const std::vector<Host>& hosts, const std::function<double(GroupId)>& load_ratio,
                  Duration length, double trickle, bool probes, const std::function<double()>& draw,
                  Time now) {
     waiting_.clear();
@@ -14,7 +14,7 @@
     // that come before it and half of the part that comes after: strained ones early, none within less than
     // half of the ramp, and all of it where all are strained alike.
     std::map<double, double, std::greater<>> alike;
-    for (const Host& h : hosts) ++alike[strain(h.group)];
+    for (const Host& h : hosts) ++alike[load_ratio(h.group)];
     std::map<double, std::pair<double, double>> span;
     double before = 0;
     for (const auto& [s, count] : alike) {
@@ -24,7 +24,7 @@
     }
     for (const Host& h : hosts) {
         double u = draw();
-        auto [from, to] = span[strain(h.group)];
+        auto [from, to] = span[load_ratio(h.group)];
         double place = u < trickle ? 0 : from + (to - from) * u;
         waiting_[h.id] = {now + Duration(std::int64_t(place * double(length.count())))};
     }
--- a/src/site/ramp.hpp
+++ b/src/site/ramp.hpp
@@ -14,8 +14,8 @@
 class Ramp {
   public:
     // `strain`: of a host's group, 1 and up. `draw`: uniform in [0, 1).
-    void begin(const std::vector<Host>& hosts, const std::function<double(GroupId)>& strain, Duration length,
-               double trickle, bool probes, const std::function<double()>& draw, Time now);
+    void begin(const std::vector<Host>& hosts, const std::function<double(GroupId)>& load_ratio,
+               Duration length, double trickle, bool probes, const std::function<double()>& draw, Time now);
     void answered(HostId host);  // since the ramp's beginning
     struct Due {
         std::vector<HostId> probe, let_in;
--- a/src/site/shed.cpp
+++ b/src/site/shed.cpp
@@ -17,19 +17,19 @@
 }
 
 bool Shedder::admit(const Arrival& a, Time now) {
-    Flow& f = flows_[key(a.group, a.cls)];
+    Flow& f = flows_[key(a.group, a.request_class)];
     f.rate = rate(f, now) + 1e6 / kMemory;
     f.at = now;
-    f.patience = std::max(f.patience, a.patience);
+    f.response_timeout = std::max(f.response_timeout, a.response_timeout);
     if (!shedding_) return true;
-    auto part = parts_.find(key(a.group, a.cls));
+    auto part = parts_.find(key(a.group, a.request_class));
     if (part == parts_.end() || part->second >= 1) return true;
-    bool old = a.repeat || a.patience * 2 < f.patience;
+    bool old = a.repeat || a.response_timeout * 2 < f.response_timeout;
     f.arrivals.came(a.tenant, old, set_, now);
     double let_in = f.arrivals.part(a.tenant, old, part->second, set_, now);
     // None starves: one of each class and tenant at least so often. A tenant beyond its number is like all
     // others that are.
-    std::string who = std::to_string(std::uint32_t(a.group)) + "/" + std::to_string(a.cls) + "/" +
+    std::string who = std::to_string(std::uint32_t(a.group)) + "/" + std::to_string(a.request_class) + "/" +
                       (let_in_.size() < kTenants ? a.tenant : std::string());
     auto [last, first] = let_in_.try_emplace(std::move(who), now);
     if (first || now - last->second >= set_.starve || a.draw < let_in) {
@@ -40,9 +40,9 @@
     return false;
 }
 
-void Shedder::took(GroupId group, std::size_t cls, Duration latency) {
+void Shedder::took(GroupId group, std::size_t request_class, Duration latency) {
     double took = double(latency.count()) / 1e6;
-    Flow& f = flows_[key(group, cls)];
+    Flow& f = flows_[key(group, request_class)];
     f.cost += (f.cost > 0 ? kCostGain : 1) * (took - f.cost);
 }
 
@@ -104,9 +104,10 @@
     in.out = out;
     for (const Share& s : make_plan(in).shares) {
         if (s.admit >= 1) continue;
-        auto cls =
-            std::find_if(classes_.begin(), classes_.end(), [&](const Demand& d) { return d.cls == s.cls; });
-        parts_[key(s.group, std::size_t(cls - classes_.begin()))] = s.admit;
+        auto request_class = std::find_if(classes_.begin(), classes_.end(), [&](const Demand& d) {
+            return d.request_class == s.request_class;
+        });
+        parts_[key(s.group, std::size_t(request_class - classes_.begin()))] = s.admit;
         shedding_ = true;
     }
 }
--- a/src/site/shed.hpp
+++ b/src/site/shed.hpp
@@ -17,16 +17,16 @@
 
     struct Arrival {
         GroupId group{};
-        std::size_t cls = 0;  // into `classes`
+        std::size_t request_class = 0;  // into `classes`
         std::string tenant;
-        double draw = 0;      // uniform in [0, 1), handed in
-        Duration patience{};  // the time it has left; zero: not told
-        bool repeat = false;  // its client asked before
+        double draw = 0;              // uniform in [0, 1), handed in
+        Duration response_timeout{};  // the time it has left; zero: not told
+        bool repeat = false;          // its client asked before
     };
     // False: it is to be refused, at once.
     bool admit(const Arrival& arrival, Time now);
-    void took(GroupId group, std::size_t cls, Duration latency);  // an answer
-    void busy(HostId host, double share);                         // of its cores, as it tells
+    void took(GroupId group, std::size_t request_class, Duration latency);  // an answer
+    void busy(HostId host, double share);                                   // of its cores, as it tells
     // From now on; lifted where nothing is out. Hosts: all that the list has.
     void plan(const std::vector<Host>& hosts, const std::set<HostId>& out, Time now);
     void set(const Settings& settings) { set_ = settings; }
@@ -40,12 +40,12 @@
     struct Flow {
         double rate = 0;  // a second, decaying
         Time at{};
-        double cost = 0;      // seconds, averaged
-        Duration patience{};  // the longest that came
-        Arrivals arrivals;    // kept while anything is refused
+        double cost = 0;              // seconds, averaged
+        Duration response_timeout{};  // the longest that came
+        Arrivals arrivals;            // kept while anything is refused
     };
-    std::uint64_t key(GroupId group, std::size_t cls) const {
-        return (std::uint64_t(group) << 16) | std::uint64_t(cls);
+    std::uint64_t key(GroupId group, std::size_t request_class) const {
+        return (std::uint64_t(group) << 16) | std::uint64_t(request_class);
     }
     double rate(const Flow& flow, Time now) const;
 
@@ -61,9 +61,9 @@
 
 // Further attempts of reads while a site is in doubt: as many as reads have earned, so that a loss does not
 // double the load that is left. Writes are not counted: they are worth most, and their class binds them.
-class RepeatBudget {
+class RetryBudget {
   public:
-    explicit RepeatBudget(const Settings& settings) : set_(settings), credit_(settings.repeat_most) {}
+    explicit RetryBudget(const Settings& settings) : set_(settings), credit_(settings.repeat_most) {}
     void earned() { credit_ = std::min(set_.repeat_most, credit_ + set_.repeat_income); }
     bool spend() {
         if (credit_ < 1 - 1e-9) return false;  // fifths add up to a little less than one
--- a/src/site/verdict.cpp
+++ b/src/site/site_health.cpp
@@ -1,4 +1,4 @@
-#include "site/verdict.hpp"
+#include "site/site_health.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -7,8 +7,8 @@
 namespace indigovane::site {
 
 namespace {
-bool given_up(Standing s) {
-    return s == Standing::lost || s == Standing::cut_off;
+bool given_up(SiteState s) {
+    return s == SiteState::lost || s == SiteState::cut_off;
 }
 Duration doubled(Duration first, Duration most, unsigned falls) {
     Duration d = first;
@@ -21,20 +21,20 @@
 // before the silence began is no witness against it: most of a site's hosts have not been asked since. That
 // the silent work was sent `quiet` ago matters as much as when it ended: a shorter pause of the network ends
 // nothing.
-bool Verdicts::silent(const SiteEvidence& e, Time now) const {
+bool SiteHealthTracker::silent(const SiteEvidence& e, Time now) const {
     unsigned wanted =
         std::max(std::min(e.hosts, set_.least), unsigned(std::ceil(set_.witness * double(e.known))));
     if (e.hosts == 0 || e.run < std::max(1u, wanted)) return false;
     return now - e.answered.value_or(*e.mute_since) >= set_.quiet;
 }
 
-bool Verdicts::doubtful(const SiteEvidence& e) const {
+bool SiteHealthTracker::doubtful(const SiteEvidence& e) const {
     return e.hosts > 0 && e.mute >= std::min(e.hosts, set_.least) && e.silent_share() >= set_.doubt;
 }
 
-Change Verdicts::enter(SiteId site, Standing standing, Time now, const SiteEvidence& evidence,
-                       const char* why) {
-    Verdict& v = sites_[site];
+Change SiteHealthTracker::enter(SiteId site, SiteState standing, Time now, const SiteEvidence& evidence,
+                                const char* why) {
+    SiteHealth& v = sites_[site];
     Change change{site, v.standing, standing, evidence, why};
     if (given_up(standing) && !given_up(v.standing)) {
         if (v.fell && now - *v.fell > set_.flap_memory) v.falls = 0;
@@ -42,11 +42,11 @@
         v.fell = now;
         v.look_at = now + doubled(set_.hold, set_.hold_most, v.falls);
         v.confirmed = now;
-        v.restarted = standing == Standing::lost && evidence.broken * 2 > evidence.mute;
-        v.warm = standing == Standing::cut_off;
+        v.restarted = standing == SiteState::lost && evidence.broken * 2 > evidence.mute;
+        v.warm = standing == SiteState::cut_off;
         answers_.erase(site);
     }
-    if (standing == Standing::returning) {
+    if (standing == SiteState::returning) {
         Duration first = v.restarted ? set_.ramp : v.warm ? set_.ramp_warm : set_.ramp_unsure;
         v.ramp = doubled(first, set_.ramp_most, std::max(1u, v.falls));
     }
@@ -56,13 +56,13 @@
     return change;
 }
 
-std::vector<Change> Verdicts::look(const Evidence& evidence, Time now, Duration patience) {
+std::vector<Change> SiteHealthTracker::look(const Evidence& evidence, Time now, Duration response_timeout) {
     std::vector<Change> changes;
     std::map<SiteId, SiteEvidence> seen;
     unsigned hosts_silent = 0, hosts_answering = 0;
     bool anything = false, unasked = false;
     for (SiteId s : evidence.sites()) {
-        SiteEvidence e = evidence.of(s, now, set_.fresh, patience);
+        SiteEvidence e = evidence.of(s, now, set_.fresh, response_timeout);
         bool gone = silent(e, now) || given_up(sites_[s].standing);
         (gone ? hosts_silent : hosts_answering) += e.hosts;
         // A site of which nothing was asked lately says nothing for or against this pooler's own link. That
@@ -87,75 +87,75 @@
     }
 
     for (auto& [s, e] : seen) {
-        Verdict& v = sites_[s];
-        if (v.standing == Standing::drained) continue;
+        SiteHealth& v = sites_[s];
+        if (v.standing == SiteState::drained) continue;
         if (given_up(v.standing)) {
             if (e.mute_at) v.confirmed = std::max(v.confirmed, *e.mute_at);
             auto& back = answers_[s];
             std::erase_if(back, [&](const auto& a) { return now - a.second > set_.fresh + set_.hold; });
             unsigned wanted = std::max(1u, std::min(set_.back, e.hosts));
             if (now >= v.look_at && back.size() >= wanted)
-                changes.push_back(enter(s, Standing::returning, now, e, "hosts answer again"));
+                changes.push_back(enter(s, SiteState::returning, now, e, "hosts answer again"));
             else if (now >= v.look_at && now - v.confirmed > set_.lapse)
-                changes.push_back(enter(s, Standing::returning, now, e, "the verdict has lapsed"));
+                changes.push_back(enter(s, SiteState::returning, now, e, "the verdict has lapsed"));
             continue;
         }
         if (silent(e, now) && anything) {
             // Most hosts answer: it is that site. Most are silent: it may as well be this pooler's side.
             bool mine = hosts_silent > hosts_answering;
-            changes.push_back(enter(s, mine ? Standing::cut_off : Standing::lost, now, e,
+            changes.push_back(enter(s, mine ? SiteState::cut_off : SiteState::lost, now, e,
                                     mine                    ? "silent, as most hosts are to this pooler"
                                     : e.broken > e.mute / 2 ? "its hosts refuse or reset"
                                                             : "its hosts are silent"));
             continue;
         }
-        if (v.standing == Standing::returning) continue;  // until home(), or until it is silent again
+        if (v.standing == SiteState::returning) continue;  // until home(), or until it is silent again
         bool doubt = doubtful(e) && !uplink_down_;
-        if (doubt && v.standing == Standing::reachable)
-            changes.push_back(enter(s, Standing::doubtful, now, e, "several of its hosts are silent"));
+        if (doubt && v.standing == SiteState::reachable)
+            changes.push_back(enter(s, SiteState::doubtful, now, e, "several of its hosts are silent"));
         // Hysteresis: doubt ends where silent ones are few, not where they are a little fewer.
-        else if (v.standing == Standing::doubtful && e.silent_share() < set_.doubt / 2)
-            changes.push_back(enter(s, Standing::reachable, now, e, "its hosts answer"));
+        else if (v.standing == SiteState::doubtful && e.silent_share() < set_.doubt / 2)
+            changes.push_back(enter(s, SiteState::reachable, now, e, "its hosts answer"));
     }
     return changes;
 }
 
-void Verdicts::answered(SiteId site, HostId host, Time now) {
+void SiteHealthTracker::answered(SiteId site, HostId host, Time now) {
     auto it = sites_.find(site);
     if (it != sites_.end() && given_up(it->second.standing)) answers_[site][host] = now;
 }
 
-std::optional<Change> Verdicts::home(SiteId site, Time now) {
+std::optional<Change> SiteHealthTracker::home(SiteId site, Time now) {
     auto it = sites_.find(site);
-    if (it == sites_.end() || it->second.standing != Standing::returning) return std::nullopt;
-    return enter(site, Standing::reachable, now, {}, "all of its hosts are in use");
+    if (it == sites_.end() || it->second.standing != SiteState::returning) return std::nullopt;
+    return enter(site, SiteState::reachable, now, {}, "all of its hosts are in use");
 }
 
-std::optional<Change> Verdicts::drain(SiteId site, bool on, Time now) {
-    Verdict& v = sites_[site];
-    if (on == (v.standing == Standing::drained)) return std::nullopt;
+std::optional<Change> SiteHealthTracker::drain(SiteId site, bool on, Time now) {
+    SiteHealth& v = sites_[site];
+    if (on == (v.standing == SiteState::drained)) return std::nullopt;
     if (!on && !v.ordered) return std::nullopt;
     v.ordered = on;
     v.warm = true;
     v.restarted = false;
-    return enter(site, on ? Standing::drained : Standing::returning, now, {},
+    return enter(site, on ? SiteState::drained : SiteState::returning, now, {},
                  on ? "operators sent its load away" : "operators let it back");
 }
 
-const Verdict& Verdicts::of(SiteId site) const {
-    static const Verdict none;
+const SiteHealth& SiteHealthTracker::of(SiteId site) const {
+    static const SiteHealth none;
     auto it = sites_.find(site);
     return it == sites_.end() ? none : it->second;
 }
 
-bool Verdicts::heard(SiteId site) const {
+bool SiteHealthTracker::heard(SiteId site) const {
     auto it = answers_.find(site);
     return it != answers_.end() && !it->second.empty();
 }
 
-bool Verdicts::any_trouble() const {
+bool SiteHealthTracker::any_trouble() const {
     return std::any_of(sites_.begin(), sites_.end(),
-                       [](const auto& s) { return s.second.standing != Standing::reachable; });
+                       [](const auto& s) { return s.second.standing != SiteState::reachable; });
 }
 
 }  // namespace indigovane::site
--- a/src/site/verdict.hpp
+++ b/src/site/site_health.hpp
@@ -9,8 +9,8 @@
 
 namespace indigovane::site {
 
-struct Verdict {
-    Standing standing = Standing::reachable;
+struct SiteHealth {
+    SiteState standing = SiteState::reachable;
     Time since{};              // in this standing
     SiteEvidence evidence{};   // on which it was entered
     unsigned falls = 0;        // within settings.flap_memory
@@ -26,39 +26,39 @@
 // A change of standing, for the log and for whoever acts on it.
 struct Change {
     SiteId site{};
-    Standing before{}, now{};
+    SiteState before{}, now{};
     SiteEvidence evidence{};
     const char* why = "";
 };
 
-class Verdicts {
+class SiteHealthTracker {
   public:
-    explicit Verdicts(const Settings& settings) : set_(settings) {}
+    explicit SiteHealthTracker(const Settings& settings) : set_(settings) {}
 
     // Looks at all sites. `own`: where this pooler runs, if that is known.
     // `patience`: see Evidence::of.
-    std::vector<Change> look(const Evidence& evidence, Time now, Duration patience);
+    std::vector<Change> look(const Evidence& evidence, Time now, Duration response_timeout);
     // A host of the site has answered although the site was given up: by probe or trial.
     void answered(SiteId site, HostId host, Time now);
     std::optional<Change> home(SiteId site, Time now);  // its return is over
     std::optional<Change> drain(SiteId site, bool on, Time now);
     void restarted(SiteId site) { sites_[site].restarted = true; }
 
-    const Verdict& of(SiteId site) const;
+    const SiteHealth& of(SiteId site) const;
     bool heard(SiteId site) const;  // given up, and one of it has answered since
     bool uplink_down() const { return uplink_down_; }
     bool uplink_is_back() { return std::exchange(uplink_back_, false); }  // once
     bool any_trouble() const;
-    const std::map<SiteId, Verdict>& all() const { return sites_; }
+    const std::map<SiteId, SiteHealth>& all() const { return sites_; }
     void set(const Settings& settings) { set_ = settings; }
 
   private:
-    Change enter(SiteId site, Standing standing, Time now, const SiteEvidence& evidence, const char* why);
+    Change enter(SiteId site, SiteState standing, Time now, const SiteEvidence& evidence, const char* why);
     bool silent(const SiteEvidence& e, Time now) const;
     bool doubtful(const SiteEvidence& e) const;
 
     Settings set_;
-    std::map<SiteId, Verdict> sites_;
+    std::map<SiteId, SiteHealth> sites_;
     std::map<SiteId, std::map<HostId, Time>> answers_;  // of sites that were given up, since then
     bool uplink_down_ = false, uplink_back_ = false;
 };
