--- a/src/site/director.cpp
+++ b/src/site/site_manager.cpp
@@ -1,4 +1,4 @@
-#include "site/director.hpp"
+#include "site/site_manager.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -11,34 +11,35 @@
 constexpr Duration kIdle = seconds(1);        // else: evidence ages, rates decay
 }  // namespace
 
-Director::Director(const Settings& settings, Surroundings around, std::function<double()> draw)
+SiteManager::SiteManager(const Settings& settings, FleetContext around, std::function<double()> draw)
     : set_(settings),
       around_(std::move(around)),
       draw_(std::move(draw)),
       verdicts_(settings),
       shedder_(settings, around_.classes),
-      repeats_(settings) {}
+      retry_budget_(settings) {}
 
-void Director::set(const Settings& settings, Surroundings around) {
+void SiteManager::set(const Settings& settings, FleetContext around) {
     bool same = std::equal(around.classes.begin(), around.classes.end(), around_.classes.begin(),
                            around_.classes.end(), [](const Demand& a, const Demand& b) {
-                               return a.cls == b.cls && a.worth == b.worth && a.primary == b.primary;
+                               return a.request_class == b.request_class &&
+                                      a.priority_weight == b.priority_weight && a.primary == b.primary;
                            });
     set_ = settings;
     around_ = std::move(around);
     verdicts_.set(settings);
     shedder_.set(settings);
-    repeats_.set(settings);
+    retry_budget_.set(settings);
     if (!same) shedder_.classes(around_.classes);
     plan_due_ = true;
 }
 
-bool Director::away(SiteId site) const {
-    Standing s = verdicts_.of(site).standing;
-    return s == Standing::lost || s == Standing::cut_off || s == Standing::drained;
+bool SiteManager::away(SiteId site) const {
+    SiteState s = verdicts_.of(site).standing;
+    return s == SiteState::lost || s == SiteState::cut_off || s == SiteState::drained;
 }
 
-void Director::hosts(const std::vector<Host>& hosts, Time now) {
+void SiteManager::hosts(const std::vector<Host>& hosts, Time now) {
     std::map<HostId, std::optional<Time>> before;
     for (const Host& h : evidence_.all()) before[h.id] = h.started;
     evidence_.hosts(hosts);
@@ -55,8 +56,8 @@
         }
         // One that is new to a site which is away stays out until it returns; the list is told by others, and
         // they may have told of it before its site was lost.
-        if (set_.hold_out && old == before.end() && out_.insert(h.id).second)
-            effects_.push_back(HoldOut{h.id});
+        if (set_.exclude && old == before.end() && out_.insert(h.id).second)
+            effects_.push_back(ExcludeHost{h.id});
     }
     for (auto& [site, ramp] : ramps_)
         for (const auto& [id, started] : before)
@@ -69,7 +70,7 @@
 
 // Guards a site that was only cut off: on a bad day one of its hosts starts anew meanwhile, and all others
 // would come back as slowly as if they were cold too. Of the one that is, the list itself tells.
-bool Director::mostly_started(SiteId site) const {
+bool SiteManager::mostly_started(SiteId site) const {
     Time since = verdicts_.of(site).since;
     unsigned all = 0, started = 0;
     for (const Host& h : evidence_.all()) {
@@ -80,15 +81,15 @@
     return started * 2 >= all;
 }
 
-void Director::primary(HostId host) {
+void SiteManager::primary(HostId host) {
     if (const Host* h = evidence_.host(host)) primaries_[h->group] = host;
 }
 
-void Director::sign(HostId id, Sign sign, Time sent, Time now) {
+void SiteManager::sign(HostId id, ContactResult sign, Time sent, Time now) {
     evidence_.sign(id, sign, sent, now);
     const Host* h = evidence_.host(id);
     if (!h) return;
-    if (sign == Sign::answer) {
+    if (sign == ContactResult::answer) {
         if (away(h->site)) verdicts_.answered(h->site, id, now);
         if (auto ramp = ramps_.find(h->site); ramp != ramps_.end()) ramp->second.answered(id);
     } else if (!next_ || *next_ > now + kLook) {
@@ -96,35 +97,35 @@
     }
 }
 
-void Director::sent(HostId host, Time now) {
+void SiteManager::sent(HostId host, Time now) {
     evidence_.sent(host, now);
     Duration soon = set_.confirm > 0 ? set_.quiet / 2 : set_.quiet;
     if (!next_ || *next_ > now + soon) next_ = now + soon;
 }
 
-void Director::took(GroupId group, std::size_t cls, Duration latency) {
-    shedder_.took(group, cls, latency);
+void SiteManager::took(GroupId group, std::size_t request_class, Duration latency) {
+    shedder_.took(group, request_class, latency);
     usual_ += kUsualGain * (double(latency.count()) - usual_);
 }
 
-Duration Director::patience() const {
-    return std::max(set_.quiet, Duration(std::int64_t(usual_ * set_.patience)));
+Duration SiteManager::response_timeout() const {
+    return std::max(set_.quiet, Duration(std::int64_t(usual_ * set_.response_timeout)));
 }
 
-bool Director::admit(Shedder::Arrival arrival, Time now) {
+bool SiteManager::admit(Shedder::Arrival arrival, Time now) {
     if (!next_) next_ = now + kIdle;
-    repeats_.earned();
+    retry_budget_.earned();
     return shedder_.admit(arrival, now) || !set_.shed;
 }
 
-bool Director::may_repeat() {
+bool SiteManager::may_retry() {
     if (!set_.budget || !in_trouble()) return true;
-    if (repeats_.spend()) return true;
+    if (retry_budget_.spend()) return true;
     ++held_back_;
     return false;
 }
 
-bool Director::drain(SiteId site, bool on, Time now) {
+bool SiteManager::drain(SiteId site, bool on, Time now) {
     auto sites = evidence_.sites();
     if (std::find(sites.begin(), sites.end(), site) == sites.end()) return false;
     auto change = verdicts_.drain(site, on, now);
@@ -134,16 +135,16 @@
     return true;
 }
 
-Effects Director::tick(Time now) {
+SiteActions SiteManager::tick(Time now) {
     // Called much later than asked for: this process was stopped, or its machine. What it did not hear
     // meanwhile is no evidence, and nobody is judged before new signs have come.
     if (set_.doubt_self && next_ && now - *next_ > set_.stall) evidence_.woke(now);
     for (const Change& c : std::exchange(ordered_, {})) apply(c, now);
-    for (const Change& c : verdicts_.look(evidence_, now, patience())) apply(c, now);
+    for (const Change& c : verdicts_.look(evidence_, now, response_timeout())) apply(c, now);
     if (verdicts_.uplink_is_back()) evidence_.woke(now);
     if (set_.confirm > 0 && around_.probes) confirm(now);
     for (const auto& [site, v] : verdicts_.all())
-        if (v.standing == Standing::lost || v.standing == Standing::cut_off) probe_lost(site, v, now);
+        if (v.standing == SiteState::lost || v.standing == SiteState::cut_off) probe_lost(site, v, now);
     for (auto it = ramps_.begin(); it != ramps_.end();) {
         auto due = it->second.due(now, set_.probe_every);
         for (HostId id : due.probe) effects_.push_back(ProbeHost{id});
@@ -159,29 +160,30 @@
     }
     if (std::exchange(plan_due_, false)) plan(now);
     bool busy = in_trouble() || !ramps_.empty();
-    for (SiteId s : evidence_.sites()) busy = busy || evidence_.of(s, now, set_.fresh, patience()).mute > 0;
+    for (SiteId s : evidence_.sites())
+        busy = busy || evidence_.of(s, now, set_.fresh, response_timeout()).mute > 0;
     next_ = now + (busy ? kLook : kIdle);
     return std::exchange(effects_, {});
 }
 
-void Director::apply(const Change& change, Time now) {
-    const Verdict& v = verdicts_.of(change.site);
-    Note note{change, 0, 0, v.falls};
-    if (change.now == Standing::lost || change.now == Standing::cut_off)
+void SiteManager::apply(const Change& change, Time now) {
+    const SiteHealth& v = verdicts_.of(change.site);
+    SiteTransition note{change, 0, 0, v.falls};
+    if (change.now == SiteState::lost || change.now == SiteState::cut_off)
         note.hold_s = double((v.look_at - now).count()) / 1e6;
-    if (change.now == Standing::returning) note.ramp_s = double(v.ramp.count()) / 1e6;
+    if (change.now == SiteState::returning) note.ramp_s = double(v.ramp.count()) / 1e6;
     effects_.push_back(note);
     ramps_.erase(change.site);
     plan_due_ = true;
     switch (change.now) {
-        case Standing::doubtful:
+        case SiteState::doubtful:
             break;  // hosts are judged one by one, by the module; repeats go by their budget from here on
-        case Standing::lost:
-        case Standing::cut_off:
-        case Standing::drained:
+        case SiteState::lost:
+        case SiteState::cut_off:
+        case SiteState::drained:
             hold_site(change.site, now);
             break;
-        case Standing::returning: {
+        case SiteState::returning: {
             std::vector<Host> out;
             std::map<GroupId, unsigned> all, away_now;
             for (const Host& h : evidence_.all()) {
@@ -190,52 +192,52 @@
                 away_now[h.group] += out_.count(h.id) > 0;
                 if (h.site == change.site && out_.count(h.id)) out.push_back(h);
             }
-            auto strain = [&](GroupId g) {
+            auto load_ratio = [&](GroupId g) {
                 unsigned left = all[g] - away_now[g];
                 return left == 0 ? double(all[g]) + 1 : double(all[g]) / left;
             };
             // Evidence of before would end the return at once.
             evidence_.forget(change.site, now);
             Duration length = set_.pace ? v.ramp : Duration::zero();
-            ramps_[change.site].begin(out, strain, length, set_.trickle, around_.probes && set_.ramp_probes,
-                                      draw_, now);
+            ramps_[change.site].begin(out, load_ratio, length, set_.trickle,
+                                      around_.probes && set_.ramp_probes, draw_, now);
             break;
         }
-        case Standing::reachable:
+        case SiteState::reachable:
             for (const Host& h : evidence_.all())
                 if (h.site == change.site && out_.count(h.id)) let_in(h.id, false, now);
             break;
     }
 }
 
-void Director::hold_site(SiteId site, Time now) {
-    if (!set_.hold_out) return;
-    bool ordered = verdicts_.of(site).standing == Standing::drained;
+void SiteManager::hold_site(SiteId site, Time now) {
+    if (!set_.exclude) return;
+    bool ordered = verdicts_.of(site).standing == SiteState::drained;
     for (const Host& h : evidence_.all()) {
         if (h.site != site || out_.count(h.id)) continue;
         const HostEvidence* e = evidence_.of(h.id);
         bool heard = e && e->answered && !e->mute_since && now - *e->answered < set_.quiet;
         if (!ordered && heard) continue;
         out_.insert(h.id);
-        effects_.push_back(HoldOut{h.id, !ordered && set_.rescue});
+        effects_.push_back(ExcludeHost{h.id, !ordered && set_.abandon_unresponsive});
     }
 }
 
-void Director::let_in(HostId host, bool cold, Time now) {
+void SiteManager::let_in(HostId host, bool cold, Time now) {
     if (out_.erase(host) == 0) return;
     plan_due_ = true;
     // A machine that has lost its process may be back before the list says so.
-    effects_.push_back(LetIn{host, cold && set_.pace ? std::optional(now) : std::nullopt});
+    effects_.push_back(ReadmitHost{host, cold && set_.pace ? std::optional(now) : std::nullopt});
 }
 
 // Each pooler asks as often as all of them together may ask each host.
-Duration Director::probe_interval(SiteId site) const {
+Duration SiteManager::probe_interval(SiteId site) const {
     double hosts = std::max(1u, verdicts_.of(site).evidence.hosts);
     Duration fair(std::int64_t(1e6 * double(around_.fleet) / (hosts * set_.probes_per_host)));
     return std::max(set_.probe_every, fair);
 }
 
-std::vector<HostId> Director::ready_hosts(SiteId site) const {
+std::vector<HostId> SiteManager::ready_hosts(SiteId site) const {
     std::vector<HostId> some;
     for (const Host& h : evidence_.all())
         if (h.site == site && h.ready) some.push_back(h.id);
@@ -245,14 +247,14 @@
 // The first step of suspicion: a host is silent, and nothing has come from its site since. A pooler with a
 // few requests a second would need seconds to ask enough others by chance; it asks some at once. What answers
 // clears the site. All poolers together ask no host more often than `probes_per_host`, the first time apart.
-void Director::confirm(Time now) {
+void SiteManager::confirm(Time now) {
     // Not sooner: on a calm day one answer in a hundred is slow, and a pooler with a few requests a second to
     // a site hears nothing else from it meanwhile. At half of this time, 300 poolers made half of all probes
     // so.
-    Duration early = patience();
+    Duration early = response_timeout();
     for (SiteId site : evidence_.sites()) {
-        Standing is = verdicts_.of(site).standing;
-        if (is != Standing::reachable && is != Standing::doubtful) continue;
+        SiteState is = verdicts_.of(site).standing;
+        if (is != SiteState::reachable && is != SiteState::doubtful) continue;
         SiteEvidence e = evidence_.of(site, now, set_.fresh, early);
         if (e.run == 0 || (e.answered && (*e.answered >= *e.mute_since || now - *e.answered < early)))
             continue;
@@ -279,13 +281,13 @@
     }
 }
 
-void Director::probe_one(std::vector<HostId>& of) {
+void SiteManager::probe_one(std::vector<HostId>& of) {
     auto pick = of.begin() + std::ptrdiff_t(draw_() * double(of.size()));
     effects_.push_back(ProbeHost{*pick});
     of.erase(pick);
 }
 
-void Director::probe_lost(SiteId site, const Verdict& v, Time now) {
+void SiteManager::probe_lost(SiteId site, const SiteHealth& v, Time now) {
     // Just before its hold is over, so that what answers is known by then.
     if (now + set_.quiet < v.look_at) return;
 
@@ -310,26 +312,26 @@
     }
 }
 
-std::vector<Host> Director::with_roles() const {
+std::vector<Host> SiteManager::with_roles() const {
     std::vector<Host> hosts = evidence_.all();
     for (Host& h : hosts)
         if (auto p = primaries_.find(h.group); p != primaries_.end()) h.primary = p->second == h.id;
     return hosts;
 }
 
-PlanInput Director::plan_input(const std::set<SiteId>& lost, Time now) const {
+PlanInput SiteManager::plan_input(const std::set<SiteId>& lost, Time now) const {
     PlanInput in = shedder_.input(with_roles(), now);
     in.lost = lost;
     return in;
 }
 
-void Director::plan(Time now) {
+void SiteManager::plan(Time now) {
     std::set<HostId> out;
     // Hosts that only this pooler misses are carried by all others as before, and so are its own that are
     // left: what it knows of their load says nothing of what they can do for it.
     for (HostId id : out_)
         if (const Host* h = evidence_.host(id);
-            set_.shed && h && verdicts_.of(h->site).standing != Standing::cut_off)
+            set_.shed && h && verdicts_.of(h->site).standing != SiteState::cut_off)
             out.insert(id);
     shedder_.plan(with_roles(), out, now);
 }
--- a/src/site/director.hpp
+++ b/src/site/site_manager.hpp
@@ -9,68 +9,68 @@
 
 #include "site/ramp.hpp"
 #include "site/shed.hpp"
-#include "site/verdict.hpp"
+#include "site/site_health.hpp"
 
 namespace indigovane::site {
 
-struct HoldOut {  // nothing new goes there
+struct ExcludeHost {  // nothing new goes there
     HostId host{};
     bool silent = false;  // nothing is to be expected of what is out there
 };
-struct LetIn {
+struct ReadmitHost {
     HostId host{};
     std::optional<Time> started;  // it counts as cold since then; none: as the list says
 };
 struct ProbeHost {
     HostId host{};
 };
-struct Note {  // a change of phase, for the log
+struct SiteTransition {  // a change of phase, for the log
     Change change;
     double hold_s = 0, ramp_s = 0;
     unsigned falls = 0;
 };
-using Effect = std::variant<HoldOut, LetIn, ProbeHost, Note>;
-using Effects = std::vector<Effect>;
+using SiteAction = std::variant<ExcludeHost, ReadmitHost, ProbeHost, SiteTransition>;
+using SiteActions = std::vector<SiteAction>;
 
 // What the platform's settings permit and say.
-struct Surroundings {
+struct FleetContext {
     unsigned fleet = 1;
     bool probes = false;
     std::vector<Demand> classes;  // by class id: name, worth, whether the primary is needed
 };
 
-class Director {
+class SiteManager {
   public:
     // `draw`: uniform in [0, 1).
-    Director(const Settings& settings, Surroundings around, std::function<double()> draw);
+    SiteManager(const Settings& settings, FleetContext around, std::function<double()> draw);
 
     // Events. Times never go back.
     void hosts(const std::vector<Host>& hosts, Time now);
     void primary(HostId host);         // was seen to act as its group's primary
     void sent(HostId host, Time now);  // an attempt or a probe; over() follows
     void over(HostId host) { evidence_.over(host); }
-    void sign(HostId host, Sign sign, Time sent, Time now);
+    void sign(HostId host, ContactResult sign, Time sent, Time now);
     void busy(HostId host, double share) { shedder_.busy(host, share); }
-    void took(GroupId group, std::size_t cls, Duration latency);
-    Duration patience() const;  // with work that is out
+    void took(GroupId group, std::size_t request_class, Duration latency);
+    Duration response_timeout() const;  // with work that is out
     // False: the request is to be refused at once.
     bool admit(Shedder::Arrival arrival, Time now);
     // A further attempt of a read that is about to be sent. False: it may not.
-    bool may_repeat();
+    bool may_retry();
     // Looks at everything. To be called when next() says, and may be called at any time.
-    Effects tick(Time now);
+    SiteActions tick(Time now);
     std::optional<Time> next() const { return next_; }
 
     // Operators. False: no such site, or it is as asked already.
     bool drain(SiteId site, bool on, Time now);
-    void set(const Settings& settings, Surroundings around);
+    void set(const Settings& settings, FleetContext around);
 
-    const Verdicts& verdicts() const { return verdicts_; }
+    const SiteHealthTracker& verdicts() const { return verdicts_; }
     const Evidence& evidence() const { return evidence_; }
 
     PlanInput plan_input(const std::set<SiteId>& lost, Time now) const;
 
-    std::size_t held_out() const { return out_.size(); }
+    std::size_t site_excluded() const { return out_.size(); }
     std::uint64_t refused() const { return shedder_.refused(); }
     std::uint64_t repeats_held_back() const { return held_back_; }
     const Settings& settings() const { return set_; }
@@ -80,7 +80,7 @@
     void hold_site(SiteId site, Time now);
     void let_in(HostId host, bool cold, Time now);
     void plan(Time now);
-    void probe_lost(SiteId site, const Verdict& verdict, Time now);
+    void probe_lost(SiteId site, const SiteHealth& verdict, Time now);
     void confirm(Time now);
     void probe_one(std::vector<HostId>& of);  // by chance, and takes it out
     Duration probe_interval(SiteId site) const;
@@ -91,12 +91,12 @@
     bool in_trouble() const { return verdicts_.any_trouble(); }
 
     Settings set_;
-    Surroundings around_;
+    FleetContext around_;
     std::function<double()> draw_;
     Evidence evidence_;
-    Verdicts verdicts_;
+    SiteHealthTracker verdicts_;
     Shedder shedder_;
-    RepeatBudget repeats_;
+    RetryBudget retry_budget_;
     std::map<SiteId, Ramp> ramps_;
     struct Asked {
         Time last, due;  // the next one
@@ -106,7 +106,7 @@
     std::set<HostId> out_;                 // held out
     std::map<GroupId, HostId> primaries_;  // seen to act as such
     std::map<SiteId, std::size_t> turn_;   // whose turn it is to be probed
-    Effects effects_;
+    SiteActions effects_;
     std::vector<Change> ordered_;  // by operators, not noted yet
     std::optional<Time> next_;
     std::uint64_t held_back_ = 0;
--- a/src/site/types.hpp
+++ b/src/site/types.hpp
@@ -33,7 +33,7 @@
 };
 
 // What one pooler holds of a site. Each has its evidence (verdict.hpp) and a time after which it lapses.
-enum class Standing : std::uint8_t {
+enum class SiteState : std::uint8_t {
     reachable,  // answers come, or nothing is known
     doubtful,   // several of its hosts are silent, not all
     lost,       // silent, while most of the fleet's hosts answer
@@ -41,10 +41,10 @@
     drained,    // operators have sent its load away
     returning,  // answers again; load goes back in steps
 };
-const char* name(Standing s);
+const char* name(SiteState s);
 
 // How one attempt, probe or connection ended, for the site of its host.
-enum class Sign : std::uint8_t {
+enum class ContactResult : std::uint8_t {
     answer,  // anything that the host said, an error or a refusal too
     mute,    // nothing came in the time it had, or no connection came up
     broken,  // refused or reset: the machine is there, the process may not be
@@ -59,7 +59,7 @@
     unsigned least = 3;                  // silent hosts: one is no site, unless the site has no more
     double witness = 0.34;               // of a site's hosts that this pooler uses, silent before it is lost
     unsigned confirm = 3;                // hosts of a site that are probed when one of it is silent; 0: none
-    double patience = 4;  // usual answer times after which work that is out counts as unanswered
+    double response_timeout = 4;  // usual answer times after which work that is out counts as unanswered
     Duration stall = milliseconds(1000);  // this process slept if it is called so much later than it asked
     Duration lapse = seconds(15);         // a loss that nothing has confirmed for so long is tried again
     // The return.
@@ -86,7 +86,7 @@
     Duration retry_after = milliseconds(500);
     // Each part can be switched off, to measure what it is worth.
     // Refusing by plan is off unless asked for: docs/site-loss.md has the figures.
-    bool hold_out = true, rescue = true, shed = false, budget = true, pace = true;
+    bool exclude = true, abandon_unresponsive = true, shed = false, budget = true, pace = true;
     bool doubt_self = true;  // its own link and its own sleep are thought of before anybody is judged
 };
 
--- a/src/statement/classifier.cpp
+++ b/src/statement/classifier.cpp
@@ -291,8 +291,8 @@
     return policy_.unparsed;
 }
 
-Judgement Classifier::flawed(Flaw flaw, std::size_t at) const {
-    Judgement j;
+StatementProfile Classifier::flawed(Flaw flaw, std::size_t at) const {
+    StatementProfile j;
     j.kind = Kind::invalid;
     // Where there is no statement there is nothing that a primary could do with it.
     j.route = flaw == Flaw::empty ? Route::refuse : policy_.unparsed;
@@ -300,8 +300,8 @@
     return j;
 }
 
-Judgement Classifier::classify(std::string_view canonical) const {
-    Judgement j;
+StatementProfile Classifier::classify(std::string_view canonical) const {
+    StatementProfile j;
     auto end = [&](Kind kind, std::string reason) {
         j.kind = kind;
         j.route = route(kind);
--- a/src/statement/classifier.hpp
+++ b/src/statement/classifier.hpp
@@ -8,7 +8,7 @@
 #include <string_view>
 
 #include "statement/builtins.hpp"
-#include "statement/judgement.hpp"
+#include "statement/statement_profile.hpp"
 
 namespace indigovane::statement {
 
@@ -39,9 +39,9 @@
 
     // Kind, route, reason, tables and features; the shape and the rule's class are not its concern. Any text
     // is judged; it never throws but for want of memory.
-    Judgement classify(std::string_view canonical) const;
+    StatementProfile classify(std::string_view canonical) const;
     // For a text that a scanner has found a flaw in.
-    Judgement flawed(Flaw flaw, std::size_t at) const;
+    StatementProfile flawed(Flaw flaw, std::size_t at) const;
     Route route(Kind kind) const;  // before functions, operators and relations are looked at
 
   private:
--- a/src/statement/rules.cpp
+++ b/src/statement/rules.cpp
@@ -52,7 +52,7 @@
     return types_.count(full(schema, name)) > 0;
 }
 
-std::int32_t Rules::class_of(const Judgement& j) const {
+std::int32_t Rules::class_of(const StatementProfile& j) const {
     if (auto it = by_shape_.find(j.shape); it != by_shape_.end()) return it->second;
     for (const std::string& table : j.tables) {
         if (auto it = by_table_.find(table); it != by_table_.end()) return it->second;
--- a/src/statement/rules.hpp
+++ b/src/statement/rules.hpp
@@ -40,7 +40,7 @@
 
     const std::vector<ClassRule>& classes() const { return classes_; }
     // The rule that a judgement falls under: by shape before table before kind, the first of each. -1: none.
-    std::int32_t class_of(const Judgement& j) const;
+    std::int32_t class_of(const StatementProfile& j) const;
 
     Policy policy;
 
--- a/src/statement/shape_cache.cpp
+++ b/src/statement/shape_cache.cpp
@@ -75,14 +75,14 @@
     }
 }
 
-const Judgement* ShapeCache::find(std::string_view text) {
+const StatementProfile* ShapeCache::find(std::string_view text) {
     std::uint64_t hash = XXH3_64bits_withSeed(text.data(), text.size(), seed_);
     sketch_.add(hash);
     for (Entry* e = slot(hash); e; e = e->chain)
         if (e->hash == hash && e->text() == text) {
             ++counts_.hits;
             touch(e);
-            return &e->judgement;
+            return &e->profile;
         }
     ++counts_.misses;
     return nullptr;
@@ -101,19 +101,19 @@
         }
 }
 
-const Judgement* ShapeCache::put(std::string_view text, Judgement judgement) {
-    std::size_t bytes = sizeof(Entry) + text.size() + 16 + heap_of(judgement.reason) +
-                        judgement.tables.capacity() * sizeof(std::string);
-    for (const std::string& t : judgement.tables) bytes += heap_of(t);
+const StatementProfile* ShapeCache::put(std::string_view text, StatementProfile profile) {
+    std::size_t bytes = sizeof(Entry) + text.size() + 16 + heap_of(profile.reason) +
+                        profile.tables.capacity() * sizeof(std::string);
+    for (const std::string& t : profile.tables) bytes += heap_of(t);
     if (bytes > window_most_) {
-        unkept_ = std::move(judgement);
+        unkept_ = std::move(profile);
         return &unkept_;
     }
     if (size_ >= table_.size()) grow_table();
     void* memory = ::operator new(sizeof(Entry) + text.size());
     Entry* e = new (memory) Entry;
     std::memcpy(reinterpret_cast<char*>(e + 1), text.data(), text.size());
-    e->judgement = std::move(judgement);
+    e->profile = std::move(profile);
     e->hash = XXH3_64bits_withSeed(text.data(), text.size(), seed_);
     e->length = std::uint32_t(text.size());
     e->bytes = std::uint32_t(bytes);
@@ -123,7 +123,7 @@
     ++size_;
     link(e, Part::window);
     shrink();  // the newest of the window stays: no entry is larger than that
-    return &e->judgement;
+    return &e->profile;
 }
 
 void ShapeCache::shrink() {
--- a/src/statement/shape_cache.hpp
+++ b/src/statement/shape_cache.hpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "statement/frequency_sketch.hpp"
-#include "statement/judgement.hpp"
+#include "statement/statement_profile.hpp"
 
 namespace indigovane::statement {
 
@@ -30,10 +30,10 @@
     ShapeCache& operator=(const ShapeCache&) = delete;
 
     // Texts are compared whole: equal hashes never give another text's judgement. Valid until the next call.
-    const Judgement* find(std::string_view text);
+    const StatementProfile* find(std::string_view text);
     // Valid until the next call. Texts longer than a hundredth of the cache are not kept: the judgement is
     // returned from a place of its own.
-    const Judgement* put(std::string_view text, Judgement judgement);
+    const StatementProfile* put(std::string_view text, StatementProfile profile);
     void clear();
 
     std::size_t bytes() const { return bytes_; }  // what entries and tables take, sketch included
@@ -43,7 +43,7 @@
   private:
     enum class Part : std::uint8_t { window, probation, protected_ };
     struct Entry {  // its text follows it in memory
-        Judgement judgement;
+        StatementProfile profile;
         std::uint64_t hash = 0;
         Entry *newer = nullptr, *older = nullptr, *chain = nullptr;
         std::uint32_t length = 0, bytes = 0;
@@ -69,7 +69,7 @@
     std::vector<Entry*> table_;
     Queue queues_[3];
     std::size_t bytes_ = 0, size_ = 0;
-    Judgement unkept_;
+    StatementProfile unkept_;
     Counts counts_;
 };
 
--- a/src/statement/judge.cpp
+++ b/src/statement/statement_analyzer.cpp
@@ -1,10 +1,10 @@
-#include "statement/judge.hpp"
+#include "statement/statement_analyzer.hpp"
 
 #include <algorithm>
 
 namespace indigovane::statement {
 
-Judge::Judge(Rules rules, Options options)
+StatementAnalyzer::StatementAnalyzer(Rules rules, Options options)
     : options_(options),
       rules_(std::make_unique<Rules>(std::move(rules))),
       classifier_(std::make_unique<Classifier>(*rules_, rules_->policy, options.longest_parsed)),
@@ -12,13 +12,13 @@
       cache_(options.cache, options.seed),
       room_(options.parses_per_second) {}
 
-void Judge::set_rules(Rules rules) {
+void StatementAnalyzer::set_rules(Rules rules) {
     rules_ = std::make_unique<Rules>(std::move(rules));
     classifier_ = std::make_unique<Classifier>(*rules_, rules_->policy, options_.longest_parsed);
     cache_.clear();
 }
 
-const Judgement& Judge::judge(std::string_view sql, Time now) {
+const StatementProfile& StatementAnalyzer::judge(std::string_view sql, Time now) {
     ++counts_.judged;
     if (!scanner_.scan(sql)) {
         last_ = classifier_->flawed(scanner_.flaw(), scanner_.at());
@@ -26,7 +26,7 @@
         return last_;
     }
     std::string_view text = scanner_.text();
-    if (const Judgement* known = cache_.find(text)) return *known;
+    if (const StatementProfile* known = cache_.find(text)) return *known;
     if (now > refilled_) {
         std::chrono::duration<double> passed = now - refilled_;
         room_ = std::min(options_.parses_per_second, room_ + passed.count() * options_.parses_per_second);
@@ -34,7 +34,7 @@
     }
     if (room_ < 1) {
         ++counts_.unparsed;
-        last_ = Judgement{};
+        last_ = StatementProfile{};
         last_.shape = shape_of(text);
         last_.kind = Kind::invalid;
         last_.route = rules_->policy.unparsed;
@@ -43,15 +43,16 @@
     }
     room_ -= 1;
     ++counts_.parsed;
-    Judgement judgement = classifier_->classify(text);
-    judgement.shape = shape_of(text);
-    judgement.cls = rules_->class_of(judgement);
-    if (judgement.cls >= 0) judgement.cost_us = rules_->classes()[std::size_t(judgement.cls)].cost_us;
-    judgement.tables.shrink_to_fit();
-    return *cache_.put(text, std::move(judgement));
+    StatementProfile profile = classifier_->classify(text);
+    profile.shape = shape_of(text);
+    profile.request_class = rules_->class_of(profile);
+    if (profile.request_class >= 0)
+        profile.cost_us = rules_->classes()[std::size_t(profile.request_class)].cost_us;
+    profile.tables.shrink_to_fit();
+    return *cache_.put(text, std::move(profile));
 }
 
-std::uint32_t estimate_cost(const Judgement& j) {
+std::uint32_t estimate_cost(const StatementProfile& j) {
     if (j.cost_us > 0) return j.cost_us;
     const Features& f = j.features;
     double us = 2000;
--- a/src/statement/judge.hpp
+++ b/src/statement/statement_analyzer.hpp
@@ -10,7 +10,7 @@
 
 namespace indigovane::statement {
 
-class Judge {
+class StatementAnalyzer {
   public:
     using Time = std::chrono::time_point<std::chrono::steady_clock, std::chrono::microseconds>;
     struct Options {
@@ -26,10 +26,10 @@
         std::uint64_t judged = 0, parsed = 0, unparsed = 0;  // unparsed: for want of room
     };
 
-    Judge(Rules rules, Options options);
+    StatementAnalyzer(Rules rules, Options options);
 
     // Valid until the next call. Never throws but for want of memory.
-    const Judgement& judge(std::string_view sql, Time now);
+    const StatementProfile& judge(std::string_view sql, Time now);
     // Other rules from the next statement on; judgements made by the old ones are forgotten.
     void set_rules(Rules rules);
 
@@ -44,7 +44,7 @@
     std::unique_ptr<Classifier> classifier_;
     Scanner scanner_;
     ShapeCache cache_;
-    Judgement last_;
+    StatementProfile last_;
     double room_;  // parses that may be made now
     Time refilled_{};
     Counts counts_;
@@ -52,6 +52,6 @@
 
 // What a statement may cost before it has ever run: microseconds, from its features alone. Only the order
 // matters much: it is learned from the first outcomes on.
-std::uint32_t estimate_cost(const Judgement& judgement);
+std::uint32_t estimate_cost(const StatementProfile& profile);
 
 }  // namespace indigovane::statement
--- a/src/statement/judgement.hpp
+++ b/src/statement/statement_profile.hpp
@@ -33,15 +33,15 @@
     bool recursive = false;
 };
 
-struct Judgement {
+struct StatementProfile {
     Kind kind = Kind::invalid;
     Route route = Route::refuse;
     Shape shape;
     std::string reason;               // for people: one line, no more than 200 bytes
     std::vector<std::string> tables;  // as written, folded: schema.name or name; eight at most
     Features features;
-    std::int32_t cls = -1;      // the rule's class: its index in the rules; -1: none
-    std::uint32_t cost_us = 0;  // declared for the shape or table; 0: estimated from the features
+    std::int32_t request_class = -1;  // the rule's class: its index in the rules; -1: none
+    std::uint32_t cost_us = 0;        // declared for the shape or table; 0: estimated from the features
 };
 
 }  // namespace indigovane::statement
--- a/src/store/fault_environment.cpp
+++ b/src/store/fault_environment.cpp
@@ -9,7 +9,7 @@
   public:
     FaultFile(FaultEnvironment& owner, std::shared_ptr<FaultEnvironment::Node> node, std::string name)
         : owner_(owner), node_(std::move(node)), name_(std::move(name)) {}
-    Status append(std::string_view bytes) override {
+    IoStatus append(std::string_view bytes) override {
         int error = owner_.step(FaultEnvironment::Step::write, name_);
         if (owner_.out_of_power()) {
             // The very write at which the power fails may have reached the disk in part.
@@ -23,7 +23,7 @@
         write(bytes);
         return {};
     }
-    Status sync() override {
+    IoStatus sync() override {
         int error = owner_.step(FaultEnvironment::Step::sync, name_);
         if (owner_.out_of_power()) return {EIO, "no power"};
         if (error) {
@@ -38,7 +38,7 @@
         node_->loose.clear();
         return {};
     }
-    Status read(std::uint64_t at, std::size_t length, std::string& out) override {
+    IoStatus read(std::uint64_t at, std::size_t length, std::string& out) override {
         out = at < node_->all.size() ? node_->all.substr(std::size_t(at), length) : std::string();
         return {};
     }
@@ -59,7 +59,7 @@
     return fail ? fail(what, name) : 0;
 }
 
-Status FaultEnvironment::create(const std::string& name, std::unique_ptr<File>& out) {
+IoStatus FaultEnvironment::create(const std::string& name, std::unique_ptr<File>& out) {
     int error = step(Step::create, name);
     if (out_of_power()) return {EIO, "no power"};
     if (error) return {error, "create " + name};
@@ -70,14 +70,14 @@
     return {};
 }
 
-Status FaultEnvironment::open(const std::string& name, std::unique_ptr<File>& out) {
+IoStatus FaultEnvironment::open(const std::string& name, std::unique_ptr<File>& out) {
     auto it = now_.find(name);
     if (it == now_.end()) return {ENOENT, "open " + name};
     out = std::make_unique<FaultFile>(*this, it->second, name);
     return {};
 }
 
-Status FaultEnvironment::rename(const std::string& from, const std::string& to) {
+IoStatus FaultEnvironment::rename(const std::string& from, const std::string& to) {
     int error = step(Step::rename, from);
     if (out_of_power()) return {EIO, "no power"};
     auto it = now_.find(from);
@@ -90,7 +90,7 @@
     return {};
 }
 
-Status FaultEnvironment::remove(const std::string& name) {
+IoStatus FaultEnvironment::remove(const std::string& name) {
     int error = step(Step::remove, name);
     if (out_of_power()) return {EIO, "no power"};
     if (error) return {error, "remove " + name};
@@ -99,7 +99,7 @@
     return {};
 }
 
-Status FaultEnvironment::sync_folder() {
+IoStatus FaultEnvironment::sync_folder() {
     int error = step(Step::sync_folder, "");
     if (out_of_power()) return {EIO, "no power"};
     if (error) return {error, "sync the folder"};
@@ -108,13 +108,13 @@
     return {};
 }
 
-Status FaultEnvironment::list(std::vector<std::string>& names) {
+IoStatus FaultEnvironment::list(std::vector<std::string>& names) {
     names.clear();
     for (auto& [name, node] : now_) names.push_back(name);
     return {};
 }
 
-Status FaultEnvironment::lock(std::unique_ptr<Lock>& out, bool) {
+IoStatus FaultEnvironment::lock(std::unique_ptr<Lock>& out, bool) {
     struct Held : Lock {
         explicit Held(std::shared_ptr<bool> l) : locked(std::move(l)) { *locked = true; }
         ~Held() override { *locked = false; }
--- a/src/store/fault_environment.hpp
+++ b/src/store/fault_environment.hpp
@@ -30,13 +30,13 @@
         std::shared_ptr<Node> node;
     };
 
-    Status create(const std::string& name, std::unique_ptr<File>& out) override;
-    Status open(const std::string& name, std::unique_ptr<File>& out) override;
-    Status rename(const std::string& from, const std::string& to) override;
-    Status remove(const std::string& name) override;
-    Status sync_folder() override;
-    Status list(std::vector<std::string>& names) override;
-    Status lock(std::unique_ptr<Lock>& out, bool make) override;
+    IoStatus create(const std::string& name, std::unique_ptr<File>& out) override;
+    IoStatus open(const std::string& name, std::unique_ptr<File>& out) override;
+    IoStatus rename(const std::string& from, const std::string& to) override;
+    IoStatus remove(const std::string& name) override;
+    IoStatus sync_folder() override;
+    IoStatus list(std::vector<std::string>& names) override;
+    IoStatus lock(std::unique_ptr<Lock>& out, bool make) override;
 
     // Called before each step that changes something; an errno makes it fail. A `write` that fails leaves its
     // first half.
--- a/src/store/carrier.cpp
+++ b/src/store/log_worker.cpp
@@ -1,4 +1,4 @@
-#include "store/carrier.hpp"
+#include "store/log_worker.hpp"
 
 #include <algorithm>
 #include <cerrno>
@@ -9,25 +9,25 @@
 constexpr std::size_t kChunk = 64 * 1024, kGroup = 1 << 20;
 }
 
-Status Carrier::begin(const Recovered& recovered, std::uint64_t new_store_number) {
+IoStatus LogWorker::begin(const Recovered& recovered, std::uint64_t new_store_number) {
     if (!recovered.salvaged) return writer_.begin(recovered, new_store_number);
     failing_ = able_told_ = true;  // until its owner's generation has come
     return writer_.adopt(recovered, new_store_number);
 }
 
-void Carrier::give_up(const Status& status, std::uint64_t now_ms, std::vector<News>& news) {
+void LogWorker::give_up(const IoStatus& status, std::uint64_t now_ms, std::vector<StoreEvent>& events) {
     failing_ = true;
     able_told_ = chunk_out_ = false;
     retry_after_ = std::min(options_.retry_most_ms, std::max(options_.retry_ms, retry_after_ * 2));
     retry_at_ = now_ms + retry_after_;
-    News n;
-    n.kind = News::Kind::failing;
+    StoreEvent n;
+    n.kind = StoreEvent::Kind::failing;
     n.text = status.text();
-    news.push_back(std::move(n));
+    events.push_back(std::move(n));
 }
 
-void Carrier::carry(std::vector<Order>&& orders, std::uint64_t live, std::uint64_t now_ms,
-                    std::vector<News>& news) {
+void LogWorker::carry(std::vector<WriteRequest>&& orders, std::uint64_t live, std::uint64_t now_ms,
+                      std::vector<StoreEvent>& events) {
     std::vector<Batch> group;
     std::uint64_t ticket = 0, bytes = 0, all = 0;
     auto flush = [&] {
@@ -35,23 +35,24 @@
             group.clear();
             return;
         }
-        Status s =
-            writer_.bytes() > options_.budget ? Status{ENOSPC, "the store's budget"} : writer_.write(group);
+        IoStatus s =
+            writer_.bytes() > options_.budget ? IoStatus{ENOSPC, "the store's budget"} : writer_.write(group);
         group.clear();
         bytes = 0;
-        if (!s.ok()) return give_up(s, now_ms, news);
+        if (!s.ok()) return give_up(s, now_ms, events);
         // Before a generation is switched over to, nothing of it counts as on disk.
         if (writer_.pending()) return;
-        News n;
+        StoreEvent n;
         n.ticket = ticket;
         n.bytes = writer_.bytes();
-        news.push_back(std::move(n));
+        events.push_back(std::move(n));
     };
-    for (Order& o : orders) {
-        if (failing_ && !(o.kind == Order::Kind::generation && able_told_) && o.kind != Order::Kind::close)
+    for (WriteRequest& o : orders) {
+        if (failing_ && !(o.kind == WriteRequest::Kind::generation && able_told_) &&
+            o.kind != WriteRequest::Kind::close)
             continue;
         switch (o.kind) {
-            case Order::Kind::batch:
+            case WriteRequest::Kind::batch:
                 for (const Record& r : o.batch.records) bytes += cost(r.key.size(), r.value.size());
                 all += bytes;
                 next_sequence_ = o.batch.sequence + o.batch.records.size();
@@ -59,50 +60,50 @@
                 ticket = o.ticket;
                 if (bytes >= kGroup) flush();
                 break;
-            case Order::Kind::compacted: {
+            case WriteRequest::Kind::compacted: {
                 flush();
                 chunk_out_ = false;
                 if (failing_) break;
-                if (Status s = writer_.drop_oldest(); !s.ok()) {
-                    if (writer_.broken()) give_up(s, now_ms, news);
+                if (IoStatus s = writer_.drop_oldest(); !s.ok()) {
+                    if (writer_.broken()) give_up(s, now_ms, events);
                     compact_at_ = now_ms + 1000;
                 }
                 break;
             }
-            case Order::Kind::generation: {
+            case WriteRequest::Kind::generation: {
                 flush();
                 able_told_ = false;
                 failing_ = false;
                 chunk_out_ = false;
-                if (Status s = writer_.restart(o.batch.sequence); !s.ok()) give_up(s, now_ms, news);
+                if (IoStatus s = writer_.restart(o.batch.sequence); !s.ok()) give_up(s, now_ms, events);
                 break;
             }
-            case Order::Kind::complete: {
+            case WriteRequest::Kind::complete: {
                 flush();
                 if (failing_) break;
-                if (Status s = writer_.switch_over(); !s.ok()) {
-                    give_up(s, now_ms, news);
+                if (IoStatus s = writer_.switch_over(); !s.ok()) {
+                    give_up(s, now_ms, events);
                     break;
                 }
                 retry_after_ = 0;
-                News n;
+                StoreEvent n;
                 n.ticket = o.ticket;
                 n.bytes = writer_.bytes();
-                news.push_back(std::move(n));
+                events.push_back(std::move(n));
                 break;
             }
-            case Order::Kind::close:
+            case WriteRequest::Kind::close:
                 flush();
                 closed_ = true;
                 break;
         }
     }
     flush();
-    compact(live, now_ms, all, news);
+    compact(live, now_ms, all, events);
 }
 
-void Carrier::compact(std::uint64_t live, std::uint64_t now_ms, std::uint64_t written,
-                      std::vector<News>& news) {
+void LogWorker::compact(std::uint64_t live, std::uint64_t now_ms, std::uint64_t written,
+                        std::vector<StoreEvent>& events) {
     if (failing_ || chunk_out_ || closed_) return;
     // The bound on I/O gives way to the bound on space: then as much is read as is written, and more.
     bool hurry = double(writer_.bytes()) >
@@ -112,38 +113,38 @@
     if (double(writer_.bytes()) <=
         options_.amplification * 1.2 * double(live) + 2.0 * double(options_.writer.segment))
         return;
-    Status status;
+    IoStatus status;
     auto chunk = writer_.read_oldest(
         std::size_t(hurry ? std::max<std::uint64_t>(kChunk, 3 * written) : kChunk), status);
     if (!status.ok()) {
-        News n;
-        n.kind = News::Kind::trouble;
+        StoreEvent n;
+        n.kind = StoreEvent::Kind::trouble;
         n.text = "compaction: " + status.text();
-        news.push_back(std::move(n));
+        events.push_back(std::move(n));
         compact_at_ = now_ms + 10000;
         return;
     }
     if (!chunk) return;
     compact_at_ = now_ms + kChunk * 1000 / options_.compact_per_second;
     chunk_out_ = chunk->last;  // the next segment only once this one is gone
-    News n;
-    n.kind = News::Kind::chunk;
+    StoreEvent n;
+    n.kind = StoreEvent::Kind::chunk;
     n.chunk = std::move(*chunk);
-    news.push_back(std::move(n));
+    events.push_back(std::move(n));
 }
 
-std::uint64_t Carrier::tick(std::uint64_t live, std::uint64_t now_ms, std::vector<News>& news) {
+std::uint64_t LogWorker::tick(std::uint64_t live, std::uint64_t now_ms, std::vector<StoreEvent>& events) {
     if (closed_) return 1000;
     if (failing_) {
         if (able_told_) return 1000;
         if (now_ms < retry_at_) return retry_at_ - now_ms;
         able_told_ = true;
-        News n;
-        n.kind = News::Kind::able;
-        news.push_back(std::move(n));
+        StoreEvent n;
+        n.kind = StoreEvent::Kind::able;
+        events.push_back(std::move(n));
         return 1000;
     }
-    compact(live, now_ms, 0, news);
+    compact(live, now_ms, 0, events);
     return now_ms < compact_at_ ? std::max<std::uint64_t>(1, compact_at_ - now_ms) : 1000;
 }
 
--- a/src/store/carrier.hpp
+++ b/src/store/log_worker.hpp
@@ -9,7 +9,7 @@
 
 namespace indigovane::store {
 
-class Carrier {
+class LogWorker {
   public:
     struct Options {
         Writer::Options writer;
@@ -18,21 +18,22 @@
         std::uint64_t retry_ms = 200, retry_most_ms = 5000;  // a failing disk is tried again
         std::uint64_t budget = 1u << 30;  // bytes of the log: beyond that nothing new is written
     };
-    Carrier(Environment& environment, Options options)
+    LogWorker(Environment& environment, Options options)
         : environment_(environment), options_(options), writer_(environment, options.writer) {}
 
-    Status begin(const Recovered& recovered, std::uint64_t new_store_number);
+    IoStatus begin(const Recovered& recovered, std::uint64_t new_store_number);
     // All orders that have gathered, as one group; `live`: bytes that live, for compaction.
-    void carry(std::vector<Order>&& orders, std::uint64_t live, std::uint64_t now_ms,
-               std::vector<News>& news);
+    void carry(std::vector<WriteRequest>&& orders, std::uint64_t live, std::uint64_t now_ms,
+               std::vector<StoreEvent>& events);
     // What is due though nothing was ordered: compaction, another try. When to call again at latest, in ms.
-    std::uint64_t tick(std::uint64_t live, std::uint64_t now_ms, std::vector<News>& news);
+    std::uint64_t tick(std::uint64_t live, std::uint64_t now_ms, std::vector<StoreEvent>& events);
     const Writer& writer() const { return writer_; }
     bool closed() const { return closed_; }
 
   private:
-    void give_up(const Status& status, std::uint64_t now_ms, std::vector<News>& news);
-    void compact(std::uint64_t live, std::uint64_t now_ms, std::uint64_t written, std::vector<News>& news);
+    void give_up(const IoStatus& status, std::uint64_t now_ms, std::vector<StoreEvent>& events);
+    void compact(std::uint64_t live, std::uint64_t now_ms, std::uint64_t written,
+                 std::vector<StoreEvent>& events);
 
     Environment& environment_;
     Options options_;
--- a/src/store/posix_environment.cpp
+++ b/src/store/posix_environment.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-Status failed(const char* call, const std::string& name) {
+IoStatus failed(const char* call, const std::string& name) {
     return {errno, std::string(call) + " " + name};
 }
 
@@ -23,7 +23,7 @@
   public:
     PosixFile(int fd, std::string name, std::uint64_t size) : fd_(fd), name_(std::move(name)), size_(size) {}
     ~PosixFile() override { ::close(fd_); }
-    Status append(std::string_view bytes) override {
+    IoStatus append(std::string_view bytes) override {
         while (!bytes.empty()) {
             ssize_t n = ::write(fd_, bytes.data(), bytes.size());
             if (n < 0 && errno == EINTR) continue;
@@ -33,8 +33,8 @@
         }
         return {};
     }
-    Status sync() override { return ::fdatasync(fd_) < 0 ? failed("sync", name_) : Status{}; }
-    Status read(std::uint64_t at, std::size_t length, std::string& out) override {
+    IoStatus sync() override { return ::fdatasync(fd_) < 0 ? failed("sync", name_) : IoStatus{}; }
+    IoStatus read(std::uint64_t at, std::size_t length, std::string& out) override {
         out.resize(length);
         std::size_t got = 0;
         while (got < length) {
@@ -69,13 +69,13 @@
     explicit PosixEnvironment(int folder) : folder_(folder) {}
     ~PosixEnvironment() override { ::close(folder_); }
 
-    Status create(const std::string& name, std::unique_ptr<File>& out) override {
+    IoStatus create(const std::string& name, std::unique_ptr<File>& out) override {
         int fd = ::openat(folder_, name.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC | O_NOFOLLOW, 0600);
         if (fd < 0) return failed("create", name);
         out = std::make_unique<PosixFile>(fd, name, 0);
         return {};
     }
-    Status open(const std::string& name, std::unique_ptr<File>& out) override {
+    IoStatus open(const std::string& name, std::unique_ptr<File>& out) override {
         int fd = ::openat(folder_, name.c_str(), O_RDONLY | O_CLOEXEC | O_NOFOLLOW | O_NONBLOCK);
         if (fd < 0) return failed("open", name);
         struct stat s {};
@@ -86,14 +86,17 @@
         out = std::make_unique<PosixFile>(fd, name, std::uint64_t(s.st_size));
         return {};
     }
-    Status rename(const std::string& from, const std::string& to) override {
-        return ::renameat(folder_, from.c_str(), folder_, to.c_str()) < 0 ? failed("rename", from) : Status{};
+    IoStatus rename(const std::string& from, const std::string& to) override {
+        return ::renameat(folder_, from.c_str(), folder_, to.c_str()) < 0 ? failed("rename", from)
+                                                                          : IoStatus{};
     }
-    Status remove(const std::string& name) override {
-        return ::unlinkat(folder_, name.c_str(), 0) < 0 ? failed("remove", name) : Status{};
+    IoStatus remove(const std::string& name) override {
+        return ::unlinkat(folder_, name.c_str(), 0) < 0 ? failed("remove", name) : IoStatus{};
     }
-    Status sync_folder() override { return ::fsync(folder_) < 0 ? failed("sync", "the folder") : Status{}; }
-    Status list(std::vector<std::string>& names) override {
+    IoStatus sync_folder() override {
+        return ::fsync(folder_) < 0 ? failed("sync", "the folder") : IoStatus{};
+    }
+    IoStatus list(std::vector<std::string>& names) override {
         names.clear();
         int fd = ::openat(folder_, ".", O_RDONLY | O_DIRECTORY | O_CLOEXEC);
         DIR* dir = fd < 0 ? nullptr : ::fdopendir(fd);
@@ -106,7 +109,7 @@
         ::closedir(dir);
         return {};
     }
-    Status lock(std::unique_ptr<Lock>& out, bool make) override {
+    IoStatus lock(std::unique_ptr<Lock>& out, bool make) override {
         int fd =
             ::openat(folder_, "LOCK", (make ? O_RDWR | O_CREAT : O_RDONLY) | O_CLOEXEC | O_NOFOLLOW, 0600);
         if (fd < 0 && !make && errno == ENOENT) {
@@ -115,7 +118,7 @@
         }
         if (fd < 0) return failed("open", "LOCK");
         if (::flock(fd, LOCK_EX | LOCK_NB) < 0) {
-            Status s = failed("lock", "LOCK");
+            IoStatus s = failed("lock", "LOCK");
             ::close(fd);
             return s;
         }
@@ -129,11 +132,11 @@
 
 }  // namespace
 
-std::string Status::text() const {
+std::string IoStatus::text() const {
     return ok() ? "well" : what + ": " + std::strerror(code);
 }
 
-Status open_folder(const std::string& path, std::unique_ptr<Environment>& out) {
+IoStatus open_folder(const std::string& path, std::unique_ptr<Environment>& out) {
     if (::mkdir(path.c_str(), 0700) < 0 && errno != EEXIST) return failed("make", path);
     int fd = ::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
     if (fd < 0) return failed("open", path);
--- a/src/store/recovery.cpp
+++ b/src/store/recovery.cpp
@@ -9,9 +9,9 @@
 
 constexpr std::string_view kFrameStart("IGVF", 4);
 
-Status read_all(Environment& environment, const std::string& name, std::string& out) {
+IoStatus read_all(Environment& environment, const std::string& name, std::string& out) {
     std::unique_ptr<File> file;
-    if (Status s = environment.open(name, file); !s.ok()) return s;
+    if (IoStatus s = environment.open(name, file); !s.ok()) return s;
     return file->read(0, std::size_t(file->size()), out);
 }
 
@@ -43,7 +43,7 @@
         out_.salvaged = true;
         return true;
     }
-    bool failed(const Status& status) {
+    bool failed(const IoStatus& status) {
         out_.status = status;
         return stop(Outcome::failed, {"", 0, status.text()});
     }
@@ -51,10 +51,10 @@
     bool read_manifest() {
         std::string bytes;
         std::vector<std::string> names;
-        if (Status s = environment_.list(names); !s.ok()) return failed(s);
+        if (IoStatus s = environment_.list(names); !s.ok()) return failed(s);
         bool segments =
             std::any_of(names.begin(), names.end(), [](auto& n) { return segment_number(n).has_value(); });
-        Status s = read_all(environment_, "MANIFEST", bytes);
+        IoStatus s = read_all(environment_, "MANIFEST", bytes);
         if (s.code == ENOENT) {
             // The first segment is made before the first manifest: alone and without a frame it is a
             // beginning that was cut short. Anything else without a manifest has lost it.
@@ -112,7 +112,7 @@
 
     bool read_segment(const Manifest::Segment& segment, bool last) {
         std::string name = segment_name(segment.number), bytes;
-        Status s = read_all(environment_, name, bytes);
+        IoStatus s = read_all(environment_, name, bytes);
         if (s.code == ENOENT) return damage(name, 0, "the segment is missing");
         if (!s.ok()) return failed(s);
         out_.bytes += bytes.size();
--- a/src/store/recovery.hpp
+++ b/src/store/recovery.hpp
@@ -28,7 +28,7 @@
         newer,    // of a version that this program does not know
         failed,   // it can't be read: see status
     } outcome = Outcome::fresh;
-    Status status;
+    IoStatus status;
     Manifest manifest;                // as found, or as salvaged
     std::uint64_t good = 0;           // bytes of the last segment that hold
     std::uint64_t good_checksum = 0;  // of those
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -70,7 +70,7 @@
 }
 
 std::uint64_t Store::order(std::vector<Record> records, bool strict) {
-    Order o;
+    WriteRequest o;
     o.ticket = ++ticket_;
     o.strict = strict;
     o.batch.sequence = sequence_;
@@ -173,36 +173,36 @@
     return v && v->sequence == sequence;
 }
 
-void Store::news(News&& n) {
+void Store::events(StoreEvent&& n) {
     if (n.bytes > 0) log_bytes_ = n.bytes;
     switch (n.kind) {
-        case News::Kind::durable:
+        case StoreEvent::Kind::durable:
             written_ = std::max(written_, n.ticket);
             durable_ = std::max(durable_, n.ticket);
             if (durable_heard_) durable_heard_(durable_);
             return;
-        case News::Kind::failing:
+        case StoreEvent::Kind::failing:
             failing_ = true;
             orders_.clear();
             return;
-        case News::Kind::able:
+        case StoreEvent::Kind::able:
             if (failing_) begin_generation();
             return;
-        case News::Kind::chunk: {
+        case StoreEvent::Kind::chunk: {
             if (failing_) return;
             std::vector<Record> again;
             for (auto& [record, sequence] : n.chunk.records)
                 if (stands(record, sequence)) again.push_back(std::move(record));
             if (!again.empty()) order(std::move(again), false);
             if (n.chunk.last) {
-                Order o;
-                o.kind = Order::Kind::compacted;
+                WriteRequest o;
+                o.kind = WriteRequest::Kind::compacted;
                 o.ticket = ++ticket_;
                 orders_.push_back(std::move(o));
             }
             return;
         }
-        case News::Kind::trouble:
+        case StoreEvent::Kind::trouble:
             return;
     }
 }
@@ -210,8 +210,8 @@
 // All that there is, from snapshots: what is put meanwhile comes behind it and counts more.
 void Store::begin_generation() {
     failing_ = false;
-    Order first;
-    first.kind = Order::Kind::generation;
+    WriteRequest first;
+    first.kind = WriteRequest::Kind::generation;
     first.batch.sequence = sequence_;
     first.ticket = ++ticket_;
     orders_.push_back(std::move(first));
@@ -237,19 +237,19 @@
             add({Record::Type::put, Space(i), std::string(key), v.bytes, v.expires_ms});
         });
     if (!some.empty()) order(std::move(some), false);
-    Order last;
-    last.kind = Order::Kind::complete;
+    WriteRequest last;
+    last.kind = WriteRequest::Kind::complete;
     last.ticket = ++ticket_;
     orders_.push_back(std::move(last));
 }
 
-std::vector<Order> Store::orders() {
+std::vector<WriteRequest> Store::orders() {
     return std::exchange(orders_, {});
 }
 
 void Store::close() {
-    Order o;
-    o.kind = Order::Kind::close;
+    WriteRequest o;
+    o.kind = WriteRequest::Kind::close;
     o.ticket = ++ticket_;
     orders_.push_back(std::move(o));
 }
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -24,7 +24,7 @@
     strict,   // the caller is told when it is on disk
 };
 
-struct Order {
+struct WriteRequest {
     enum class Kind : std::uint8_t {
         batch,
         compacted,   // all that lived in the oldest segment stands before this
@@ -37,7 +37,7 @@
     bool strict = false;
 };
 
-struct News {
+struct StoreEvent {
     enum class Kind : std::uint8_t {
         durable,  // every order up to this ticket is on disk
         failing,  // nothing is written any more; the owner goes on in memory
@@ -85,14 +85,16 @@
 
     // Forgets what has expired. Nothing is written for it: a start forgets it as well.
     void expire(std::uint64_t now_ms);
-    void news(News&& news);
-    std::vector<Order> orders();  // since the last call
+    void events(StoreEvent&& events);
+    std::vector<WriteRequest> orders();  // since the last call
     bool has_orders() const { return !orders_.empty(); }
     // All there is, in place of what is on disk: of a store that was salvaged, right after begin().
     void rewrite() { begin_generation(); }
     void close();  // the last order: all before it is on disk when it is done
 
-    void on_durable(std::function<void(std::uint64_t ticket)> hear) { durable_heard_ = std::move(hear); }
+    void on_durable(std::function<void(std::uint64_t ticket)> callback) {
+        durable_heard_ = std::move(callback);
+    }
     std::uint64_t written() const { return written_; }
     std::uint64_t durable() const { return durable_; }
     std::uint64_t ticket() const { return ticket_; }  // of the last order
@@ -113,7 +115,7 @@
     SessionTable sessions_;
     std::array<OrderedMap, kSpaces> spaces_;  // positions' stays empty
     TimingWheel wheel_;
-    std::vector<Order> orders_;
+    std::vector<WriteRequest> orders_;
     std::uint64_t sequence_ = 1, ticket_ = 0, written_ = 0, durable_ = 0;
     std::uint64_t live_bytes_ = 0, log_bytes_ = 0;
     bool failing_ = false;
--- a/src/store/thread.cpp
+++ b/src/store/thread.cpp
@@ -16,17 +16,17 @@
 }  // namespace
 
 struct StoreThread::Queues {
-    moodycamel::BlockingConcurrentQueue<Order> orders;
-    moodycamel::ConcurrentQueue<News> news;
+    moodycamel::BlockingConcurrentQueue<WriteRequest> orders;
+    moodycamel::ConcurrentQueue<StoreEvent> events;
     // One token each: with one thread at either end, order is kept.
-    moodycamel::ProducerToken order_token{orders}, news_token{news};
+    moodycamel::ProducerToken order_token{orders}, store_event_token{events};
 };
 
 StoreThread::StoreThread(std::unique_ptr<Environment> environment, OpenOptions options,
                          std::function<void()> wake)
     : environment_(std::move(environment)),
       options_(options),
-      carrier_(*environment_, options.carrier),
+      log_worker_(*environment_, options.log_worker),
       wake_(std::move(wake)),
       store_(options.new_store_number * 0x9e3779b97f4a7c15u),
       queues_(std::make_unique<Queues>()) {}
@@ -35,7 +35,7 @@
                                                std::uint64_t now_ms, std::function<void()> wake,
                                                Recovered& found, std::string& why) {
     std::unique_ptr<StoreThread> self(new StoreThread(std::move(environment), options, std::move(wake)));
-    if (Status s = self->environment_->lock(self->lock_); !s.ok()) {
+    if (IoStatus s = self->environment_->lock(self->lock_); !s.ok()) {
         why = s.code == EWOULDBLOCK ? "another process has it open" : s.text();
         return nullptr;
     }
@@ -48,7 +48,7 @@
         return nullptr;
     }
     self->store_.begin(found, now_ms);
-    if (Status s = self->carrier_.begin(found, options.new_store_number); !s.ok()) {
+    if (IoStatus s = self->log_worker_.begin(found, options.new_store_number); !s.ok()) {
         why = s.text();
         return nullptr;
     }
@@ -61,8 +61,8 @@
 StoreThread::~StoreThread() {
     stop_ = true;
     if (thread_.joinable()) {
-        Order last;
-        last.kind = Order::Kind::close;
+        WriteRequest last;
+        last.kind = WriteRequest::Kind::close;
         queues_->orders.enqueue(std::move(last));
         thread_.join();
     }
@@ -78,14 +78,14 @@
 
 std::vector<std::string> StoreThread::poll() {
     std::vector<std::string> lines;
-    News n;
-    while (queues_->news.try_dequeue_from_producer(queues_->news_token, n)) {
-        if (n.kind == News::Kind::failing)
+    StoreEvent n;
+    while (queues_->events.try_dequeue_from_producer(queues_->store_event_token, n)) {
+        if (n.kind == StoreEvent::Kind::failing)
             lines.push_back("nothing is written any more, served from memory: " + n.text);
-        if (n.kind == News::Kind::able) lines.push_back("trying to write again");
-        if (n.kind == News::Kind::trouble) lines.push_back(n.text);
-        store_.news(std::move(n));
-        n = News{};
+        if (n.kind == StoreEvent::Kind::able) lines.push_back("trying to write again");
+        if (n.kind == StoreEvent::Kind::trouble) lines.push_back(n.text);
+        store_.events(std::move(n));
+        n = StoreEvent{};
     }
     flush();
     return lines;
@@ -100,11 +100,11 @@
 }
 
 void StoreThread::run() {
-    std::vector<Order> gathered;
-    std::vector<News> news;
+    std::vector<WriteRequest> gathered;
+    std::vector<StoreEvent> events;
     std::uint64_t tick_ms = 1;
-    while (!carrier_.closed() && !stop_) {
-        Order order;
+    while (!log_worker_.closed() && !stop_) {
+        WriteRequest order;
         bool some = queues_->orders.wait_dequeue_timed(order, std::int64_t(tick_ms) * 1000);
         if (some) {
             auto deadline =
@@ -114,10 +114,10 @@
             // Whatever is taken from the queue is in the group before the group is found large enough:
             // nothing is left in the hand.
             for (;;) {
-                hurry = hurry || order.strict || order.kind != Order::Kind::batch;
+                hurry = hurry || order.strict || order.kind != WriteRequest::Kind::batch;
                 for (const Record& r : order.batch.records) bytes += r.key.size() + r.value.size();
                 gathered.push_back(std::move(order));
-                order = Order{};
+                order = WriteRequest{};
                 if (bytes >= (4u << 20)) break;
                 if (queues_->orders.try_dequeue(order)) continue;
                 auto left = std::chrono::duration_cast<std::chrono::microseconds>(
@@ -126,14 +126,15 @@
                     break;
             }
             if (stop_) return;
-            carrier_.carry(std::move(gathered), live_.load(std::memory_order_relaxed), steady_ms(), news);
+            log_worker_.carry(std::move(gathered), live_.load(std::memory_order_relaxed), steady_ms(),
+                              events);
             gathered.clear();
         }
         tick_ms = std::max<std::uint64_t>(
-            1, carrier_.tick(live_.load(std::memory_order_relaxed), steady_ms(), news));
-        if (news.empty()) continue;
-        for (News& n : news) queues_->news.enqueue(queues_->news_token, std::move(n));
-        news.clear();
+            1, log_worker_.tick(live_.load(std::memory_order_relaxed), steady_ms(), events));
+        if (events.empty()) continue;
+        for (StoreEvent& n : events) queues_->events.enqueue(queues_->store_event_token, std::move(n));
+        events.clear();
         if (wake_) wake_();
     }
 }
--- a/src/store/thread.hpp
+++ b/src/store/thread.hpp
@@ -6,12 +6,12 @@
 #include <memory>
 #include <thread>
 
-#include "store/carrier.hpp"
+#include "store/log_worker.hpp"
 
 namespace indigovane::store {
 
 struct OpenOptions {
-    Carrier::Options carrier;
+    LogWorker::Options log_worker;
     std::uint64_t sync_interval_us = 2000;  // a group waits so long for more, unless one of it is strict
     bool salvage = false;
     std::uint64_t new_store_number = 1;  // random; of a store that is made
@@ -35,7 +35,7 @@
     void close();                     // waits until all is on disk
 
     const Writer& writer() const {
-        return carrier_.writer();
+        return log_worker_.writer();
     }  // once closed: until then it is the other thread's
 
   private:
@@ -46,7 +46,7 @@
     std::unique_ptr<Environment> environment_;
     std::unique_ptr<Lock> lock_;
     OpenOptions options_;
-    Carrier carrier_;
+    LogWorker log_worker_;
     std::function<void()> wake_;
     Store store_;
     std::unique_ptr<Queues> queues_;
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -9,14 +9,14 @@
 Writer::~Writer() = default;
 
 // The file, its header and its name are on disk before any manifest names it.
-Status Writer::new_segment(std::uint64_t first) {
+IoStatus Writer::new_segment(std::uint64_t first) {
     std::uint64_t number = next_number_;
     std::unique_ptr<File> file;
-    if (Status s = environment_.create(segment_name(number), file); !s.ok()) return s;
+    if (IoStatus s = environment_.create(segment_name(number), file); !s.ok()) return s;
     std::string header = encode(SegmentHeader{manifest_.store, number, first});
-    if (Status s = file->append(header); !s.ok()) return s;
-    if (Status s = file->sync(); !s.ok()) return s;
-    if (Status s = environment_.sync_folder(); !s.ok()) return s;
+    if (IoStatus s = file->append(header); !s.ok()) return s;
+    if (IoStatus s = file->sync(); !s.ok()) return s;
+    if (IoStatus s = environment_.sync_folder(); !s.ok()) return s;
     file_ = std::move(file);
     sum_ = std::make_unique<Checksum>();
     sum_->add(header);
@@ -26,14 +26,14 @@
     return {};
 }
 
-Status Writer::replace_manifest(const Manifest& manifest) {
+IoStatus Writer::replace_manifest(const Manifest& manifest) {
     std::unique_ptr<File> file;
-    if (Status s = environment_.create("MANIFEST.tmp", file); !s.ok()) return s;
-    if (Status s = file->append(encode(manifest)); !s.ok()) return s;
-    if (Status s = file->sync(); !s.ok()) return s;
+    if (IoStatus s = environment_.create("MANIFEST.tmp", file); !s.ok()) return s;
+    if (IoStatus s = file->append(encode(manifest)); !s.ok()) return s;
+    if (IoStatus s = file->sync(); !s.ok()) return s;
     file.reset();
-    if (Status s = environment_.rename("MANIFEST.tmp", "MANIFEST"); !s.ok()) return s;
-    if (Status s = environment_.sync_folder(); !s.ok()) {
+    if (IoStatus s = environment_.rename("MANIFEST.tmp", "MANIFEST"); !s.ok()) return s;
+    if (IoStatus s = environment_.sync_folder(); !s.ok()) {
         // Either manifest may be there after a crash. Both are right, but nobody knows which is: no step may
         // be taken that only one of them allows.
         broken_ = true;
@@ -43,12 +43,12 @@
     return {};
 }
 
-Status Writer::begin(const Recovered& recovered, std::uint64_t new_store_number) {
+IoStatus Writer::begin(const Recovered& recovered, std::uint64_t new_store_number) {
     manifest_ = recovered.manifest;
     if (recovered.outcome == Recovered::Outcome::fresh) manifest_ = Manifest{new_store_number, 0, 1, {}};
     next_sequence_ = recovered.next_sequence;
     next_number_ = std::max<std::uint64_t>(manifest_.next, 1);
-    if (Status s = new_segment(next_sequence_); !s.ok()) return s;
+    if (IoStatus s = new_segment(next_sequence_); !s.ok()) return s;
     Manifest next = manifest_;
     if (!next.segments.empty() && !next.segments.back().sealed) {
         auto& last = next.segments.back();
@@ -59,19 +59,19 @@
     next.segments.push_back({number_, false, durable_, 0});
     next.next = next_number_;
     ++next.epoch;
-    if (Status s = replace_manifest(next); !s.ok()) return s;
+    if (IoStatus s = replace_manifest(next); !s.ok()) return s;
     remove_unlisted();
     return {};
 }
 
 // Numbers go on behind all files that are there, whatever they are: none of them may be written over.
-Status Writer::adopt(const Recovered& recovered, std::uint64_t new_store_number) {
+IoStatus Writer::adopt(const Recovered& recovered, std::uint64_t new_store_number) {
     manifest_ = recovered.manifest;
     if (manifest_.store == 0) manifest_.store = new_store_number;
     next_sequence_ = recovered.next_sequence;
     next_number_ = std::max<std::uint64_t>(manifest_.next, 1);
     std::vector<std::string> names;
-    if (Status s = environment_.list(names); !s.ok()) return s;
+    if (IoStatus s = environment_.list(names); !s.ok()) return s;
     for (const std::string& name : names)
         if (auto number = segment_number(name)) next_number_ = std::max(next_number_, *number + 1);
     adopted_ = broken_ = true;
@@ -92,7 +92,7 @@
     }
 }
 
-Status Writer::append(const std::vector<Batch>& group) {
+IoStatus Writer::append(const std::vector<Batch>& group) {
     std::string bytes;
     std::uint64_t sequence = next_sequence_;
     for (const Batch& b : group) {
@@ -102,8 +102,8 @@
         bytes += encode(frame, manifest_.store, size_ + bytes.size());
         sequence += b.records.size();
     }
-    if (Status s = file_->append(bytes); !s.ok()) return s;
-    if (Status s = file_->sync(); !s.ok()) return s;
+    if (IoStatus s = file_->append(bytes); !s.ok()) return s;
+    if (IoStatus s = file_->sync(); !s.ok()) return s;
     ++counts_.syncs;
     size_ += bytes.size();
     durable_ = size_;
@@ -114,9 +114,9 @@
 }
 
 // Ends the segment at its last good length and begins the next.
-Status Writer::roll(std::uint64_t first) {
+IoStatus Writer::roll(std::uint64_t first) {
     Manifest::Segment ended{number_, true, durable_, sum_->value()};
-    if (Status s = new_segment(first); !s.ok()) return s;
+    if (IoStatus s = new_segment(first); !s.ok()) return s;
     if (pending_) {
         fresh_.back() = ended;
         fresh_.push_back({number_, false, durable_, 0});
@@ -130,7 +130,7 @@
     return replace_manifest(next);
 }
 
-Status Writer::write(const std::vector<Batch>& group) {
+IoStatus Writer::write(const std::vector<Batch>& group) {
     if (broken_) return {EIO, "the log is given up"};
     if (group.empty()) return {};
     if (group.front().sequence !=
@@ -139,11 +139,11 @@
         return {EINVAL, "sequences do not follow"};
     }
     if (size_ >= options_.segment)
-        if (Status s = roll(next_sequence_); !s.ok()) {
+        if (IoStatus s = roll(next_sequence_); !s.ok()) {
             broken_ = true;
             return s;
         }
-    Status s = append(group);
+    IoStatus s = append(group);
     if (!s.ok()) {
         // After a failed write or sync nobody knows what of it is on disk, and a later sync that succeeds
         // proves nothing.
@@ -161,7 +161,7 @@
     return {};
 }
 
-Status Writer::restart(std::uint64_t next_sequence) {
+IoStatus Writer::restart(std::uint64_t next_sequence) {
     if (!adopted_) {
         // What the manifest on disk says is read again: after a failed sync of the folder either may be
         // there.
@@ -169,14 +169,14 @@
         std::string bytes;
         Manifest found;
         std::size_t at = 0;
-        if (Status s = environment_.open("MANIFEST", file); !s.ok()) return s;
-        if (Status s = file->read(0, std::size_t(file->size()), bytes); !s.ok()) return s;
+        if (IoStatus s = environment_.open("MANIFEST", file); !s.ok()) return s;
+        if (IoStatus s = file->read(0, std::size_t(file->size()), bytes); !s.ok()) return s;
         if (decode(bytes, found, at) != Read::well) return {EIO, "the manifest can't be read"};
         manifest_ = found;
         next_number_ = std::max(next_number_, found.next);
     }
     fresh_.clear();
-    if (Status s = new_segment(next_sequence); !s.ok()) return s;
+    if (IoStatus s = new_segment(next_sequence); !s.ok()) return s;
     fresh_.push_back({number_, false, durable_, 0});
     next_sequence_ = next_sequence;
     pending_ = true;
@@ -185,10 +185,10 @@
     return {};
 }
 
-Status Writer::switch_over() {
+IoStatus Writer::switch_over() {
     fresh_.back().length = durable_;
     Manifest next{manifest_.store, manifest_.epoch + 1, next_number_, fresh_};
-    if (Status s = replace_manifest(next); !s.ok()) {
+    if (IoStatus s = replace_manifest(next); !s.ok()) {
         broken_ = true;
         return s;
     }
@@ -198,7 +198,7 @@
     return {};
 }
 
-std::optional<Writer::Chunk> Writer::read_oldest(std::size_t bytes, Status& status) {
+std::optional<Writer::Chunk> Writer::read_oldest(std::size_t bytes, IoStatus& status) {
     status = {};
     if (broken_ || pending_ || manifest_.segments.size() < 2 || !manifest_.segments.front().sealed)
         return std::nullopt;
@@ -234,7 +234,7 @@
     return chunk;
 }
 
-Status Writer::drop_oldest() {
+IoStatus Writer::drop_oldest() {
     if (broken_ || pending_ || manifest_.segments.size() < 2) return {};
     Manifest next = manifest_;
     std::uint64_t number = next.segments.front().number;
@@ -243,7 +243,7 @@
     // truth.
     next.segments.back().length = durable_;
     ++next.epoch;
-    if (Status s = replace_manifest(next); !s.ok()) return s;
+    if (IoStatus s = replace_manifest(next); !s.ok()) return s;
     oldest_.clear();
     oldest_number_ = 0;
     ++counts_.dropped;
--- a/src/store/writer.hpp
+++ b/src/store/writer.hpp
@@ -29,19 +29,19 @@
 
     // Takes over what was recovered: seals the last segment at its good length, begins a new one. On an error
     // nothing on disk has changed that matters; it may be tried again.
-    Status begin(const Recovered& recovered, std::uint64_t new_store_number);
+    IoStatus begin(const Recovered& recovered, std::uint64_t new_store_number);
     // Of a store that was salvaged, in place of begin(): nothing on disk changes until restart() and
     // switch_over() have put a generation in its place.
-    Status adopt(const Recovered& recovered, std::uint64_t new_store_number);
+    IoStatus adopt(const Recovered& recovered, std::uint64_t new_store_number);
     // All of them are on disk once this returns well. On an error their segment is given up for good, at its
     // last good length; they were written anew to another, or, where that failed too, are in no segment: see
     // broken().
-    Status write(const std::vector<Batch>& group);
+    IoStatus write(const std::vector<Batch>& group);
     // Nothing more can be written until restart() has begun a new generation, which the owner then fills with
     // all there is: only with switch_over() does it take the place of the old one, at once.
     bool broken() const { return broken_; }
-    Status restart(std::uint64_t next_sequence);
-    Status switch_over();
+    IoStatus restart(std::uint64_t next_sequence);
+    IoStatus switch_over();
     bool pending() const { return pending_; }
 
     // Compaction: the oldest sealed segment's records, so many bytes at a time; nothing where there is none.
@@ -49,8 +49,8 @@
         std::vector<std::pair<Record, std::uint64_t>> records;  // with their sequences
         bool last = false;
     };
-    std::optional<Chunk> read_oldest(std::size_t bytes, Status& status);
-    Status drop_oldest();  // all that lived in it has been written anew
+    std::optional<Chunk> read_oldest(std::size_t bytes, IoStatus& status);
+    IoStatus drop_oldest();  // all that lived in it has been written anew
 
     std::uint64_t bytes() const;  // of all segments
     std::size_t segments() const { return manifest_.segments.size(); }
@@ -61,10 +61,10 @@
     const Counts& counts() const { return counts_; }
 
   private:
-    Status new_segment(std::uint64_t first);
-    Status replace_manifest(const Manifest& manifest);
-    Status append(const std::vector<Batch>& group);
-    Status roll(std::uint64_t first);
+    IoStatus new_segment(std::uint64_t first);
+    IoStatus replace_manifest(const Manifest& manifest);
+    IoStatus append(const std::vector<Batch>& group);
+    IoStatus roll(std::uint64_t first);
     void remove_unlisted();
 
     Environment& environment_;
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -195,7 +195,7 @@
     return ec ? -1 : fd;
 }
 
-void Connection::connect(const Endpoint& to, std::chrono::microseconds timeout, Handler& handler) {
+void Connection::connect(const SocketAddress& to, std::chrono::microseconds timeout, Handler& handler) {
     handler_ = &handler;
     peer_ = to;
     state_ = State::connecting;
--- a/src/transport/connection.hpp
+++ b/src/transport/connection.hpp
@@ -15,7 +15,7 @@
 
 namespace asio = boost::asio;
 using boost::system::error_code;
-using Endpoint = asio::ip::tcp::endpoint;
+using SocketAddress = asio::ip::tcp::endpoint;
 using Strand = asio::strand<asio::io_context::executor_type>;
 
 class Connection : public std::enable_shared_from_this<Connection> {
@@ -40,7 +40,7 @@
     // something is unwritten yet.
     int release();
     std::string_view unread() const { return in_.view(); }
-    void connect(const Endpoint& to, std::chrono::microseconds timeout, Handler& handler);
+    void connect(const SocketAddress& to, std::chrono::microseconds timeout, Handler& handler);
 
     // The timeout of connect() runs until this is called: a peer may accept and then say nothing.
     void established();
@@ -79,7 +79,7 @@
     const Strand& executor() const { return strand_; }
     bool open() const { return state_ == State::open; }
     // Of the other side; nothing where it has gone.
-    Endpoint remote() const {
+    SocketAddress remote() const {
         error_code ec;
         return socket_.remote_endpoint(ec);
     }
@@ -102,7 +102,7 @@
     asio::steady_timer timer_;
     Handler* handler_ = nullptr;
     State state_ = State::idle;
-    Endpoint peer_;
+    SocketAddress peer_;
     Buffer in_;
     std::string out_, writing_;  // waiting to be written; being written
     std::size_t written_ = 0;    // of the latter
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -64,7 +64,7 @@
 
 Listener::Listener(asio::io_context& io, const ListenAt& where, Taker taker)
     : io_(io), strand_(asio::make_strand(io)), acceptor_(strand_), retry_(strand_), taker_(std::move(taker)) {
-    const Endpoint& at = where.at;
+    const SocketAddress& at = where.at;
     if (where.inherited >= 0) {
         acceptor_.assign(at.protocol(), where.inherited);
         make_nonblocking();
@@ -81,7 +81,7 @@
 
 // A machine that is short of descriptors or memory for a moment fails no start. Nothing else runs yet that
 // this could hold up.
-void Listener::open_patiently(const Endpoint& at) {
+void Listener::open_patiently(const SocketAddress& at) {
     auto give_up = std::chrono::steady_clock::now() + kOpenWithin;
     error_code ec;
     for (;;) {
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -10,9 +10,9 @@
 
 // Where to listen: an address, or a socket that listens there already and was handed over.
 struct ListenAt {
-    ListenAt(const Endpoint& e) : at(e) {}
-    ListenAt(const Endpoint& e, bool s, int fd = -1) : at(e), shared(s), inherited(fd) {}
-    Endpoint at;
+    ListenAt(const SocketAddress& e) : at(e) {}
+    ListenAt(const SocketAddress& e, bool s, int fd = -1) : at(e), shared(s), inherited(fd) {}
+    SocketAddress at;
     bool shared = false;  // other processes may listen there as well
     int inherited = -1;   // the socket; the listener owns it from then on
 };
@@ -30,11 +30,11 @@
     void drain();  // takes in at once what the kernel has queued
     void close();
     int socket() { return acceptor_.native_handle(); }
-    Endpoint local() const { return acceptor_.local_endpoint(); }
+    SocketAddress local() const { return acceptor_.local_endpoint(); }
 
   private:
     struct Accept;
-    void open_patiently(const Endpoint& at);
+    void open_patiently(const SocketAddress& at);
     void make_nonblocking();
     error_code accept_one();
     error_code accept_some();
--- a/src/transport/endpoint.cpp
+++ b/src/transport/socket_address.cpp
@@ -1,11 +1,11 @@
-#include "transport/endpoint.hpp"
+#include "transport/socket_address.hpp"
 
 #include <charconv>
 #include <string>
 
 namespace indigovane::transport {
 
-std::optional<Endpoint> read_endpoint(std::string_view text) {
+std::optional<SocketAddress> parse_socket_address(std::string_view text) {
     std::size_t colon = text.rfind(':');
     if (colon == std::string_view::npos) return std::nullopt;
     std::string_view host = text.substr(0, colon), port_text = text.substr(colon + 1);
@@ -16,7 +16,7 @@
     error_code ec;
     auto address = asio::ip::make_address(std::string(host), ec);
     if (ec) return std::nullopt;
-    return Endpoint(address, port);
+    return SocketAddress(address, port);
 }
 
 }  // namespace indigovane::transport
--- a/src/transport/endpoint.hpp
+++ b/src/transport/socket_address.hpp
@@ -8,6 +8,6 @@
 namespace indigovane::transport {
 
 // "address:port" or "[address]:port", numbers only: there is no name service to ask.
-std::optional<Endpoint> read_endpoint(std::string_view text);
+std::optional<SocketAddress> parse_socket_address(std::string_view text);
 
 }  // namespace indigovane::transport
--- a/tests/front_test.cpp
+++ b/tests/adapters/front_test.cpp
@@ -8,45 +8,45 @@
 namespace indigovane::testing {
 namespace {
 
-using routing::Ending;
+using routing::FinalError;
 
 // Answers each item as the first letter of its id says; 'h' is held until its client goes away.
-struct FakeIntake : routing::Intake {
+struct FakeIntake : routing::RequestAdmission {
     explicit FakeIntake(Loop& l) : loop(l) {}
-    routing::RequestId accept(routing::Item item, routing::Responder& responder) override {
+    routing::RequestId accept(routing::ClientRequest item, routing::Responder& responder) override {
         routing::RequestId id{++count};
         open[id] = &responder;
         last = item;
         if (item.id[0] != 'h') boost::asio::post(loop.io, [this, id, item] { answer(id, item); });
         return id;
     }
-    bool has_room(std::size_t bytes) const override { return bytes <= room; }
+    bool has_capacity(std::size_t bytes) const override { return bytes <= room; }
     bool is_open(const std::string& id) const override { return taken.count(id) > 0; }
     void resume(routing::RequestId) override { ++resumed; }
     void withdraw(routing::RequestId id, Departure) override { withdrawn += int(open.erase(id)); }
-    void answer(routing::RequestId id, const routing::Item& item) {
+    void answer(routing::RequestId id, const routing::ClientRequest& item) {
         auto it = open.find(id);
         if (it == open.end()) return;
         routing::Responder* to = it->second;
         open.erase(it);
         routing::Answer a;
-        bool page = item.verb == routing::Item::Verb::page;
+        bool page = item.verb == routing::ClientRequest::Verb::page;
         for (std::uint32_t i = 0; i < (page ? std::min(item.limit, 3u) : 1); ++i)
             a.rows.push_back({page ? item.name + "x" + std::to_string(i) : "", value});
         switch (item.id[0]) {
             case 's':
                 return to->served(a);
             case 'r':
-                return to->ended({Ending::Kind::refused, false, 250ms});
+                return to->ended({FinalError::Kind::refused, false, 250ms});
             case 'd':
-                return to->ended({Ending::Kind::failed, true, {}});
+                return to->ended({FinalError::Kind::failed, true, {}});
             default:
-                return to->ended({Ending::Kind::failed, false, {}});
+                return to->ended({FinalError::Kind::failed, false, {}});
         }
     }
     Loop& loop;
     std::map<routing::RequestId, routing::Responder*> open;
-    routing::Item last;
+    routing::ClientRequest last;
     std::uint64_t count = 0;
     int withdrawn = 0, resumed = 0;
     std::string value = "v";
@@ -58,12 +58,12 @@
 struct Rig {
     Loop loop;
     NullLogger logger;
-    FakeIntake intake{loop};
+    FakeIntake admission{loop};
     adapters::Classes known = classes();
     Front front;
     template <typename... More>
     explicit Rig(std::size_t most, More... more)
-        : front(loop.io, loopback(), most, known, options(more...), intake, logger) {
+        : front(loop.io, loopback(), most, known, options(more...), admission, logger) {
         front.start();
     }
     using Options = std::conditional_t<std::is_same_v<Front, adapters::PgFront>, adapters::PgOptions,
@@ -172,7 +172,7 @@
             REQUIRE(seen == expected);
             CHECK(!client.closed);
         }
-        CHECK(rig.intake.open.empty());
+        CHECK(rig.admission.open.empty());
     }
 }
 
@@ -194,7 +194,7 @@
            "08P01"},
           // the header is enough, and the last words are read though more keeps coming
           {pg::Writer().startup("u", "d").query(std::string(9 << 20, 'x')).take(), "54000"}}) {
-        PgRig rig(8, adapters::PgOptions{.patience = 300ms});
+        PgRig rig(8, adapters::PgOptions{.client_timeout = 300ms});
         Client client(rig.loop, rig.front.local());
         client.send(bytes);
         REQUIRE(rig.loop.until([&] { return client.closed; }));
@@ -205,8 +205,8 @@
 
 TEST_CASE("pg: what a member could not read or would turn away is answered here") {
     PgRig rig(8);
-    rig.intake.taken = {"taken"};
-    rig.intake.room = 64 << 20;
+    rig.admission.taken = {"taken"};
+    rig.admission.room = 64 << 20;
     Client client(rig.loop, rig.front.local());
     client.send(pg::Writer().startup("u", "d").take());
     client.reply();
@@ -238,7 +238,7 @@
         CHECK(client.reply() == "EZ");
         CHECK_MESSAGE(client.code == code, sql);
     }
-    CHECK(rig.intake.count == 0);
+    CHECK(rig.admission.count == 0);
     client.send(pg::Writer().query(write(",k=1", "\\x" + std::string(2 * (4 << 20), '0'))).take());
     CHECK(client.reply() == "TDCZ");
 }
@@ -250,22 +250,22 @@
     Client client(rig.loop, rig.front.local());
     client.send(pg::Writer().startup("u", "d").query(sql("h1")).take());
     CHECK(client.reply() == "RZ");
-    REQUIRE(rig.loop.until([&] { return rig.intake.open.size() == 1; }));
+    REQUIRE(rig.loop.until([&] { return rig.admission.open.size() == 1; }));
     for (int i = 0; i < 4; ++i) {
         client.send(pg::Writer().query(std::string(15000, 'x')).take());
         rig.loop.settle();
     }
-    CHECK(rig.intake.withdrawn == 0);
-    REQUIRE(rig.intake.open.size() == 1);
+    CHECK(rig.admission.withdrawn == 0);
+    REQUIRE(rig.admission.open.size() == 1);
     routing::Answer answer;
     answer.rows.push_back({"", "v"});
-    std::exchange(rig.intake.open, {}).begin()->second->served(answer);
+    std::exchange(rig.admission.open, {}).begin()->second->served(answer);
     CHECK(client.reply() == "TDCZ");
 }
 
 TEST_CASE("pg: a client that reads nothing is closed, and one that leaves too much unfinished") {
     Dice dice(51);
-    PgRig rig(8, adapters::PgOptions{.patience = 300ms});
+    PgRig rig(8, adapters::PgOptions{.client_timeout = 300ms});
     {
         Client deaf(rig.loop, rig.front.local());
         deaf.connection->limit_unread(0);
@@ -279,10 +279,10 @@
         // One that reads slowly is waited for: the answer it is owed is whole in the end.
         Client slow(rig.loop, rig.front.local());
         slow.connection->limit_unread(1);
-        rig.intake.value = std::string(4 << 20, 'v');
+        rig.admission.value = std::string(4 << 20, 'v');
         slow.send(pg::Writer().startup("u", "d").query(sql("s1")).take());
         std::size_t got = 0;
-        while (got < rig.intake.value.size() && !slow.closed) {
+        while (got < rig.admission.value.size() && !slow.closed) {
             std::size_t before = slow.in.size();
             REQUIRE(rig.loop.until([&] { return slow.in.size() > before || slow.closed; }));
             if (dice.below(60) == 0) rig.loop.settle();
@@ -290,7 +290,7 @@
         }
         CHECK(slow.reply() == "RZ");
         CHECK(slow.reply() == "TDCZ");
-        rig.intake.value = "v";
+        rig.admission.value = "v";
     }
     rig.front.limit_bytes(100000);
     std::vector<std::unique_ptr<Client>> clients;
@@ -315,10 +315,10 @@
         client.send(pg::Writer().startup("u", "d").take());
         client.reply();
         client.send(pg::Writer().query(sql("h1")).take());
-        REQUIRE(rig.loop.until([&] { return rig.intake.open.size() == 1; }));
-        CHECK(rig.intake.last.in_pieces);
-        routing::RequestId id = rig.intake.open.begin()->first;
-        routing::Responder* to = rig.intake.open.begin()->second;
+        REQUIRE(rig.loop.until([&] { return rig.admission.open.size() == 1; }));
+        CHECK(rig.admission.last.in_pieces);
+        routing::RequestId id = rig.admission.open.begin()->first;
+        routing::Responder* to = rig.admission.open.begin()->second;
         std::string value(100000 + dice.below(1000000), 'v');
         bool breaks = dice.below(3) == 0;
         to->began({}, value.size());
@@ -327,15 +327,15 @@
         while (sent < stop) {
             std::size_t count = std::min(stop - sent, dice.below(40000) + 1);
             if (!room) {
-                int before = rig.intake.resumed;
-                REQUIRE(rig.loop.until([&] { return rig.intake.resumed > before; }));
+                int before = rig.admission.resumed;
+                REQUIRE(rig.loop.until([&] { return rig.admission.resumed > before; }));
                 ++pauses;
             }
             room = to->piece(std::string_view(value).substr(sent, count));
             sent += count;
         }
         CHECK((pauses > 0 || stop < 100000));
-        rig.intake.open.erase(id);
+        rig.admission.open.erase(id);
         if (breaks) {
             to->broken();
             REQUIRE(rig.loop.until([&] { return client.closed; }));
@@ -357,29 +357,29 @@
 TEST_CASE("pg: a client that leaves a long value unread is given up, and its request withdrawn") {
     Loop loop;
     NullLogger logger;
-    FakeIntake intake{loop};
+    FakeIntake admission{loop};
     adapters::Classes known = classes();
-    adapters::PgFront front(loop.io, loopback(), 8, known, {.patience = 10s, .reading = 20ms}, intake,
-                            logger);
+    adapters::PgFront front(loop.io, loopback(), 8, known, {.client_timeout = 10s, .reading = 20ms},
+                            admission, logger);
     front.start();
     boost::asio::ip::tcp::socket mute(loop.io);  // reads nothing
     mute.connect(front.local());
     std::string bytes = pg::Writer().startup("u", "d").take() + pg::Writer().query(sql("h1")).take();
     boost::asio::write(mute, boost::asio::buffer(bytes));
-    REQUIRE(loop.until([&] { return intake.open.size() == 1; }));
-    routing::Responder* to = intake.open.begin()->second;
+    REQUIRE(loop.until([&] { return admission.open.size() == 1; }));
+    routing::Responder* to = admission.open.begin()->second;
     to->began({}, 64 << 20);
     std::string piece(1 << 20, 'v');
     REQUIRE(loop.until([&] {
-        if (intake.withdrawn == 0) to->piece(piece);
-        return intake.withdrawn > 0;
+        if (admission.withdrawn == 0) to->piece(piece);
+        return admission.withdrawn > 0;
     }));
     CHECK(front.connections() == 0);
 }
 
 TEST_CASE("pg: long statements are read as far as there is room for them, one after the other") {
     PgRig rig(8);
-    rig.intake.room = 64 << 20;
+    rig.admission.room = 64 << 20;
     rig.front.limit_long(5 << 20);
     auto statement = [](std::string id, std::size_t size) {
         return pg::Writer()
@@ -399,12 +399,12 @@
     rig.loop.settle();
     clients[1]->send(two);
     rig.loop.settle();
-    CHECK(rig.intake.count == 0);
+    CHECK(rig.admission.count == 0);
     clients[0]->send(one.substr(1 << 20));
     CHECK(clients[0]->reply() == "TDCZ");
     CHECK(clients[1]->reply() == "TDCZ");  // whose turn it is then
-    CHECK(rig.intake.last.statement.size() + 6 == two.size());
-    CHECK(!rig.intake.last.content);
+    CHECK(rig.admission.last.statement.size() + 6 == two.size());
+    CHECK(!rig.admission.last.content);
     // What there can never be room for is told by its header, and one that does not go on gives its room
     // back.
     Client large(rig.loop, rig.front.local());
@@ -473,9 +473,9 @@
             .query("/* id=s1,c=own-order,r=1,d=0,cluster=7 */ SELECT content FROM kv WHERE name = '00ff'")
             .take());
     CHECK(client.reply() == "TDCZ");
-    CHECK(rig.intake.last.session == 255u);
-    CHECK(rig.intake.last.repeat);
-    CHECK(rig.intake.last.patience.count() == 0);
+    CHECK(rig.admission.last.session == 255u);
+    CHECK(rig.admission.last.repeat);
+    CHECK(rig.admission.last.client_timeout.count() == 0);
 }
 
 TEST_CASE_TEMPLATE("a client that goes away withdraws what it asked", R, PgRig, RestRig) {
@@ -491,9 +491,9 @@
                         ? pg::Writer().startup("u", "d").query(sql("h1")).take()
                         : http::write_request("GET", "/v1/clusters/1/kv?class=stock-view", "h",
                                               {{"Request-Id", "h"}}));
-        REQUIRE(rig->loop.until([&] { return rig->intake.open.size() == 1; }));
+        REQUIRE(rig->loop.until([&] { return rig->admission.open.size() == 1; }));
     }
-    CHECK(rig->loop.until([&] { return rig->intake.withdrawn == 1; }));
+    CHECK(rig->loop.until([&] { return rig->admission.withdrawn == 1; }));
     CHECK(rig->front.connections() == 0);
 }
 
@@ -516,9 +516,9 @@
     rig.loop.settle();
     CHECK(clients[5]->closed);
     CHECK(!clients[0]->closed);
-    routing::Item item;
+    routing::ClientRequest item;
     item.id = "s";
-    rig.intake.answer(rig.intake.open.begin()->first, item);
+    rig.admission.answer(rig.admission.open.begin()->first, item);
     CHECK(clients[0]->reply() == "TDCZ");
     CHECK(rig.loop.until([&] { return clients[0]->closed; }));
 }
@@ -587,7 +587,7 @@
                 if (r.status == 405) CHECK(r.field("allow"));
             }
         }
-        CHECK(rig.intake.open.empty());
+        CHECK(rig.admission.open.empty());
         CHECK(!client.closed);
     }
 }
@@ -595,18 +595,18 @@
 TEST_CASE("what the memory has no room for is turned away, and the connection kept") {
     PgRig rig(8);
     Client client(rig.loop, rig.front.local());
-    rig.intake.room = 10;
+    rig.admission.room = 10;
     client.send(pg::Writer().startup("u", "d").query(sql("s1")).take());
     client.reply();
     CHECK(client.reply() == "EZ");
     CHECK(client.code == "53300");
-    CHECK(rig.intake.count == 0);
-    rig.intake.room = 1000;
+    CHECK(rig.admission.count == 0);
+    rig.admission.room = 1000;
     client.send(pg::Writer().query(sql("s1")).take());
     CHECK(client.reply() == "TDCZ");
     RestRig rest(8, adapters::RestOptions{});
     Client reader(rest.loop, rest.front.local());
-    rest.intake.room = 0;
+    rest.admission.room = 0;
     CHECK(reader.get("/v1/clusters/1/kv/n?class=stock-view").status == 503);
 }
 
@@ -619,10 +619,10 @@
     std::string link(*r.field("link"));
     CHECK(link ==
           "</v1/clusters/1/kv?class=stock-view&prefix=p%20q&limit=2&cursor=" + cursor + ">; rel=\"next\"");
-    CHECK(rig.intake.last.limit == 3);
+    CHECK(rig.admission.last.limit == 3);
     CHECK(get("/v1/clusters/1/kv?class=stock-view&cursor=" + cursor).status == 400);  // another query's
     CHECK(get(link.substr(1, link.find('>') - 1)).status == 200);
-    CHECK(rig.intake.last.name == "x1");
+    CHECK(rig.admission.last.name == "x1");
     r = get("/v1/clusters/1/kv?class=stock-view&limit=10");
     CHECK(json::parse(client.body)["next"].is_null());
     CHECK(!r.field("link"));
--- a/tests/acceptance_test.cpp
+++ b/tests/adapters/narrow_moments_test.cpp
@@ -11,12 +11,12 @@
 namespace {
 
 using PgDeployment = Deployment<adapters::PgBackend, PgHost>;
-using routing::ListWatch;
+using routing::WatchSchedule;
 using tcp = boost::asio::ip::tcp;
 
 // A client's socket by hand: nothing is read or closed unless the test says so.
 struct ByHand {
-    ByHand(Loop& l, const transport::Endpoint& to) : loop(l), socket(l.io) {
+    ByHand(Loop& l, const transport::SocketAddress& to) : loop(l), socket(l.io) {
         socket.connect(to);
         socket.non_blocking(true);
     }
@@ -34,9 +34,10 @@
     tcp::socket socket;
 };
 
-std::string query(const std::string& id, int wait_ms = 4000, const std::string& cls = "stock-view") {
+std::string query(const std::string& id, int wait_ms = 4000,
+                  const std::string& request_class = "stock-view") {
     return pg::Writer()
-        .query("/* id=" + id + ",c=" + cls + ",t=a,d=" + std::to_string(wait_ms) +
+        .query("/* id=" + id + ",c=" + request_class + ",t=a,d=" + std::to_string(wait_ms) +
                ",cluster=3 */ SELECT content FROM kv WHERE name = '7f3a9c21e0b4d655'")
         .take();
 }
@@ -62,40 +63,40 @@
     CHECK(a.at(1002, t + 9s) == t + 9s);
 }
 
-struct Held : routing::Intake {  // what is asked stays without an answer until the test gives one
-    routing::RequestId accept(routing::Item item, routing::Responder& responder) override {
+struct Held : routing::RequestAdmission {  // what is asked stays without an answer until the test gives one
+    routing::RequestId accept(routing::ClientRequest item, routing::Responder& responder) override {
         items.push_back(item);
         open.push_back(&responder);
         return routing::RequestId{items.size()};
     }
-    bool has_room(std::size_t) const override { return true; }
+    bool has_capacity(std::size_t) const override { return true; }
     bool is_open(const std::string&) const override { return false; }
     void resume(routing::RequestId) override {}
     void withdraw(routing::RequestId id, Departure) override { withdrawn.push_back(std::uint64_t(id)); }
-    std::vector<routing::Item> items;
+    std::vector<routing::ClientRequest> items;
     std::vector<routing::Responder*> open;
     std::vector<std::uint64_t> withdrawn;
 };
 struct FrontRig {
     Loop loop;
     NullLogger logger;
-    Held intake;
+    Held admission;
     adapters::Classes known = classes();
     adapters::PgFront pg;
     adapters::RestFront rest;
     explicit FrontRig(std::size_t most = 8)
-        : pg(loop.io, loopback(), most, known, {}, intake, logger),
-          rest(loop.io, loopback(), most, known, {}, intake, logger) {
+        : pg(loop.io, loopback(), most, known, {}, admission, logger),
+          rest(loop.io, loopback(), most, known, {}, admission, logger) {
         pg.start();
         rest.start();
     }
     bool asked(std::size_t n) {
-        return loop.until([&] { return intake.items.size() >= n; });
+        return loop.until([&] { return admission.items.size() >= n; });
     }
     void serve(std::size_t n) {
         routing::Answer a;
         a.rows.push_back({"", "v"});
-        intake.open[n]->served(a);
+        admission.open[n]->served(a);
     }
 };
 
@@ -111,8 +112,8 @@
         auto waited = std::chrono::steady_clock::now() - came;
         rig.serve(0);
         REQUIRE(rig.asked(2));
-        CHECK(rig.intake.items[1].patience <= 900ms - waited);
-        CHECK(rig.intake.items[1].patience >= 0ms);
+        CHECK(rig.admission.items[1].client_timeout <= 900ms - waited);
+        CHECK(rig.admission.items[1].client_timeout >= 0ms);
     }
 }
 
@@ -146,7 +147,7 @@
         boost::system::error_code ec;
         CHECK(client.read(ec).size() == before);
         CHECK(ec == boost::asio::error::eof);  // no reset: its client sends it once more elsewhere
-        CHECK(rig.intake.items.size() == (why == Why::shutdown ? 1 : 3));
+        CHECK(rig.admission.items.size() == (why == Why::shutdown ? 1 : 3));
         if (why == Why::shutdown) client.socket.close();
         CHECK(rig.loop.until([&] { return rig.pg.lingering() == 0; }));
         if (why == Why::shutdown) continue;
@@ -161,11 +162,11 @@
 TEST_CASE("connections that linger are bounded: the oldest gives way, and one whose client stays is closed") {
     FrontRig rig(400);
     std::vector<std::unique_ptr<ByHand>> clients;
-    for (std::size_t i = 0; i < adapters::Door::kLingering + 5; ++i) {
+    for (std::size_t i = 0; i < adapters::ClientListener::kLingering + 5; ++i) {
         clients.push_back(std::make_unique<ByHand>(rig.loop, rig.pg.local()));
         clients.back()->send(startup() + pg::Writer().plain('X', "").take());
         REQUIRE(rig.loop.until([&] { return clients.back()->waiting() > 0 && rig.pg.connections() == 0; }));
-        CHECK(rig.pg.lingering() <= adapters::Door::kLingering);
+        CHECK(rig.pg.lingering() <= adapters::ClientListener::kLingering);
     }
     CHECK(rig.loop.until([&] { return rig.pg.lingering() == 0; }));  // nobody closes, and nothing waits
 }
@@ -188,11 +189,11 @@
             return ec || sent == more.size();
         }));
         rig.loop.settle();
-        CHECK(rig.intake.withdrawn.empty());
+        CHECK(rig.admission.withdrawn.empty());
         if (reset) client.socket.set_option(boost::asio::socket_base::linger(true, 0));
         client.socket.close();
-        CHECK(rig.loop.until([&] { return rig.intake.withdrawn.size() == 1; }));
-        CHECK(rig.intake.items.size() == 1);
+        CHECK(rig.loop.until([&] { return rig.admission.withdrawn.size() == 1; }));
+        CHECK(rig.admission.items.size() == 1);
         CHECK(rig.pg.connections() == 0);
     }
 }
@@ -235,12 +236,12 @@
 TEST_CASE("a connection to a host that comes up after its request's client has gone carries nothing") {
     PgDeployment d;
     tcp::acceptor late(d.loop.io, loopback());  // takes connections, and says nothing until told to
-    std::vector<routing::MemberInfo> members;
+    std::vector<routing::EndpointInfo> members;
     for (std::size_t i = 0; i < 3; ++i) {
-        members.push_back(d.member(i, MemberState::ready));
-        members.back().endpoint = text(late.local_endpoint());
+        members.push_back(d.endpoint(i, EndpointState::ready));
+        members.back().address = text(late.local_endpoint());
     }
-    d.core.list(ListKind::full, members);
+    d.core.list(EndpointListKind::full, members);
     ByHand client(d.loop, d.pg.local());
     client.send(startup() + pg::Writer()
                                 .query("/* id=2,c=scan-write,k=5,d=4000,cluster=3 */ INSERT INTO kv (name, "
@@ -319,19 +320,20 @@
         Held core;
         limits::Settings by_cost;
         by_cost.work = 1us, by_cost.wait = 20s, by_cost.reserve = 0;
-        adapters::LimitedIntake limited(loop.io, clock, by_cost, core);
+        adapters::LimitedAdmission limited(loop.io, clock, by_cost, core);
         struct Asker : routing::Responder {
             void served(const routing::Answer&) override { ++answers; }
-            void ended(const routing::Ending& e) override {
+            void ended(const routing::FinalError& e) override {
                 ++answers;
-                refused = e.kind == routing::Ending::Kind::refused;
+                refused = e.kind == routing::FinalError::Kind::refused;
             }
             int answers = 0;
             bool refused = false;
         } first, second;
-        auto item = [](const char* id, std::uint32_t cls) {
-            routing::Item i;
-            i.id = id, i.cls = routing::ClassId{cls}, i.group = routing::GroupId{1}, i.patience = 30s;
+        auto item = [](const char* id, std::uint32_t request_class) {
+            routing::ClientRequest i;
+            i.id = id, i.request_class = routing::ClassId{request_class}, i.group = routing::GroupId{1},
+            i.client_timeout = 30s;
             return i;
         };
         limited.accept(item("1", 0), first);
@@ -345,7 +347,7 @@
         core.open[0]->served({});
         loop.settle();
         CHECK(core.items.size() == (kept ? 2 : 1));
-        if (kept) CHECK(core.items.back().cls == routing::ClassId{0});
+        if (kept) CHECK(core.items.back().request_class == routing::ClassId{0});
         CHECK(second.answers == (kept ? 0 : 1));
         CHECK(second.refused != kept);
     }
@@ -356,31 +358,33 @@
 TEST_CASE("a session's write that is answered while its read waits for a connection is seen by that read") {
     struct Made : routing::Clock {
         Made() : Clock(0) {}
-        starlingpond::Time now() const override { return at; }
-        starlingpond::Time at{100s};
+        policy::Time now() const override { return at; }
+        policy::Time at{100s};
     } clock;
     struct Driver : routing::Driver {
         void wake() override {}
-        void alarm(std::optional<starlingpond::Time>) override {}
+        void alarm(std::optional<policy::Time>) override {}
     } driver;
     struct Asker : routing::Responder {
         void served(const routing::Answer&) override { ++answers; }
-        void ended(const routing::Ending&) override {}
+        void ended(const routing::FinalError&) override {}
         int answers = 0;
     } writer, reader;
     FakeBackend backend;
     NullLogger logger;
     auto s = settings();
-    s.probes = false, s.server_check = starlingpond::ServerCheck::none;
+    s.probes = false, s.staleness_check = policy::StalenessCheck::none;
     routing::Core core(driver, clock, s, 3, {}, backend, logger);
-    std::vector<routing::MemberInfo> infos(2);
+    std::vector<routing::EndpointInfo> infos(2);
     for (std::uint32_t i = 0; i < 2; ++i)
-        infos[i].uid = infos[i].endpoint = std::to_string(i), infos[i].group = 1, infos[i].primary = i == 0;
-    core.list(starlingpond::ListKind::full, infos);
-    auto ask = [&](const char* id, std::uint32_t cls, routing::Responder& who) {
-        routing::Item i;
-        i.id = id, i.cls = routing::ClassId{cls}, i.group = routing::GroupId{1}, i.patience = 2s;
-        i.session = 5, i.verb = cls == 2 ? routing::Item::Verb::write : routing::Item::Verb::lookup;
+        infos[i].uid = infos[i].address = std::to_string(i), infos[i].group = 1, infos[i].primary = i == 0;
+    core.list(policy::EndpointListKind::full, infos);
+    auto ask = [&](const char* id, std::uint32_t request_class, routing::Responder& who) {
+        routing::ClientRequest i;
+        i.id = id, i.request_class = routing::ClassId{request_class}, i.group = routing::GroupId{1},
+        i.client_timeout = 2s;
+        i.session = 5, i.verb = request_class == 2 ? routing::ClientRequest::Verb::write
+                                                   : routing::ClientRequest::Verb::lookup;
         core.accept(i, who);
         core.run_batch();
     };
@@ -392,74 +396,74 @@
         backend.links[n]->up = true;
         backend.links[n]->owner->on_ready(*backend.links[n]);
     };
-    auto answered = [&](std::size_t n, std::int64_t position_ms, starlingpond::Role role) {
-        routing::Result r;
-        r.status = starlingpond::Status::ok, r.role = role, r.position_unix_us = position_ms * 1000;
+    auto answered = [&](std::size_t n, std::int64_t position_ms, policy::Role role) {
+        routing::AttemptResult r;
+        r.status = policy::AttemptStatus::ok, r.role = role, r.position_unix_us = position_ms * 1000;
         backend.links[n]->owner->on_result(*backend.links[n], r);
         core.run_batch();
     };
     up(1);
-    answered(1, 100'020, starlingpond::Role::primary);  // the commit
+    answered(1, 100'020, policy::Role::primary);  // the commit
     CHECK(writer.answers == 1);
-    up(0);                                              // late: the read begins only now
-    answered(0, 100'001, starlingpond::Role::replica);  // without that write
+    up(0);                                        // late: the read begins only now
+    answered(0, 100'001, policy::Role::replica);  // without that write
     CHECK(reader.answers == 0);
     CHECK(logger.lines["stale"] == 1);
 }
 
 // One primary (1) and a replica (2) whose lag a probe has told, seen by the module alone.
 struct ModuleRig {
-    starlingpond::Time now{100s};
-    starlingpond::Brain brain;
-    starlingpond::Actions actions;
-    explicit ModuleRig(const starlingpond::Settings& s) : brain(s, 3, now) {
-        using namespace starlingpond;
-        List list{ListKind::full, {}};
+    policy::Time now{100s};
+    policy::RoutingPolicy policy;
+    policy::Actions actions;
+    explicit ModuleRig(const policy::Settings& s) : policy(s, 3, now) {
+        using namespace indigovane::policy;
+        EndpointList list{EndpointListKind::full, {}};
         for (std::uint32_t i : {1, 2})
-            list.entries.push_back({MemberId{i}, GroupId{1}, ZoneId{}, MemberState::ready, i == 1, {}});
+            list.entries.push_back({EndpointId{i}, GroupId{1}, ZoneId{}, EndpointState::ready, i == 1, {}});
         run(list);
     }
-    void run(const starlingpond::Event& e) {
+    void run(const policy::Event& e) {
         actions.clear();
-        brain.handle(now, e, actions);
+        policy.handle(now, e, actions);
     }
-    void told(starlingpond::Duration lag) {
-        starlingpond::ProbeResult p;
-        p.member = starlingpond::MemberId{2}, p.status = starlingpond::Status::ok;
+    void told(policy::Duration lag) {
+        policy::HealthCheckResult p;
+        p.endpoint = policy::EndpointId{2}, p.status = policy::AttemptStatus::ok;
         p.report.position = now - lag;
         run(p);
     }
-    const starlingpond::Send* sent() const {
+    const policy::SendAttempt* sent() const {
         for (const auto& a : actions)
-            if (auto* s = std::get_if<starlingpond::Send>(&a)) return s;
+            if (auto* s = std::get_if<policy::SendAttempt>(&a)) return s;
         return nullptr;
     }
-    void ask(std::uint64_t id, std::uint32_t cls, starlingpond::Duration patience = 3s) {
-        starlingpond::Request q;
-        q.id = starlingpond::RequestId{id}, q.cls = starlingpond::ClassId{cls};
-        q.group = starlingpond::GroupId{1}, q.patience = patience, q.session = starlingpond::SessionKey{1};
+    void ask(std::uint64_t id, std::uint32_t request_class, policy::Duration client_timeout = 3s) {
+        policy::RequestArrival q;
+        q.id = policy::RequestId{id}, q.request_class = policy::ClassId{request_class};
+        q.group = policy::GroupId{1}, q.client_timeout = client_timeout, q.session = policy::SessionKey{1};
         run(q);
     }
-    void ended(std::uint64_t id, std::uint32_t member, starlingpond::Status status, std::uint32_t attempt = 0,
-               std::optional<starlingpond::Time> commit = std::nullopt) {
-        starlingpond::Outcome o;
-        o.id = starlingpond::RequestId{id}, o.member = starlingpond::MemberId{member}, o.status = status;
-        o.attempt = attempt, o.finished = status == starlingpond::Status::ok, o.position = commit;
+    void ended(std::uint64_t id, std::uint32_t endpoint, policy::AttemptStatus status,
+               std::uint32_t attempt = 0, std::optional<policy::Time> commit = std::nullopt) {
+        policy::AttemptOutcome o;
+        o.id = policy::RequestId{id}, o.endpoint = policy::EndpointId{endpoint}, o.status = status;
+        o.attempt = attempt, o.finished = status == policy::AttemptStatus::ok, o.position = commit;
         run(o);
     }
 };
 
 TEST_CASE("the module: where hosts don't check, a session's read waits for what its write may have done") {
-    using starlingpond::MemberId, starlingpond::Status;
+    using policy::EndpointId, policy::AttemptStatus;
     for (bool answered : {false, true}) {
         auto s = settings();
-        s.server_check = starlingpond::ServerCheck::none;
-        s.classes[2].effect = starlingpond::Effect::unsafe;
+        s.staleness_check = policy::StalenessCheck::none;
+        s.classes[2].idempotency = policy::Idempotency::not_idempotent;
         ModuleRig rig(s);
         rig.told(0ms);
         rig.ask(1, 1);
         REQUIRE(rig.sent());
-        CHECK(rig.sent()->member == MemberId{2});
+        CHECK(rig.sent()->endpoint == EndpointId{2});
         rig.now += 10ms;
         rig.ask(2, 2);  // a write; its answer may be lost on the way
         REQUIRE(rig.sent());
@@ -467,60 +471,60 @@
         rig.told(5ms);
         rig.ask(3, 1);
         REQUIRE(rig.sent());
-        CHECK(rig.sent()->member == MemberId{1});
+        CHECK(rig.sent()->endpoint == EndpointId{1});
         CHECK(rig.sent()->needs == rig.now);
         rig.now += 10ms;
-        rig.ended(2, 1, answered ? Status::ok : Status::timeout, 0, rig.now - 150ms);
+        rig.ended(2, 1, answered ? AttemptStatus::ok : AttemptStatus::timeout, 0, rig.now - 150ms);
         rig.told(5ms);
         rig.ask(4, 1);
         REQUIRE(rig.sent());
-        CHECK(rig.sent()->member == (answered ? MemberId{2} : MemberId{1}));
+        CHECK(rig.sent()->endpoint == (answered ? EndpointId{2} : EndpointId{1}));
         rig.now += 10ms;
         rig.told(5ms);  // past the moment until which the lost write may have run
         rig.ask(5, 1);
         REQUIRE(rig.sent());
-        CHECK(rig.sent()->member == MemberId{2});
+        CHECK(rig.sent()->endpoint == EndpointId{2});
     }
 }
 
 TEST_CASE("the module: a read that is held sees what its session writes meanwhile") {
-    using starlingpond::MemberId, starlingpond::Status;
+    using policy::EndpointId, policy::AttemptStatus;
     for (bool writes : {false, true}) {
         auto s = settings();
-        s.server_check = starlingpond::ServerCheck::none;
+        s.staleness_check = policy::StalenessCheck::none;
         ModuleRig rig(s);
         rig.ask(1, 2);
         rig.told(10ms);  // its first use has asked
         auto commit = rig.now += 50ms;
-        rig.ended(1, 1, Status::ok, 0, commit);
+        rig.ended(1, 1, AttemptStatus::ok, 0, commit);
         rig.now += 2s;
         rig.ask(2, 1);
         REQUIRE(!rig.sent());  // held: the replica's position is asked for
         if (writes) {
             rig.ask(3, 2);
             rig.now += 1ms;
-            rig.ended(3, 1, Status::ok, 0, rig.now);  // so soon that the probe is waited for yet
+            rig.ended(3, 1, AttemptStatus::ok, 0, rig.now);  // so soon that the probe is waited for yet
             REQUIRE(!rig.sent());
         }
-        bool there = rig.sent() && rig.sent()->member == MemberId{2};
+        bool there = rig.sent() && rig.sent()->endpoint == EndpointId{2};
         rig.told(2ms);
-        there = there || (rig.sent() && rig.sent()->member == MemberId{2});
+        there = there || (rig.sent() && rig.sent()->endpoint == EndpointId{2});
         CHECK(there != writes);
     }
 }
 
 TEST_CASE("the module: a repeat that waits for a connection does not begin when its window has closed") {
-    using starlingpond::Status;
+    using policy::AttemptStatus;
     for (bool ran : {true, false}) {
         auto s = settings();
-        s.classes[2].repeat_window = 300ms;
+        s.classes[2].deduplication_window = 300ms;
         ModuleRig rig(s);
         rig.ask(1, 2);
         REQUIRE(rig.sent());
         auto first = rig.now;
         rig.now += 200ms;
-        rig.ended(1, 1, ran ? Status::error : Status::miss);
-        for (int i = 0; i < 3 && !rig.sent(); ++i) rig.run(starlingpond::Timer{starlingpond::TimerId{0}});
+        rig.ended(1, 1, ran ? AttemptStatus::error : AttemptStatus::miss);
+        for (int i = 0; i < 3 && !rig.sent(); ++i) rig.run(policy::TimerExpired{policy::TimerId{0}});
         REQUIRE(rig.sent());
         CHECK((rig.now + *rig.sent()->start <= first + 300ms) == ran);
     }
@@ -547,7 +551,7 @@
     std::string bare = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n";
     auto state = [&] {
         auto all = core.listed();
-        return all.empty() ? MemberState::gone : all[0].state;
+        return all.empty() ? EndpointState::gone : all[0].state;
     };
     auto asked = [&](std::size_t n) { return rig.asked(n); };
     discovery.replies = {bare + list(41, true, "ready"), bare + list(43, false, "draining")};
@@ -557,12 +561,12 @@
     CHECK(!catalog.told());  // it may go on yet
     discovery.drop_all();    // an end: all of it has come
     REQUIRE(asked(2));
-    CHECK(state() == MemberState::ready);
+    CHECK(state() == EndpointState::ready);
     CHECK(host.asked[1].substr(0, 24) == "/catalog/members?from=41");
     loop.settle();
     discovery.drop_all();
     REQUIRE(asked(3));
-    CHECK(state() == MemberState::draining);
+    CHECK(state() == EndpointState::draining);
     // All of it, and a reset: that is no end. Half of it, and the end: what was held stays, asked for anew.
     discovery.replies = {bare + list(44, false, "ready")};
     discovery.drop_all();
@@ -570,7 +574,7 @@
     loop.settle();
     discovery.reset_all();
     REQUIRE(asked(5));
-    CHECK(state() == MemberState::draining);
+    CHECK(state() == EndpointState::draining);
     discovery.replies = {bare + list(44, true, "ready").substr(0, 40)};
     discovery.drop_all();
     REQUIRE(asked(6));
@@ -582,7 +586,7 @@
     REQUIRE(asked(10));
     CHECK(host.asked[6] == "/catalog/members");
     CHECK(host.asked[8] == "/catalog/members");  // changes that are older: what holds is in the whole list
-    CHECK(state() == MemberState::ready);        // which may be older: discovery was set up anew
+    CHECK(state() == EndpointState::ready);      // which may be older: discovery was set up anew
 }
 
 TEST_CASE(
@@ -612,12 +616,12 @@
 // Poolers and a discovery with room for so many calls a second, in made-up time. A call that has waited in
 // turn for a second is refused; one that comes while discovery is silent is swallowed.
 struct FleetOfWatches {
-    using Millis = ListWatch::Millis;
+    using Millis = WatchSchedule::Millis;
     struct Pooler {
-        ListWatch watch;
+        WatchSchedule watch;
         Millis at{};  // its next deed
         bool calling = false;
-        Millis held_until{}, patience{};
+        Millis held_until{}, client_timeout{};
         bool swallowed = false;
         std::int64_t told = 0;
     };
@@ -629,26 +633,26 @@
     std::int64_t revision = 1;
     bool down = false, silent = false;
 
-    FleetOfWatches(std::size_t n, ListWatch::Timing timing, double capacity) : per_second(capacity) {
+    FleetOfWatches(std::size_t n, WatchSchedule::Timing timing, double capacity) : per_second(capacity) {
         for (std::size_t i = 0; i < n; ++i) {
-            poolers.push_back({ListWatch(timing)});
+            poolers.push_back({WatchSchedule(timing)});
             poolers.back().watch.know(1);
             poolers.back().at = Millis(i % 5);
         }
     }
     double draw() { return double(random() % 1001) / 1000; }
-    void fail(Pooler& p, ListWatch::Failure how) {
+    void fail(Pooler& p, WatchSchedule::Failure how) {
         p.calling = false;
         p.at = now + p.watch.failed(how, draw());
     }
     void call(Pooler& p) {
         auto c = p.watch.next();
-        p.calling = true, p.swallowed = silent, p.patience = now + c.patience;
+        p.calling = true, p.swallowed = silent, p.client_timeout = now + c.client_timeout;
         if (silent) return;
-        if (down) return fail(p, ListWatch::Failure::cut);
+        if (down) return fail(p, WatchSchedule::Failure::cut);
         double turn = std::max(busy_until, double(now.count())) + 1000 / per_second;
         if (turn - double(now.count()) > 1000) {
-            p.patience = now + Millis(1000), p.swallowed = true;  // waits its second, then 503
+            p.client_timeout = now + Millis(1000), p.swallowed = true;  // waits its second, then 503
             p.held_until = Millis(-1);
             return;
         }
@@ -661,9 +665,9 @@
             if (!p.calling) {
                 if (now >= p.at) call(p);
             } else if (p.swallowed) {
-                if (now >= p.patience) {
+                if (now >= p.client_timeout) {
                     bool refused = std::exchange(p.held_until, Millis(0)) == Millis(-1);
-                    fail(p, refused ? ListWatch::Failure::refused : ListWatch::Failure::silent);
+                    fail(p, refused ? WatchSchedule::Failure::refused : WatchSchedule::Failure::silent);
                 }
             } else if (now >= p.at && (p.told < revision || now >= p.held_until)) {
                 p.calling = false;
@@ -684,7 +688,7 @@
                 if (quietly)
                     p.swallowed = true;
                 else
-                    fail(p, ListWatch::Failure::cut);
+                    fail(p, WatchSchedule::Failure::cut);
             }
     }
     // How long until the last of them is told of a change that discovery has now.
@@ -698,23 +702,24 @@
 };
 
 TEST_CASE("told within 6 s: what a pooler's timings add up to, and a fleet at a discovery of fixed room") {
-    CHECK(ListWatch::Timing{}.told_within() < 5s);
-    for (std::size_t n = 1; n <= 1000; ++n) CHECK(ListWatch::shared(n).told_within() <= 5400ms);
+    CHECK(WatchSchedule::Timing{}.told_within() < 5s);
+    for (std::size_t n = 1; n <= 1000; ++n) CHECK(WatchSchedule::shared(n).told_within() <= 5400ms);
     enum class Before { nothing, silent_watches, resets, down, silent };
     for (bool shared : {true, false})
         for (std::size_t n : {3, 30, 300})
             for (Before before :
                  {Before::nothing, Before::silent_watches, Before::resets, Before::down, Before::silent}) {
                 // A pooler's own agent has room; a discovery that all ask has 200 calls a second.
-                FleetOfWatches f(shared ? n : 1, shared ? ListWatch::shared(n) : ListWatch::Timing{}, 200);
+                FleetOfWatches f(shared ? n : 1, shared ? WatchSchedule::shared(n) : WatchSchedule::Timing{},
+                                 200);
                 for (int round = 0; round < 4; ++round) {
-                    f.run(ListWatch::Millis(7000 + 333 * round));
+                    f.run(WatchSchedule::Millis(7000 + 333 * round));
                     if (before == Before::silent_watches) f.lose(true);
                     if (before == Before::resets) f.lose(false);
                     if (before == Before::down || before == Before::silent) {
                         (before == Before::down ? f.down : f.silent) = true;
                         f.lose(before == Before::silent);
-                        f.run(ListWatch::Millis(6000 + 777 * round));
+                        f.run(WatchSchedule::Millis(6000 + 777 * round));
                         f.down = f.silent = false;
                     }
                     auto took = f.change();
--- a/tests/open_test.cpp
+++ b/tests/adapters/open_statements_test.cpp
@@ -27,10 +27,10 @@
 }
 
 // One more class beside the usual ones: writes without a key, which run once or may have.
-starlingpond::Settings with_log() {
+policy::Settings with_log() {
     auto s = settings();
-    starlingpond::ClassSettings c = s.classes[2];
-    c.effect = starlingpond::Effect::unsafe;
+    policy::ClassSettings c = s.classes[2];
+    c.idempotency = policy::Idempotency::not_idempotent;
     s.classes.push_back(c);
     return s;
 }
@@ -46,7 +46,7 @@
     }
 };
 struct PgClient : Client {
-    PgClient(Loop& loop, const transport::Endpoint& to, const std::string& user = "vilaine")
+    PgClient(Loop& loop, const transport::SocketAddress& to, const std::string& user = "vilaine")
         : Client(loop, to) {
         send(pg::Writer().startup(user, "store").take());
         REQUIRE(reply() == "RZ");
@@ -213,9 +213,9 @@
 TEST_CASE("a connection that goes to another process keeps its user, and so its share") {
     Rig rig(limits::Settings{});
     auto client = std::make_unique<PgClient>(rig.d.loop, rig.d.pg.local(), "rance");
-    std::vector<routing::ClientParcel> parcels;
+    std::vector<routing::ClientHandover> parcels;
     REQUIRE(rig.d.loop.until([&] {
-        rig.d.pg.hand_over([&](routing::ClientParcel p) { parcels.push_back(std::move(p)); });
+        rig.d.pg.hand_over([&](routing::ClientHandover p) { parcels.push_back(std::move(p)); });
         return !parcels.empty();
     }));
     CHECK(parcels[0].note == "rance");
--- a/tests/peer_test.cpp
+++ b/tests/adapters/peer_link_test.cpp
@@ -1,11 +1,12 @@
 // Datagrams between poolers: what is malformed, foreign, doubled or overtaken goes no further, and what is
 // heard is worth a look of one's own, no more.
 #define XXH_INLINE_ALL
+#include "adapters/peer_link.hpp"
+
 #include <xxhash.h>
 
 #include <thread>
 
-#include "adapters/peer_link.hpp"
 #include "program/config.hpp"
 #include "support/deployment.hpp"
 
@@ -140,26 +141,26 @@
 TEST_CASE("a core tells of a change of primary once, and what it hears makes it look, no more") {
     Deployment<adapters::PgBackend, PgHost> d;
     std::vector<std::string> told;
-    d.core.on_primary([&](const MemberInfo& m, routing::Time) { told.push_back(m.uid); });
+    d.core.on_primary([&](const EndpointInfo& m, routing::Time) { told.push_back(m.uid); });
     auto now = [&] { return d.clock.to_unix(d.clock.now()); };
-    CHECK_FALSE(d.core.hear_primary("nobody", 3, now()));
-    CHECK_FALSE(d.core.hear_primary("m1", 4, now()));               // of another group
-    CHECK_FALSE(d.core.hear_primary("m1", 3, now() - 60'000'000));  // old
-    CHECK_FALSE(d.core.hear_primary("m1", 3, now() + 60'000'000));
+    CHECK_FALSE(d.core.on_primary_gossip("nobody", 3, now()));
+    CHECK_FALSE(d.core.on_primary_gossip("m1", 4, now()));               // of another group
+    CHECK_FALSE(d.core.on_primary_gossip("m1", 3, now() - 60'000'000));  // old
+    CHECK_FALSE(d.core.on_primary_gossip("m1", 3, now() + 60'000'000));
     int before = d.hosts[1].probes;
-    CHECK(d.core.hear_primary("m1", 3, now()));
+    CHECK(d.core.on_primary_gossip("m1", 3, now()));
     REQUIRE(d.loop.until([&] { return d.hosts[1].probes > before; }));
     CHECK(told.empty());  // it has seen nothing itself
     // The first that it sees for itself is no news, another after it is.
     d.hosts[0].primary = false, d.hosts[1].primary = true;
     before = d.hosts[1].probes;
-    CHECK(d.core.hear_primary("m1", 3, now()));
+    CHECK(d.core.on_primary_gossip("m1", 3, now()));
     REQUIRE(d.loop.until([&] { return d.hosts[1].probes > before; }));
     std::this_thread::sleep_for(5ms);  // a report tells whole milliseconds, and a newer one is wanted
     d.loop.settle();
     d.hosts[1].primary = false, d.hosts[2].primary = true;
     before = d.hosts[2].probes;
-    CHECK(d.core.hear_primary("m2", 3, now()));
+    CHECK(d.core.on_primary_gossip("m2", 3, now()));
     REQUIRE(d.loop.until([&] { return !told.empty(); }));
     CHECK(told == std::vector<std::string>{"m2"});
 }
--- a/tests/backend_test.cpp
+++ b/tests/adapters/pg_backend_test.cpp
@@ -1,12 +1,13 @@
 // A link to a member against a model of the answers it may give: whatever differs is spoilt.
 #include "adapters/pg_backend.hpp"
+
 #include "support/harness.hpp"
 
 namespace indigovane::testing {
 namespace {
 
-using routing::Link;
-using starlingpond::Status;
+using policy::AttemptStatus;
+using routing::BackendConnection;
 
 // Welcomes, then answers each query with the bytes it is told.
 struct Script : PgStandIn {
@@ -19,30 +20,31 @@
     std::string reply, welcome = pg::Writer().authentication_ok().backend_key(1, 2).ready().take();
 };
 
-struct LinkRig : Link::Owner {
+struct LinkRig : BackendConnection::Owner {
     explicit LinkRig(std::string reply = "") : host(loop, manners), backend(loop.io) {
         host.reply = std::move(reply);
         link = backend.open(host.address(), 10s, *this);
     }
-    void on_ready(Link&) override { ready = true; }
-    void on_result(Link&, routing::Result r) override { result = std::move(r); }
-    void on_begun(Link&, const routing::Answer&, std::size_t length) override { begun = length; }
-    bool on_piece(Link&, std::string_view bytes) override {
+    void on_ready(BackendConnection&) override { ready = true; }
+    void on_result(BackendConnection&, routing::AttemptResult r) override { result = std::move(r); }
+    void on_begun(BackendConnection&, const routing::Answer&, std::size_t length) override { begun = length; }
+    bool on_piece(BackendConnection&, std::string_view bytes) override {
         pieces += bytes;
         return room > pieces.size();
     }
     std::optional<std::size_t> begun;
     std::string pieces;
     std::size_t room = std::size_t(-1);
-    void on_end(Link&, Link::End e) override { ended = e; }
+    void on_end(BackendConnection&, BackendConnection::End e) override { ended = e; }
     bool over() const { return result || ended; }
     // One query's result; none where the link ended without.
-    std::optional<routing::Result> ask(const std::string& reply, bool probe = false, bool in_pieces = false) {
+    std::optional<routing::AttemptResult> ask(const std::string& reply, bool probe = false,
+                                              bool in_pieces = false) {
         host.reply = reply;
         result.reset();
         REQUIRE(loop.until([&] { return ready || ended; }));
-        routing::Item item;
-        item.verb = routing::Item::Verb::lookup;
+        routing::ClientRequest item;
+        item.verb = routing::ClientRequest::Verb::lookup;
         item.name = "n", item.id = "1", item.class_name = "c", item.in_pieces = in_pieces;
         begun.reset(), pieces.clear();
         if (probe)
@@ -62,9 +64,9 @@
     Host manners;
     Script host;
     adapters::PgBackend backend;
-    std::shared_ptr<Link> link;
-    std::optional<routing::Result> result;
-    std::optional<Link::End> ended;
+    std::shared_ptr<BackendConnection> link;
+    std::optional<routing::AttemptResult> result;
+    std::optional<BackendConnection::End> ended;
     bool ready = false;
 };
 
@@ -90,7 +92,7 @@
     Dice dice(41);
     LinkRig* rig = nullptr;
     std::unique_ptr<LinkRig> kept;
-    int fine = 0, spoilt = 0;
+    int fine = 0, malformed = 0;
     for (int round = 0; round < 300; ++round) {
         if (!rig) kept = std::make_unique<LinkRig>(), rig = kept.get();
         std::string value = std::to_string(round) + std::string(dice.below(3) * 3000, 'v');
@@ -135,20 +137,20 @@
         REQUIRE(r);
         if (as_it_should) {
             ++fine;
-            CHECK(r->status == Status::ok);
+            CHECK(r->status == AttemptStatus::ok);
             REQUIRE(r->answer.rows.size() == 1);
             CHECK(r->answer.rows[0].content == value);
             if (trailing) CHECK(rig->loop.until([&] { return !r->reusable || rig->ended; }));
         } else {
-            ++spoilt;
-            CHECK(r->status == Status::error);
+            ++malformed;
+            CHECK(r->status == AttemptStatus::error);
             CHECK(r->answer.rows.empty());
             CHECK(!r->position_unix_us);
         }
         if (!as_it_should || trailing) rig = nullptr;
     }
     CHECK(fine > 50);
-    CHECK(spoilt > 50);
+    CHECK(malformed > 50);
 }
 
 TEST_CASE("pg links: what is no answer, and what it leaves of the connection") {
@@ -167,8 +169,8 @@
         LinkRig rig;
         auto r = rig.ask(bytes);
         REQUIRE(r);
-        CHECK(r->status == Status::error);
-        CHECK(r->spoilt);
+        CHECK(r->status == AttemptStatus::error);
+        CHECK(r->malformed);
         CHECK(!r->reusable);
     }
 }
@@ -188,14 +190,14 @@
                   pg::Writer().plain('S', std::string("health\0no end", 13)).take(), whole[4]})}) {
         auto r = rig.ask(bytes);
         REQUIRE(r);
-        CHECK(r->status == Status::ok);
+        CHECK(r->status == AttemptStatus::ok);
         CHECK(r->reusable);
-        CHECK(!r->report.held);
+        CHECK(!r->report.in_flight);
         CHECK(!r->position_unix_us);
         CHECK(!r->role);
     }
     auto r = rig.ask(with("health", "inflight=7,x0=1767225600.5"));
-    CHECK(r->report.held == 7.0);
+    CHECK(r->report.in_flight == 7.0);
     std::string probe = pg::Writer()
                             .row_description({{"health", 25, false}})
                             .data_row({"inflight=3,x1=1"})
@@ -203,8 +205,8 @@
                             .ready()
                             .take();
     r = rig.ask(probe, true);
-    CHECK(r->status == Status::ok);
-    CHECK(r->report.held == 3.0);
+    CHECK(r->status == AttemptStatus::ok);
+    CHECK(r->report.in_flight == 3.0);
 }
 
 TEST_CASE("pg links: a value of some hundred KiB is an answer like any other") {
@@ -212,7 +214,7 @@
     std::string value(400000, 'v');
     auto r = rig.ask(joined(good(value)));
     REQUIRE(r);
-    CHECK(r->status == Status::ok);
+    CHECK(r->status == AttemptStatus::ok);
     CHECK(r->answer.rows.at(0).content == value);
     CHECK(r->reusable);
 }
@@ -228,7 +230,7 @@
         rig.room = limited ? 20000 : std::size_t(-1);
         auto r = rig.ask(joined(good(value)), false, true);
         REQUIRE(r);
-        CHECK(r->status == Status::ok);
+        CHECK(r->status == AttemptStatus::ok);
         CHECK(r->reusable);
         CHECK(r->position_unix_us == 1767225600123000);
         bool is_long = value.size() + 10 > 65536;
@@ -237,7 +239,7 @@
         CHECK((is_long ? rig.pieces : r->answer.rows.at(0).content) == value);
     }
     rig.room = std::size_t(-1);
-    CHECK(rig.ask(joined(good(std::string(4 << 20, 'x'))), false, true)->status == Status::ok);
+    CHECK(rig.ask(joined(good(std::string(4 << 20, 'x'))), false, true)->status == AttemptStatus::ok);
     CHECK(rig.pieces.size() == 4 << 20);
 }
 
@@ -246,8 +248,8 @@
     rig.room = 1;
     rig.host.reply = joined(good(std::string(4 << 20, 'x')));
     REQUIRE(rig.loop.until([&] { return rig.ready; }));
-    routing::Item item;
-    item.verb = routing::Item::Verb::lookup, item.name = "n", item.id = "1", item.in_pieces = true;
+    routing::ClientRequest item;
+    item.verb = routing::ClientRequest::Verb::lookup, item.name = "n", item.id = "1", item.in_pieces = true;
     rig.link->submit(item, 4s, std::nullopt);
     REQUIRE(rig.loop.until([&] { return rig.begun.has_value(); }));
     rig.loop.settle();
@@ -260,32 +262,32 @@
 
 TEST_CASE("pg links: a long value that breaks off or does not fit is none") {
     auto parts = good(std::string(200000, 'v'));
-    auto spoilt = [&](std::string reply, bool begins) {
+    auto malformed = [&](std::string reply, bool begins) {
         LinkRig rig;
         auto r = rig.ask(std::move(reply), false, true);
         REQUIRE(r);
-        CHECK(r->status == Status::error);
-        CHECK(r->spoilt);
+        CHECK(r->status == AttemptStatus::error);
+        CHECK(r->malformed);
         CHECK(!r->reusable);
         CHECK(rig.begun.has_value() == begins);
     };
-    spoilt(joined({parts[0], parts[1], parts[1], parts[4]}), true);          // a second row
-    spoilt(joined({parts[0], parts[1], "noise that is no message"}), true);  // what follows is no end
+    malformed(joined({parts[0], parts[1], parts[1], parts[4]}), true);          // a second row
+    malformed(joined({parts[0], parts[1], "noise that is no message"}), true);  // what follows is no end
     for (auto [at, byte] : {std::pair{1, '\x7f'}, {3, '\1'}, {5, '\1'}, {6, '\2'}, {8, '\x30'}}) {
         std::string row = parts[1];  // lengths and counts that do not fit each other, or are too large
         row[std::size_t(at)] = byte;
-        spoilt(joined({parts[0], row}), false);
+        malformed(joined({parts[0], row}), false);
     }
     LinkRig rig;  // a host that dies halfway
     rig.host.reply = joined({parts[0], parts[1].substr(0, 100000)});
     REQUIRE(rig.loop.until([&] { return rig.ready; }));
-    routing::Item item;
-    item.verb = routing::Item::Verb::lookup, item.name = "n", item.id = "1", item.in_pieces = true;
+    routing::ClientRequest item;
+    item.verb = routing::ClientRequest::Verb::lookup, item.name = "n", item.id = "1", item.in_pieces = true;
     rig.link->submit(item, 4s, std::nullopt);
     REQUIRE(rig.loop.until([&] { return rig.pieces.size() == 100000 - 11; }));
     rig.host.drop_all();
     REQUIRE(rig.loop.until([&] { return rig.over(); }));
-    CHECK(rig.ended == Link::End::written);
+    CHECK(rig.ended == BackendConnection::End::written);
 }
 
 TEST_CASE("pg links: a welcome that is none never comes up; bytes between requests end the connection") {
@@ -294,7 +296,7 @@
         LinkRig rig;
         rig.host.welcome = welcome;
         REQUIRE(rig.loop.until([&] { return rig.ended.has_value(); }));
-        CHECK(rig.ended == Link::End::unreachable);
+        CHECK(rig.ended == BackendConnection::End::unreachable);
     }
     LinkRig rig;
     rig.host.welcome += "noise";
--- a/tests/walk_test.cpp
+++ b/tests/adapters/whole_path_test.cpp
@@ -51,7 +51,7 @@
         for (std::string target = kPage + "&limit=3"; !target.empty(); ++pages) {
             if (pages == 3) {
                 before = d.hosts[drained].queries;
-                d.core.list(ListKind::changes, {d.member(drained, MemberState::draining)});
+                d.core.list(EndpointListKind::changes, {d.endpoint(drained, EndpointState::draining)});
             }
             auto r = client.get(target);
             REQUIRE(r.status == 200);
@@ -205,9 +205,9 @@
     transport::Listener listener(d.loop.io, loopback(),
                                  [&](auto socket) { mute.push_back(std::move(socket)); });
     listener.start();
-    auto primary = d.member(0, MemberState::ready);
-    primary.endpoint = text(listener.local());
-    d.core.list(ListKind::changes, {primary});
+    auto primary = d.endpoint(0, EndpointState::ready);
+    primary.address = text(listener.local());
+    d.core.list(EndpointListKind::changes, {primary});
     Client client(d.loop, d.pg.local());
     client.send(pg::Writer()
                     .startup("u", "d")
@@ -226,39 +226,39 @@
     Client client(d.loop, d.rest.local());
     for (int day = 0; day < 4; ++day) {
         CHECK(client.get(kPage).status == 200);
-        auto one = d.member(1, MemberState::gone), two = d.member(2, MemberState::ready);
+        auto one = d.endpoint(1, EndpointState::gone), two = d.endpoint(2, EndpointState::ready);
         if (day == 2) d.hosts[2].silent = true;
         if (day == 2) client.send(http::write_request("GET", kPage + "&wait_ms=900", "test", {}));
         int out = d.hosts[2].queries + d.hosts[1].queries;
         if (day == 2) REQUIRE(d.loop.until([&] { return d.replica_queries() >= out; }));
         if (day % 2)
-            d.core.list(ListKind::full, {d.member(0, MemberState::ready), two});
+            d.core.list(EndpointListKind::full, {d.endpoint(0, EndpointState::ready), two});
         else
-            d.core.list(ListKind::changes, {one});
+            d.core.list(EndpointListKind::changes, {one});
         REQUIRE(d.loop.until([&] { return d.core.members() == 2; }));
         if (day == 2) client.response();
         d.hosts[2].silent = false;
         two.uid = "new" + std::to_string(day);  // a new machine, then the old one again
-        d.core.list(ListKind::changes, {two, d.member(1, MemberState::ready)});
-        d.core.list(ListKind::changes, {d.member(2, MemberState::gone)});
+        d.core.list(EndpointListKind::changes, {two, d.endpoint(1, EndpointState::ready)});
+        d.core.list(EndpointListKind::changes, {d.endpoint(2, EndpointState::gone)});
         int before = d.hosts[1].queries;
         REQUIRE(d.loop.until([&] {
             CHECK(client.get(kPage).status == 200);
             return d.hosts[1].queries > before && d.core.members() == 3;
         }));
-        two.state = MemberState::gone;
-        d.core.list(ListKind::changes, {two, d.member(2, MemberState::ready)});
+        two.state = EndpointState::gone;
+        d.core.list(EndpointListKind::changes, {two, d.endpoint(2, EndpointState::ready)});
         REQUIRE(d.loop.until([&] { return d.core.members() == 3; }));
     }
 }
 
 TEST_CASE("memory for items is given back when they are over") {
     PgDeployment d;
-    CHECK(!d.core.has_room(std::size_t(64 << 20) + 1));
+    CHECK(!d.core.has_capacity(std::size_t(64 << 20) + 1));
     Client client(d.loop, d.rest.local());
     for (int i = 0; i < 5; ++i) CHECK(client.get(kPage).status == 200);
     REQUIRE(d.loop.until([&] { return d.core.idle(); }));
-    CHECK(d.core.has_room(64 << 20));
+    CHECK(d.core.has_capacity(64 << 20));
 }
 
 TEST_CASE("values of some MiB reach many clients at once, whole") {
--- a/tests/lab_test.cpp
+++ b/tests/lab/fleet_test.cpp
@@ -132,7 +132,7 @@
     FleetOptions o = usual_fleet();
     o.poolers = poolers, o.groups = 12, o.members = 5;
     o.rate = 1400, o.seconds = 4, o.sessions = 5000;
-    o.probe_price = 0.08, o.checked = true;
+    o.health_check_price = 0.08, o.checked = true;
     o.troubles = {{Trouble::Kind::kill, 1, 2, 1, 0.33}};
     return o;
 }
--- a/tests/lab/recorded_runs_test.cpp
+++ b/tests/lab/recorded_runs_test.cpp
@@ -11,8 +11,8 @@
 #include <functional>
 #include <map>
 
-#include "lab/council.hpp"
 #include "lab/fleet.hpp"
+#include "lab/quorum_simulation.hpp"
 
 namespace indigovane::lab {
 namespace {
@@ -80,7 +80,7 @@
 std::vector<RecordedRun> lease_runs() {
     std::vector<RecordedRun> runs;
     for (bool disks : {true, false}) {
-        CouncilOptions options;
+        QuorumOptions options;
         options.seconds = 40;
         options.loss = 0.1;
         options.doubled = 0.05;
--- a/tests/site_lab_test.cpp
+++ b/tests/lab/site_loss_test.cpp
@@ -20,7 +20,7 @@
     o.seconds = 24;
     o.sessions = 3000;
     o.checked = true;
-    o.probe_price = 0.02;
+    o.health_check_price = 0.02;
     o.retries = 2;
     o.seed = seed;
     return o;
@@ -41,8 +41,8 @@
     return o;
 }
 
-// Verdicts may not bring about what the module would not: an answer too few or too many, a stale read, a cold
-// host pushed over. And no pooler may do worse for having judged.
+// SiteHealthTracker may not bring about what the module would not: an answer too few or too many, a stale
+// read, a cold host pushed over. And no pooler may do worse for having judged.
 TEST_CASE("site loss: the rules hold in every loss with sites watched, and no more is lost than without") {
     double off = 0, on = 0, connects_off = 0, connects_on = 0;
     for (auto [kind, loss] : kLosses) {
@@ -92,9 +92,9 @@
                 std::string part = off;
                 if (part != "none") {
                     o = watched(o);
-                    o.sites->hold_out = part != "-hold_out";
+                    o.sites->exclude = part != "-hold_out";
                     if (part == "-confirm") o.sites->confirm = 0;
-                    o.sites->rescue = part != "-rescue";
+                    o.sites->abandon_unresponsive = part != "-rescue";
                     o.sites->shed = part == "+shed";
                     o.sites->budget = part != "-budget";
                     o.sites->pace = part != "-pace";
--- a/tests/limits_test.cpp
+++ b/tests/limits/limits_test.cpp
@@ -40,8 +40,8 @@
         std::string tenant;
         Duration service{}, wait{};
         Time asked{};
-        Word word = Word::wait;
-        Verdict verdict;
+        Admission word = Admission::wait;
+        AdmissionDecision verdict;
         bool ended = false;
     };
     std::map<std::uint64_t, Request> requests;
@@ -51,32 +51,32 @@
     explicit World(const Settings& s = settings()) : limiter(s) {}
 
     std::uint64_t ask(const std::string& tenant, Duration service, std::uint64_t shape = 1,
-                      bool privileged = false, Duration patience = 20s, Duration estimate = 20ms) {
+                      bool privileged = false, Duration client_timeout = 20s, Duration estimate = 20ms) {
         std::uint64_t id = ++ids;
         Request& r = requests[id];
         r.tenant = tenant, r.service = service, r.asked = now;
         r.verdict =
-            limiter.arrive({id, 1, tenant, {shape, shape}, estimate, privileged, now + patience}, now);
+            limiter.arrive({id, 1, tenant, {shape, shape}, estimate, privileged, now + client_timeout}, now);
         take(r.verdict);
         settle();
         return id;
     }
-    void take(const Verdict& v) {
+    void take(const AdmissionDecision& v) {
         Request& r = requests.at(v.id);
         r.word = v.word;
         r.verdict = v;
-        if (v.word == Word::go) {
+        if (v.word == Admission::go) {
             r.wait = now - r.asked;
             out.push({now + r.service, v.id});
         }
-        if (v.word == Word::refuse) r.ended = true;
+        if (v.word == Admission::refuse) r.ended = true;
     }
     void settle() {
-        std::vector<Verdict> due;
+        std::vector<AdmissionDecision> due;
         do {
             due.clear();
             limiter.release(now, due);
-            for (const Verdict& v : due) take(v);
+            for (const AdmissionDecision& v : due) take(v);
         } while (!due.empty());
     }
     void run(Time until) {
@@ -179,9 +179,9 @@
     for (int i = 0; i < 200; ++i) w.ask("rance", 400ms, 1);
     CHECK(w.limiter.work(1) <= 750ms);
     std::uint64_t write = w.ask("rance", 40ms, 1, true);
-    CHECK(w.requests[write].word == Word::go);
+    CHECK(w.requests[write].word == Admission::go);
     std::uint64_t other = w.ask("vilaine", 40ms, 1, true);
-    CHECK(w.requests[other].word == Word::go);
+    CHECK(w.requests[other].word == Admission::go);
 }
 
 TEST_CASE("nobody starves: plain reads go on beside a laundry's endless writes") {
@@ -194,7 +194,7 @@
     std::uint64_t plain = w.ask("rance", 40ms, 1);
     for (int i = 0; i < 400; ++i) w.ask("rance", 40ms, 1, true);
     w.run(w.now + 2s);
-    CHECK(w.requests[plain].word == Word::go);
+    CHECK(w.requests[plain].word == Admission::go);
     CHECK(w.requests[plain].wait < 500ms);
 }
 
@@ -208,7 +208,7 @@
     for (int i = 0; i < 300; ++i) w.ask("rance", 10ms, 1);
     std::uint64_t large = w.ask("vilaine", 240ms, 2);
     w.run(w.now + 1s);
-    CHECK(w.requests[large].word == Word::go);
+    CHECK(w.requests[large].word == Admission::go);
 }
 
 TEST_CASE(
@@ -220,22 +220,22 @@
     for (int i = 0; i < 25; ++i) w.ask("rance", 5s, 1);
     std::uint64_t waits = w.ask("rance", 40ms, 1, false, 2s);
     std::uint64_t late = w.ask("rance", 40ms, 1, false, 30ms);
-    CHECK(w.requests[waits].word == Word::wait);
-    CHECK(w.requests[late].word == Word::refuse);
+    CHECK(w.requests[waits].word == Admission::wait);
+    CHECK(w.requests[late].word == Admission::refuse);
     CHECK(w.requests[late].verdict.cause == Cause::too_late);
     CHECK(w.requests[late].verdict.retry_after.value() >= 20ms);
     Time asked = w.now;
     w.run(w.now + 99ms);
-    CHECK(w.requests[waits].word == Word::wait);
+    CHECK(w.requests[waits].word == Admission::wait);
     w.run(asked + 100ms);
-    CHECK(w.requests[waits].word == Word::refuse);
+    CHECK(w.requests[waits].word == Admission::refuse);
     CHECK(w.requests[waits].verdict.cause == Cause::waited);
     CHECK(w.requests[waits].verdict.retry_after);
     for (int i = 0; i < 30; ++i) w.ask("rance", 40ms, 1);
     std::uint64_t full = w.ask("rance", 40ms, 1);
-    CHECK(w.requests[full].word == Word::refuse);
+    CHECK(w.requests[full].word == Admission::refuse);
     // A laundry that fills its part of the queue leaves the others theirs.
-    CHECK(w.requests[w.ask("vilaine", 40ms, 1)].word != Word::refuse);
+    CHECK(w.requests[w.ask("vilaine", 40ms, 1)].word != Admission::refuse);
 }
 
 TEST_CASE("names that nobody knows share one share: a new name a request wins nothing") {
@@ -279,7 +279,7 @@
     CHECK(w.limiter.in_flight() == 1);  // a quarter of a second's work holds one of a second
     w.teach(1, 20ms);
     std::uint64_t behind = w.ask("rance", 20ms, 1);
-    CHECK(w.requests[behind].word == Word::go);
+    CHECK(w.requests[behind].word == Admission::go);
     // A cap that is lifted while its queue is full lets all of them go, a few at a time, and loses none.
     for (int i = 0; i < 40; ++i) w.ask("rance", 5ms, 3, false, 60s);
     w.run(w.now + 60s);
@@ -291,7 +291,7 @@
     w.teach(1, 20ms);
     auto time_out = [&](std::uint64_t shape) {
         std::uint64_t id = w.ask("rance", 100s, shape);
-        if (w.requests[id].word != Word::go) return false;
+        if (w.requests[id].word != Admission::go) return false;
         w.now += 500ms;
         w.requests[id].ended = true;
         w.limiter.finish(id, End::timed_out, 0, w.now);
@@ -300,19 +300,19 @@
     };
     for (int i = 0; i < 3; ++i) CHECK(time_out(5));
     std::uint64_t id = w.ask("rance", 1ms, 5);
-    CHECK(w.requests[id].word == Word::refuse);
+    CHECK(w.requests[id].word == Admission::refuse);
     CHECK(w.requests[id].verdict.cause == Cause::quarantined);
     CHECK(w.requests[id].verdict.retry_after.value() <= 1s);
     w.run(w.now + 1s);
     CHECK(time_out(5));  // the probe; it fails, and the next is twice as far away
     w.run(w.now + 1s);
-    CHECK(w.requests[w.ask("rance", 1ms, 5)].word == Word::refuse);
+    CHECK(w.requests[w.ask("rance", 1ms, 5)].word == Admission::refuse);
     w.run(w.now + 1s);
     std::uint64_t probe = w.ask("rance", 20ms, 5);
-    CHECK(w.requests[probe].word == Word::go);
-    CHECK(w.requests[w.ask("rance", 20ms, 5)].word == Word::refuse);  // one at a time
+    CHECK(w.requests[probe].word == Admission::go);
+    CHECK(w.requests[w.ask("rance", 20ms, 5)].word == Admission::refuse);  // one at a time
     w.run(w.now + 30ms);
-    CHECK(w.requests[w.ask("rance", 20ms, 5)].word == Word::go);
+    CHECK(w.requests[w.ask("rance", 20ms, 5)].word == Admission::go);
 }
 
 // Guards writes when their primary is gone: all of them time out, none is to blame.
@@ -321,7 +321,7 @@
     for (int i = 0; i < 10; ++i)
         for (std::uint64_t shape : {1, 2, 3}) {
             std::uint64_t id = w.ask("rance", 100s, shape);
-            REQUIRE(w.requests[id].word == Word::go);
+            REQUIRE(w.requests[id].word == Admission::go);
             w.now += 500ms;
             w.requests[id].ended = true;
             w.limiter.finish(id, End::timed_out, 0, w.now);
@@ -357,10 +357,10 @@
     REQUIRE(before.priors(10).size() == 1);  // one outcome is no knowledge
     Time now = kStart + 60s;
     after.learn(before.priors(10)[0], now);
-    CHECK(after.view({1, 1}, 1ms, pulse, now).standing == Standing::costly);
+    CHECK(after.view({1, 1}, 1ms, pulse, now).standing == ShapeState::costly);
     for (int i = 0; i < 12; ++i) after.record({1, 1}, End::served, 10ms, 0, 1ms, pulse, now += 1ms);
     CHECK(after.view({1, 1}, 1ms, pulse, now).mean < 40ms);
-    CHECK(after.view({1, 1}, 1ms, pulse, now).standing == Standing::known);
+    CHECK(after.view({1, 1}, 1ms, pulse, now).standing == ShapeState::known);
     CostModel::Prior absurd{{3, 3}, ~0ull, 1, 100};
     after.learn(absurd, now);
     CHECK(after.size() == 1);
@@ -434,7 +434,7 @@
                     it = w.requests.erase(it);
                     continue;
                 }
-                (it->second.word == Word::wait ? waiting : in_flight) += 1;
+                (it->second.word == Admission::wait ? waiting : in_flight) += 1;
                 ++it;
             }
             std::erase_if(open, [&](std::uint64_t id) { return !w.requests.count(id); });
--- a/tests/ownership_test.cpp
+++ b/tests/ownership/ownership_test.cpp
@@ -38,17 +38,19 @@
     std::vector<Claims> claims;
     Fence fence;
     int asks[kCandidates] = {}, acts[kCandidates] = {}, voter_restarts = 0, restarts = 0;
-    using Message = std::variant<Ask, Release, Answer, Seen>;  // Seen: an act
+    using Message = std::variant<LeaseRequest, LeaseRelease, LeaseReply, Seen>;  // Seen: an act
     std::set<Message> net;
-    std::map<Term, Party> owners;
+    std::map<Term, Participant> owners;
     Seen last;  // the witness's: by whom it was last acted upon, for good
     const char* broken = nullptr;
 
     Time now(int node) const { return Time(Duration(1'000'000 + tick * kRate[node])); }
-    Party party(int c) const { return {NodeId(kVoters + c), std::uint64_t(1 + (c == 0 ? restarts : 0))}; }
+    Participant party(int c) const {
+        return {NodeId(kVoters + c), std::uint64_t(1 + (c == 0 ? restarts : 0))};
+    }
     World(Settings s, const Bounds& b) : set(std::move(s)), fence(set.fence) {
         set.voters = {NodeId(0), NodeId(1), NodeId(2)};
-        set.lease = Duration(36), set.drift = 0.2, set.step = set.patience = Duration(0);
+        set.lease = Duration(36), set.drift = 0.2, set.step = set.reply_timeout = Duration(0);
         for (int v = 0; v < kVoters; ++v)  // they started long ago
             voters.emplace_back(NodeId(v), set, std::vector<Promise>{}, Time(Duration(0)));
         for (int c = 0; c < kCandidates; ++c) start(c);
@@ -62,12 +64,12 @@
         else
             claims.push_back(fresh);
     }
-    void take(int c, const Out& out) {
+    void take(int c, const ClaimOutput& out) {
         for (const ownership::Message& m : out.messages)
-            if (auto* ask = std::get_if<Ask>(&m))
+            if (auto* ask = std::get_if<LeaseRequest>(&m))
                 net.insert(*ask), ++asks[c];
             else
-                net.insert(std::get<Release>(m));
+                net.insert(std::get<LeaseRelease>(m));
     }
     void keep(int v, const std::optional<Promise>& p) {
         if (p && set.keep_votes) kept[v] = {*p};
@@ -82,10 +84,10 @@
     std::vector<Event> events(const Bounds& b) const {
         std::vector<Event> out;
         for (const auto& m : net) {
-            if (auto* a = std::get_if<Answer>(&m)) {
+            if (auto* a = std::get_if<LeaseReply>(&m)) {
                 int c = int(a->to.node) - kVoters;
                 const Claim& k = claims[std::size_t(c)].all().at(kDuty);
-                if (a->to == party(c) && k.standing != Standing::waiting && k.term == a->term)
+                if (a->to == party(c) && k.standing != ClaimState::waiting && k.term == a->term)
                     out.push_back({What::deliver, c, m});
             } else if (std::holds_alternative<Seen>(m)) {
                 out.push_back({What::deliver, 0, m});
@@ -105,16 +107,16 @@
     }
     void happen(const Event& e) {
         auto at = std::size_t(e.at);
-        if (auto* ask = std::get_if<Ask>(&e.message); ask && e.what == What::deliver) {
+        if (auto* ask = std::get_if<LeaseRequest>(&e.message); ask && e.what == What::deliver) {
             auto reply = voters[at].ask(*ask, now(e.at));
             keep(e.at, reply.keep);
             reply.answer.left = {};  // a candidate may come at any time here
             // A refusal tells a term to go beyond, which a candidate's next ask does by itself here.
             if (reply.answer.granted) net.insert(reply.answer);
         } else if (e.what == What::deliver) {
-            if (auto* release = std::get_if<Release>(&e.message))
+            if (auto* release = std::get_if<LeaseRelease>(&e.message))
                 keep(e.at, voters[at].release(*release));
-            else if (auto* answer = std::get_if<Answer>(&e.message))
+            else if (auto* answer = std::get_if<LeaseReply>(&e.message))
                 take(e.at, claims[at].answer(*answer, now(kVoters + e.at)));
             else
                 act_on(std::get<Seen>(e.message));
@@ -155,7 +157,7 @@
     XXH128_hash_t digest() const {
         std::string s;
         auto put = [&](auto v) { s.append(reinterpret_cast<const char*>(&v), sizeof v); };
-        auto party = [&](const Party& p) { put(p.node), put(p.life); };
+        auto party = [&](const Participant& p) { put(p.node), put(p.incarnation); };
         auto ahead = [&](Time t, Time now) { put(std::max<std::int64_t>(0, (t - now).count())); };
         put(tick), put(voter_restarts), put(restarts), put(last.term), party(last.owner);
         for (int v = 0; v < kVoters; ++v) {
@@ -181,10 +183,10 @@
         for (auto& [term, owner] : owners) put(term), party(owner);
         for (const auto& m : net) {
             put(char(m.index()));
-            if (auto* ask = std::get_if<Ask>(&m)) put(ask->term), party(ask->from), put(ask->round);
-            if (auto* r = std::get_if<Release>(&m)) put(r->term), party(r->from);
+            if (auto* ask = std::get_if<LeaseRequest>(&m)) put(ask->term), party(ask->from), put(ask->round);
+            if (auto* r = std::get_if<LeaseRelease>(&m)) put(r->term), party(r->from);
             if (auto* act = std::get_if<Seen>(&m)) put(act->term), party(act->owner);
-            if (auto* a = std::get_if<Answer>(&m))
+            if (auto* a = std::get_if<LeaseReply>(&m))
                 put(a->term), put(a->from), party(a->to), put(a->round), put(a->granted), put(a->highest);
         }
         return XXH3_128bits(s.data(), s.size());
@@ -273,7 +275,7 @@
     Claims claims({NodeId{1}, 1}, s, [] { return 0.0; });
     Time now{seconds(100)};
     claims.stand(kDuty, 0, now);
-    Ask first = std::get<Ask>(claims.tick(now).messages.at(0));
+    LeaseRequest first = std::get<LeaseRequest>(claims.tick(now).messages.at(0));
     claims.leave(kDuty, now);
     now += seconds(60);
     claims.stand(kDuty, 0, now);
--- a/tests/policy/recorded_decisions_test.cpp
+++ b/tests/policy/recorded_decisions_test.cpp
@@ -14,81 +14,81 @@
 namespace indigovane::testing {
 namespace {
 
-using starlingpond::ClassSettings;
-using starlingpond::Consistency;
-using starlingpond::Duration;
-using starlingpond::Effect;
-using starlingpond::RepeatScope;
-using starlingpond::Settings;
+using policy::ClassSettings;
+using policy::Consistency;
+using policy::DeduplicationScope;
+using policy::Duration;
+using policy::Idempotency;
+using policy::Settings;
 
-ClassSettings make_class(Consistency consistency, Effect effect, Duration aim, Duration deadline,
-                         double worth) {
+ClassSettings make_class(Consistency consistency, Idempotency idempotency, Duration latency_objective,
+                         Duration deadline, double priority_weight) {
     ClassSettings settings;
     settings.consistency = consistency;
-    settings.effect = effect;
-    settings.aim = aim;
+    settings.idempotency = idempotency;
+    settings.latency_objective = latency_objective;
     settings.deadline = deadline;
-    settings.worth = worth;
+    settings.priority_weight = priority_weight;
     settings.late_share = consistency == Consistency::write ? 0.3 : 0;
-    settings.repeat_scope = RepeatScope::all;
-    settings.repeat_window = 1s;
+    settings.deduplication_scope = DeduplicationScope::all;
+    settings.deduplication_window = 1s;
     return settings;
 }
 
 // Lists are pushed, hosts do not check reads, tokens are remembered, probes are free.
 Settings laundry_settings() {
     Settings settings;
-    settings.classes = {make_class(Consistency::bounded, Effect::safe, 250ms, 1s, 1),
-                        make_class(Consistency::session, Effect::safe, 200ms, 600ms, 3),
-                        make_class(Consistency::write, Effect::keyed, 600ms, 2s, 6),
-                        make_class(Consistency::write, Effect::unsafe, 600ms, 2s, 6),
-                        make_class(Consistency::any, Effect::safe, 250ms, 1s, 1),
-                        make_class(Consistency::fresh, Effect::safe, 400ms, 1s, 2)};
+    settings.classes = {make_class(Consistency::bounded, Idempotency::idempotent, 250ms, 1s, 1),
+                        make_class(Consistency::session, Idempotency::idempotent, 200ms, 600ms, 3),
+                        make_class(Consistency::write, Idempotency::idempotency_key, 600ms, 2s, 6),
+                        make_class(Consistency::write, Idempotency::not_idempotent, 600ms, 2s, 6),
+                        make_class(Consistency::any, Idempotency::idempotent, 250ms, 1s, 1),
+                        make_class(Consistency::fresh, Idempotency::idempotent, 400ms, 1s, 2)};
     settings.classes[0].bound = 3s;
-    settings.classes[3].repeat_scope = RepeatScope::zone;
+    settings.classes[3].deduplication_scope = DeduplicationScope::zone;
     settings.fleet_size = 30;
-    settings.list_mode = starlingpond::ListMode::pushed;
+    settings.endpoint_list_mode = policy::EndpointListMode::pushed;
     settings.removal_binds = true;
     settings.probes = true;
     settings.cancels = true;
-    settings.second_copies = false;
+    settings.hedging = false;
     settings.retry_after = true;
-    settings.longest_retry_after = 200ms;
+    settings.max_retry_after = 200ms;
     settings.attempts = 4;
-    settings.tokens = starlingpond::TokenSource::remembered;
-    settings.server_check = starlingpond::ServerCheck::none;
-    settings.cold_from = 0.2;
+    settings.tokens = policy::TokenSource::remembered;
+    settings.staleness_check = policy::StalenessCheck::none;
+    settings.slow_start_share = 0.2;
     settings.ramp = 17s;
-    settings.fall_multiple = 2.5;
-    settings.fall_window = 2s;
+    settings.overload_multiple = 2.5;
+    settings.overload_window = 2s;
     return settings;
 }
 
 // Lists are asked for, hosts check reads, clients carry their tokens, probes have a price.
 Settings charging_settings() {
     Settings settings;
-    settings.classes = {make_class(Consistency::bounded, Effect::safe, 600ms, 2s, 1),
-                        make_class(Consistency::session, Effect::safe, 500ms, 1200ms, 1),
-                        make_class(Consistency::session, Effect::unsafe, 500ms, 1200ms, 1),
-                        make_class(Consistency::fresh, Effect::safe, 600ms, 2s, 1),
-                        make_class(Consistency::write, Effect::keyed, 1500ms, 5s, 4)};
+    settings.classes = {make_class(Consistency::bounded, Idempotency::idempotent, 600ms, 2s, 1),
+                        make_class(Consistency::session, Idempotency::idempotent, 500ms, 1200ms, 1),
+                        make_class(Consistency::session, Idempotency::not_idempotent, 500ms, 1200ms, 1),
+                        make_class(Consistency::fresh, Idempotency::idempotent, 600ms, 2s, 1),
+                        make_class(Consistency::write, Idempotency::idempotency_key, 1500ms, 5s, 4)};
     settings.classes[0].bound = 300ms;
-    settings.classes[4].repeat_window = 400ms;
+    settings.classes[4].deduplication_window = 400ms;
     settings.fleet_size = 300;
-    settings.list_mode = starlingpond::ListMode::asked;
+    settings.endpoint_list_mode = policy::EndpointListMode::polled;
     settings.removal_binds = false;
     settings.probes = true;
     settings.cancels = false;
-    settings.second_copies = true;
+    settings.hedging = true;
     settings.retry_after = false;
     settings.attempts = 6;
-    settings.tokens = starlingpond::TokenSource::carried;
-    settings.server_check = starlingpond::ServerCheck::wait;
-    settings.cold_from = 0.18;
+    settings.tokens = policy::TokenSource::carried;
+    settings.staleness_check = policy::StalenessCheck::wait;
+    settings.slow_start_share = 0.18;
     settings.ramp = 16s;
-    settings.fall_multiple = 2;
-    settings.fall_window = 1500ms;
-    settings.probe_price = 0.02;
+    settings.overload_multiple = 2;
+    settings.overload_window = 1500ms;
+    settings.health_check_price = 0.02;
     return settings;
 }
 
