--- a/tests/brain_test.cpp
+++ b/tests/policy/routing_policy_test.cpp
@@ -1,51 +1,52 @@
 // The decision module alone: no bench, no wire.
+#include "policy/routing_policy.hpp"
+
 #include <gtest/gtest.h>
 
 #include <map>
 #include <set>
-#include <starlingpond/brain.hpp>
 
-using namespace starlingpond;
+using namespace indigovane::policy;
 using namespace std::chrono_literals;
 
 namespace {
 
 constexpr std::uint32_t kRead = 0, kOwn = 1, kAny = 2, kWrite = 3, kFresh = 4;
 
-Settings usual(Effect write_effect = Effect::unsafe) {
+Settings usual(Idempotency write_effect = Idempotency::not_idempotent) {
     Settings s;
-    auto add = [&](Consistency c, Effect e, Duration aim, Duration deadline) {
+    auto add = [&](Consistency c, Idempotency e, Duration latency_objective, Duration deadline) {
         ClassSettings k;
         k.consistency = c;
-        k.effect = e;
-        k.aim = aim;
+        k.idempotency = e;
+        k.latency_objective = latency_objective;
         k.deadline = deadline;
-        k.worth = 1;
+        k.priority_weight = 1;
         k.late_share = c == Consistency::write ? 0.5 : 0;
         k.bound = c == Consistency::bounded ? 200ms : 0ms;
-        k.repeat_scope = RepeatScope::group;
-        k.repeat_window = 1s;
+        k.deduplication_scope = DeduplicationScope::group;
+        k.deduplication_window = 1s;
         s.classes.push_back(k);
     };
-    add(Consistency::bounded, Effect::safe, 400ms, 1s);
-    add(Consistency::session, Effect::safe, 400ms, 1s);
-    add(Consistency::any, Effect::safe, 400ms, 1s);
+    add(Consistency::bounded, Idempotency::idempotent, 400ms, 1s);
+    add(Consistency::session, Idempotency::idempotent, 400ms, 1s);
+    add(Consistency::any, Idempotency::idempotent, 400ms, 1s);
     add(Consistency::write, write_effect, 500ms, 3s);
-    add(Consistency::fresh, Effect::safe, 400ms, 1s);
+    add(Consistency::fresh, Idempotency::idempotent, 400ms, 1s);
     s.fleet_size = 1;
-    s.list_mode = ListMode::pushed;
+    s.endpoint_list_mode = EndpointListMode::pushed;
     s.probes = true;
     s.cancels = true;
-    s.second_copies = false;
+    s.hedging = false;
     s.retry_after = true;
-    s.longest_retry_after = 1s;
+    s.max_retry_after = 1s;
     s.attempts = 6;
     s.tokens = TokenSource::carried;
-    s.server_check = ServerCheck::none;
-    s.cold_from = 0.2;
+    s.staleness_check = StalenessCheck::none;
+    s.slow_start_share = 0.2;
     s.ramp = 10s;
-    s.fall_multiple = 2;
-    s.fall_window = 1s;
+    s.overload_multiple = 2;
+    s.overload_window = 1s;
     return s;
 }
 
@@ -53,12 +54,12 @@
 Settings checked_without_probes() {
     Settings s = usual();
     s.probes = false;
-    s.server_check = ServerCheck::wait;
+    s.staleness_check = StalenessCheck::wait;
     s.classes[kRead].bound = 3s;
     return s;
 }
 
-// A proxy's side of one Brain: carries the timers and answers the probes from `shows`.
+// A proxy's side of one RoutingPolicy: carries the timers and answers the probes from `shows`.
 struct Bed {
     struct Shown {
         bool primary = false;
@@ -68,60 +69,62 @@
     };
     struct Sent {
         RequestId id;
-        MemberId member;
+        EndpointId endpoint;
         std::uint32_t attempt;
         Time at;
     };
 
-    Brain brain;
+    RoutingPolicy policy;
     Time now{100s};
-    std::map<MemberId, Shown> shows;
+    std::map<EndpointId, Shown> shows;
     std::multimap<Time, TimerId> timers;
     std::vector<Sent> sends;
-    std::vector<Cancel> cancels;
+    std::vector<CancelAttempt> cancels;
     std::map<RequestId, std::string> finals;
     std::map<RequestId, std::uint32_t> attempts;
     std::optional<Duration> retry_after;
     int probes = 0, follows = 0, logs = 0;
-    std::vector<std::pair<Time, MemberId>> probes_out;
+    std::vector<std::pair<Time, EndpointId>> probes_out;
     std::uint64_t next_id = 1;
 
-    explicit Bed(const Settings& s = usual(), std::uint64_t seed = 7) : brain(s, seed, now) {}
+    explicit Bed(const Settings& s = usual(), std::uint64_t seed = 7) : policy(s, seed, now) {}
 
     void give(const Event& e) {
         Actions out;
-        brain.handle(now, e, out);
+        policy.handle(now, e, out);
         for (const Action& a : out) {
-            if (const auto* x = std::get_if<Send>(&a))
-                sends.push_back({x->id, x->member, attempts[x->id]++, now});
-            if (const auto* x = std::get_if<Refuse>(&a))
+            if (const auto* x = std::get_if<SendAttempt>(&a))
+                sends.push_back({x->id, x->endpoint, attempts[x->id]++, now});
+            if (const auto* x = std::get_if<RejectRequest>(&a))
                 final(x->id, "refused"), retry_after = x->retry_after;
-            if (const auto* x = std::get_if<Fail>(&a)) final(x->id, "failed");
-            if (const auto* x = std::get_if<Cancel>(&a)) cancels.push_back(*x);
+            if (const auto* x = std::get_if<FailRequest>(&a)) final(x->id, "failed");
+            if (const auto* x = std::get_if<CancelAttempt>(&a)) cancels.push_back(*x);
             if (const auto* x = std::get_if<SetTimer>(&a)) timers.emplace(now + x->delay, x->id);
-            if (std::get_if<FollowList>(&a)) ++follows;
-            if (std::get_if<Log>(&a)) ++logs;
-            if (const auto* x = std::get_if<Probe>(&a))
-                ++probes, probes_out.emplace_back(now + 1ms, x->member);
+            if (std::get_if<WatchEndpoints>(&a)) ++follows;
+            if (std::get_if<LogMessage>(&a)) ++logs;
+            if (const auto* x = std::get_if<CheckHealth>(&a))
+                ++probes, probes_out.emplace_back(now + 1ms, x->endpoint);
         }
     }
     void final(RequestId id, const char* how) {
         EXPECT_FALSE(finals.contains(id)) << "a second final answer";
         finals[id] = how;
     }
-    void list(ListKind kind, std::vector<ListEntry> entries) { give(List{kind, std::move(entries)}); }
-    static ListEntry entry(std::uint32_t id, MemberState state = MemberState::ready,
-                           std::optional<Time> started = std::nullopt) {
-        return {MemberId{id}, GroupId{1}, ZoneId{}, state, false, started};
+    void list(EndpointListKind kind, std::vector<EndpointEntry> entries) {
+        give(EndpointList{kind, std::move(entries)});
+    }
+    static EndpointEntry entry(std::uint32_t id, EndpointState state = EndpointState::ready,
+                               std::optional<Time> started = std::nullopt) {
+        return {EndpointId{id}, GroupId{1}, ZoneId{}, state, false, started};
     }
     // Members 0..n-1, of which 0 is primary, and a look at each.
     void group(std::uint32_t n) {
-        std::vector<ListEntry> entries;
+        std::vector<EndpointEntry> entries;
         for (std::uint32_t i = 0; i < n; ++i) {
             entries.push_back(entry(i));
-            shows[MemberId{i}] = {i == 0, 5ms, true};
+            shows[EndpointId{i}] = {i == 0, 5ms, true};
         }
-        list(ListKind::full, entries);
+        list(EndpointListKind::full, entries);
         done(ask(kAny));
         run(50ms);
     }
@@ -135,25 +138,28 @@
             if (auto it = std::find_if(probes_out.begin(), probes_out.end(),
                                        [&](auto& p) { return p.first <= now; });
                 it != probes_out.end()) {
-                MemberId m = it->second;
+                EndpointId m = it->second;
                 probes_out.erase(it);
                 Shown shown = shows[m];
-                Report report{
+                LoadReport report{
                     now - (shown.primary ? 0ms : shown.behind), shown.primary, shown.held, {}, shown.busy};
-                give(ProbeResult{m, shown.answers ? Status::ok : Status::unreachable, 1ms, report});
+                give(HealthCheckResult{m, shown.answers ? AttemptStatus::ok : AttemptStatus::unreachable, 1ms,
+                                       report});
             } else if (!timers.empty() && timers.begin()->first <= now) {
                 TimerId id = timers.begin()->second;
                 timers.erase(timers.begin());
-                give(Timer{id});
+                give(TimerExpired{id});
             } else if (now >= end) {
                 return;
             }
         }
     }
-    RequestId ask(std::uint32_t cls, Duration patience = 1s, std::optional<Duration> token = std::nullopt,
+    RequestId ask(std::uint32_t request_class, Duration client_timeout = 1s,
+                  std::optional<Duration> token = std::nullopt,
                   std::optional<SessionKey> session = std::nullopt, std::uint32_t group = 1) {
         RequestId id{next_id++};
-        give(Request{id, ClassId{cls}, GroupId{group}, patience, session, token, false});
+        give(RequestArrival{id, ClassId{request_class}, GroupId{group}, client_timeout, session, token,
+                            false});
         return id;
     }
     const Sent* last(RequestId id) const {
@@ -161,27 +167,29 @@
             if (it->id == id) return &*it;
         return nullptr;
     }
-    void end(RequestId id, Status status, std::optional<Role> role = std::nullopt,
+    void end(RequestId id, AttemptStatus status, std::optional<Role> role = std::nullopt,
              std::optional<Time> position = std::nullopt, Execution evidence = Execution::never_ran) {
         const Sent* s = last(id);
         if (!s) return;
-        bool finished = status == Status::ok || finals.contains(id);
-        if (status == Status::ok && !finals.contains(id)) finals[id] = "served";
-        give(Outcome{id, s->attempt, s->member, status, now - s->at, finished, role, position, {}, evidence});
+        bool finished = status == AttemptStatus::ok || finals.contains(id);
+        if (status == AttemptStatus::ok && !finals.contains(id)) finals[id] = "served";
+        give(AttemptOutcome{
+            id, s->attempt, s->endpoint, status, now - s->at, finished, role, position, {}, evidence});
     }
     void done(RequestId id) {
         if (!last(id)) run(20ms);
         if (const Sent* s = last(id)) {
-            bool p = shows[s->member].primary;
+            bool p = shows[s->endpoint].primary;
             now += 10ms;
-            end(id, Status::ok, p ? Role::primary : Role::replica, now - (p ? 0ms : shows[s->member].behind));
+            end(id, AttemptStatus::ok, p ? Role::primary : Role::replica,
+                now - (p ? 0ms : shows[s->endpoint].behind));
         }
     }
-    MemberId target(RequestId id) const { return last(id) ? last(id)->member : MemberId{999}; }
+    EndpointId target(RequestId id) const { return last(id) ? last(id)->endpoint : EndpointId{999}; }
     bool answered(RequestId id) const { return finals.contains(id); }
 };
 
-constexpr MemberId kPrimary{0};
+constexpr EndpointId kPrimary{0};
 
 }  // namespace
 
@@ -190,40 +198,40 @@
 TEST(OrdinaryPath, WritesAndFreshReadsGoToThePrimaryOtherReadsToReplicas) {
     Bed bed;
     bed.group(4);
-    for (std::uint32_t cls : {kWrite, kFresh}) {
-        RequestId id = bed.ask(cls, 3s);
+    for (std::uint32_t request_class : {kWrite, kFresh}) {
+        RequestId id = bed.ask(request_class, 3s);
         EXPECT_EQ(bed.target(id), kPrimary);
         bed.done(id);
     }
-    std::set<MemberId> seen;
+    std::set<EndpointId> seen;
     for (int i = 0; i < 60; ++i) {
         RequestId id = bed.ask(i % 2 ? kRead : kAny);
         ASSERT_NE(bed.last(id), nullptr);
         seen.insert(bed.target(id));
         bed.done(id);
     }
-    EXPECT_EQ(seen, (std::set<MemberId>{MemberId{1}, MemberId{2}, MemberId{3}}));
+    EXPECT_EQ(seen, (std::set<EndpointId>{EndpointId{1}, EndpointId{2}, EndpointId{3}}));
 }
 
 TEST(OrdinaryPath, AFreshRouterProbesAtFirstUseAndHoldsBoundedReads) {
     Bed bed;
-    bed.list(ListKind::cached, {Bed::entry(0), Bed::entry(1)});
-    bed.shows[MemberId{0}] = {true, 0ms, true};
-    bed.shows[MemberId{1}] = {false, 5ms, true};
+    bed.list(EndpointListKind::cached, {Bed::entry(0), Bed::entry(1)});
+    bed.shows[EndpointId{0}] = {true, 0ms, true};
+    bed.shows[EndpointId{1}] = {false, 5ms, true};
     EXPECT_EQ(bed.probes, 0);
     RequestId id = bed.ask(kRead);
     EXPECT_EQ(bed.probes, 2);
     EXPECT_EQ(bed.last(id), nullptr);
     bed.run(5ms);
-    EXPECT_EQ(bed.target(id), MemberId{1});
+    EXPECT_EQ(bed.target(id), EndpointId{1});
 }
 
 TEST(OrdinaryPath, RefusesAtOnceWithRetryAfterWhenAllReplicasLag) {
     Bed bed;
     bed.group(3);
-    bed.shows[MemberId{1}].behind = bed.shows[MemberId{2}].behind = 5s;
+    bed.shows[EndpointId{1}].behind = bed.shows[EndpointId{2}].behind = 5s;
     bed.run(2s);
-    for (std::uint32_t m : {1, 2}) bed.shows[MemberId{m}].behind = 7s;
+    for (std::uint32_t m : {1, 2}) bed.shows[EndpointId{m}].behind = 7s;
     RequestId id = bed.ask(kRead);
     bed.run(400ms);
     EXPECT_EQ(bed.last(id), nullptr);
@@ -259,7 +267,7 @@
     SessionKey key{5};
     RequestId w = bed.ask(kWrite, 3s, std::nullopt, key);
     bed.now += 10ms;
-    bed.end(w, Status::ok, Role::primary, bed.now);
+    bed.end(w, AttemptStatus::ok, Role::primary, bed.now);
     RequestId mine = bed.ask(kOwn, 1s, std::nullopt, key);
     EXPECT_EQ(bed.target(mine), kPrimary);
     RequestId other = bed.ask(kOwn, 1s, std::nullopt, SessionKey{6});
@@ -268,14 +276,16 @@
 
 TEST(OrdinaryPath, WhereServersCheckTheLeastBehindIsTriedFirstThenThePrimary) {
     Settings s = usual();
-    s.server_check = ServerCheck::refuse;
+    s.staleness_check = StalenessCheck::refuse;
     Bed bed(s);
     bed.group(3);
-    bed.give(ProbeResult{MemberId{1}, Status::ok, 1ms, Report{bed.now - 900ms, false, {}, {}, {}}});
-    bed.give(ProbeResult{MemberId{2}, Status::ok, 1ms, Report{bed.now, false, {}, {}, {}}});
+    bed.give(HealthCheckResult{EndpointId{1}, AttemptStatus::ok, 1ms,
+                               LoadReport{bed.now - 900ms, false, {}, {}, {}}});
+    bed.give(
+        HealthCheckResult{EndpointId{2}, AttemptStatus::ok, 1ms, LoadReport{bed.now, false, {}, {}, {}}});
     RequestId id = bed.ask(kOwn, 1s, 1us);
-    EXPECT_EQ(bed.target(id), MemberId{2});
-    bed.end(id, Status::miss, Role::replica, bed.now - 50ms);
+    EXPECT_EQ(bed.target(id), EndpointId{2});
+    bed.end(id, AttemptStatus::miss, Role::replica, bed.now - 50ms);
     EXPECT_EQ(bed.target(id), kPrimary);
 }
 
@@ -283,10 +293,11 @@
     Bed bed;
     bed.group(3);
     for (int i = 0; i < 5; ++i)
-        bed.give(ProbeResult{MemberId{1}, Status::ok, 40ms, Report{bed.now, false, {}, {}, {}}});
+        bed.give(HealthCheckResult{EndpointId{1}, AttemptStatus::ok, 40ms,
+                                   LoadReport{bed.now, false, {}, {}, {}}});
     for (int i = 0; i < 20; ++i) {
         RequestId id = bed.ask(kRead);
-        EXPECT_EQ(bed.target(id), MemberId{2});
+        EXPECT_EQ(bed.target(id), EndpointId{2});
         bed.done(id);
     }
 }
@@ -338,7 +349,7 @@
     auto story = [] {
         Bed bed;
         bed.group(5);
-        std::vector<MemberId> targets;
+        std::vector<EndpointId> targets;
         for (int i = 0; i < 50; ++i) {
             RequestId id = bed.ask(kRead);
             targets.push_back(bed.target(id));
@@ -353,7 +364,7 @@
 
 TEST(RuleOne, AHeldWriteIsAnsweredBeforeItsDeadline) {
     Bed bed;
-    bed.list(ListKind::full, {Bed::entry(1), Bed::entry(2)});  // nobody is primary
+    bed.list(EndpointListKind::full, {Bed::entry(1), Bed::entry(2)});  // nobody is primary
     RequestId id = bed.ask(kWrite, 900ms);
     bed.run(899ms);
     EXPECT_EQ(bed.finals[id], "refused");
@@ -366,16 +377,16 @@
     RequestId id = bed.ask(kWrite, 700ms);
     bed.run(700ms);
     EXPECT_EQ(bed.finals[id], "failed");
-    bed.end(id, Status::cancelled);
+    bed.end(id, AttemptStatus::cancelled);
     bed.run(1s);
     EXPECT_EQ(bed.attempts[id], 1u);
 }
 
 TEST(RuleOne, NothingIsOwedToAClientThatLeft) {
     Bed bed;
-    bed.list(ListKind::full, {Bed::entry(1)});
+    bed.list(EndpointListKind::full, {Bed::entry(1)});
     RequestId id = bed.ask(kWrite, 900ms);
-    bed.give(Withdrawn{id});
+    bed.give(RequestCancelled{id});
     bed.run(2s);
     EXPECT_FALSE(bed.answered(id));
     EXPECT_EQ(bed.last(id), nullptr);
@@ -383,9 +394,10 @@
 
 TEST(RuleOne, EmptyListUnknownGroupAndUnknownClassAreAnswered) {
     Bed bed;
-    bed.list(ListKind::cached, {});
+    bed.list(EndpointListKind::cached, {});
     std::vector<RequestId> ids;
-    for (std::uint32_t cls : {0u, 1u, 2u, 3u, 4u, 77u}) ids.push_back(bed.ask(cls, 500ms));
+    for (std::uint32_t request_class : {0u, 1u, 2u, 3u, 4u, 77u})
+        ids.push_back(bed.ask(request_class, 500ms));
     ids.push_back(bed.ask(kRead, 0ms));
     bed.run(499ms);
     for (RequestId id : ids) EXPECT_EQ(bed.finals[id], "refused");
@@ -398,7 +410,7 @@
     bed.done(id);
     bed.finals.clear();
     bed.attempts.clear();
-    bed.give(Request{id, ClassId{kRead}, GroupId{1}, 1s, {}, {}, false});
+    bed.give(RequestArrival{id, ClassId{kRead}, GroupId{1}, 1s, {}, {}, false});
     EXPECT_EQ(bed.last(id)->attempt, 0u);
     bed.done(id);
     EXPECT_EQ(bed.finals[id], "served");
@@ -407,7 +419,8 @@
 // ---- rule 2: no effect twice ----
 
 TEST(RuleTwo, AnUnsafeWriteThatMayHaveRunIsNeitherRepeatedNorRefused) {
-    for (Status status : {Status::error, Status::reset, Status::timeout, Status::cancelled}) {
+    for (AttemptStatus status :
+         {AttemptStatus::error, AttemptStatus::reset, AttemptStatus::timeout, AttemptStatus::cancelled}) {
         Bed bed;
         bed.group(3);
         RequestId id = bed.ask(kWrite, 3s);
@@ -421,13 +434,14 @@
 // Incident of 2 December: an answer of old data, or a refusal behind a row, was taken for "never ran".
 TEST(RuleTwo, WhatIsKnownToHaveRunIsNeitherRepeatedNorRefusedWhateverElseIsSaid) {
     struct Case {
-        Status status;
+        AttemptStatus status;
         Execution evidence;
     };
-    for (auto [status, evidence] : {Case{Status::stale, Execution::never_ran}, Case{Status::full, Execution::ran},
-                                    Case{Status::miss, Execution::ran}, Case{Status::unreachable, Execution::ran},
-                                    Case{Status::moot, Execution::may_have_run},
-                                    Case{Status::full, Execution::may_have_run}}) {
+    for (auto [status, evidence] :
+         {Case{AttemptStatus::stale, Execution::never_ran}, Case{AttemptStatus::rejected, Execution::ran},
+          Case{AttemptStatus::miss, Execution::ran}, Case{AttemptStatus::unreachable, Execution::ran},
+          Case{AttemptStatus::not_started, Execution::may_have_run},
+          Case{AttemptStatus::rejected, Execution::may_have_run}}) {
         Bed bed;
         bed.group(3);
         RequestId id = bed.ask(kWrite, 3s);
@@ -442,8 +456,8 @@
     Bed bed;
     bed.group(3);
     RequestId id = bed.ask(kAny, 3s);
-    MemberId first = bed.target(id);
-    bed.end(id, Status::stale, Role::replica, bed.now - 2s);
+    EndpointId first = bed.target(id);
+    bed.end(id, AttemptStatus::stale, Role::replica, bed.now - 2s);
     bed.run(100ms);
     EXPECT_EQ(bed.attempts[id], 2u);
     EXPECT_NE(bed.target(id), first);
@@ -454,23 +468,23 @@
     bed.group(3);
     RequestId id = bed.ask(kWrite, 3s);
     bed.shows[kPrimary] = {false, 0ms, true};
-    bed.end(id, Status::miss, Role::replica, bed.now);
+    bed.end(id, AttemptStatus::miss, Role::replica, bed.now);
     bed.run(500ms);
     EXPECT_EQ(bed.attempts[id], 1u);  // held: nobody claims to be primary
-    bed.shows[MemberId{2}].primary = true;
+    bed.shows[EndpointId{2}].primary = true;
     bed.run(500ms);
-    EXPECT_EQ(bed.target(id), MemberId{2});
+    EXPECT_EQ(bed.target(id), EndpointId{2});
 }
 
 TEST(RuleTwo, AKeyedWriteIsRepeatedWithinItsWindowOnly) {
-    Bed bed(usual(Effect::keyed));
+    Bed bed(usual(Idempotency::idempotency_key));
     bed.group(3);
     RequestId id = bed.ask(kWrite, 3s);
-    bed.end(id, Status::error, Role::primary, bed.now);
+    bed.end(id, AttemptStatus::error, Role::primary, bed.now);
     EXPECT_EQ(bed.attempts[id], 2u);
     // The second attempt is turned away after the window of the first has closed.
     bed.now += 1100ms;
-    bed.end(id, Status::miss, Role::primary, bed.now);
+    bed.end(id, AttemptStatus::miss, Role::primary, bed.now);
     bed.run(1s);
     EXPECT_EQ(bed.attempts[id], 2u);
     EXPECT_EQ(bed.finals[id], "failed");
@@ -478,14 +492,14 @@
 
 // i795eaf: a keyed request was held, its window closed, and it was sent once a primary was found.
 TEST(RuleTwo, AKeyedWriteHeldPastItsWindowIsNotReleased) {
-    Bed bed(usual(Effect::keyed));
+    Bed bed(usual(Idempotency::idempotency_key));
     bed.group(3);
     RequestId id = bed.ask(kWrite, 3s);
     bed.shows[kPrimary] = {false, 0ms, false};
-    bed.give(ProbeResult{kPrimary, Status::unreachable, 1ms, {}});
-    bed.end(id, Status::reset);
+    bed.give(HealthCheckResult{kPrimary, AttemptStatus::unreachable, 1ms, {}});
+    bed.end(id, AttemptStatus::reset);
     bed.run(1500ms);
-    bed.shows[MemberId{1}].primary = true;
+    bed.shows[EndpointId{1}].primary = true;
     bed.run(1s);
     EXPECT_EQ(bed.attempts[id], 1u);
     EXPECT_EQ(bed.finals[id], "failed");
@@ -505,7 +519,7 @@
     Bed bed(s);
     bed.group(6);
     RequestId id = bed.ask(kRead);
-    for (int i = 0; i < 5; ++i) bed.end(id, Status::full, Role::replica, bed.now);
+    for (int i = 0; i < 5; ++i) bed.end(id, AttemptStatus::rejected, Role::replica, bed.now);
     EXPECT_EQ(bed.attempts[id], 2u);
     EXPECT_EQ(bed.finals[id], "refused");
 }
@@ -514,13 +528,13 @@
 
 TEST(RuleThree, NothingNewToAMemberThatDrainsOrIsGone) {
     for (bool full : {false, true})
-        for (MemberState state : {MemberState::draining, MemberState::gone}) {
+        for (EndpointState state : {EndpointState::draining, EndpointState::gone}) {
             Bed bed;
             bed.group(3);
             if (full)
-                bed.list(ListKind::full, {Bed::entry(1), Bed::entry(2)});
+                bed.list(EndpointListKind::full, {Bed::entry(1), Bed::entry(2)});
             else
-                bed.list(ListKind::changes, {Bed::entry(0, state)});
+                bed.list(EndpointListKind::changes, {Bed::entry(0, state)});
             RequestId id = bed.ask(kWrite, 3s);
             bed.run(3s);
             EXPECT_EQ(bed.last(id), nullptr);
@@ -529,15 +543,15 @@
 
 TEST(RuleThree, AskedListsAreFollowedAgainAfterFailureWithBackoff) {
     Settings s = usual();
-    s.list_mode = ListMode::asked;
+    s.endpoint_list_mode = EndpointListMode::polled;
     Bed bed(s);
-    bed.list(ListKind::cached, {Bed::entry(0)});
+    bed.list(EndpointListKind::cached, {Bed::entry(0)});
     bed.run(1s);
     EXPECT_EQ(bed.follows, 1);
-    bed.list(ListKind::failed, {});
+    bed.list(EndpointListKind::failed, {});
     bed.run(1s);
     EXPECT_EQ(bed.follows, 2);
-    for (int i = 0; i < 20; ++i) bed.list(ListKind::failed, {}), bed.run(10s);
+    for (int i = 0; i < 20; ++i) bed.list(EndpointListKind::failed, {}), bed.run(10s);
     EXPECT_EQ(bed.follows, 22);  // one call for each failure
 }
 
@@ -546,10 +560,10 @@
     s.removal_binds = false;
     Bed bed(s);
     bed.group(2);
-    bed.list(ListKind::full, {});
+    bed.list(EndpointListKind::full, {});
     EXPECT_EQ(bed.target(bed.ask(kWrite, 3s)), kPrimary);
-    bed.list(ListKind::changes, {Bed::entry(0, MemberState::draining)});
-    bed.list(ListKind::full, {});
+    bed.list(EndpointListKind::changes, {Bed::entry(0, EndpointState::draining)});
+    bed.list(EndpointListKind::full, {});
     EXPECT_EQ(bed.last(bed.ask(kWrite, 3s)), nullptr);
 }
 
@@ -559,15 +573,15 @@
     Bed bed;
     bed.group(3);
     for (int i = 0; i < 400; ++i) bed.done(bed.ask(kAny));
-    bed.list(ListKind::changes, {Bed::entry(2, MemberState::ready, bed.now)});
-    std::map<MemberId, int> count;
+    bed.list(EndpointListKind::changes, {Bed::entry(2, EndpointState::ready, bed.now)});
+    std::map<EndpointId, int> count;
     for (int i = 0; i < 200; ++i) {
         RequestId id = bed.ask(kAny);
         if (bed.last(id)) ++count[bed.target(id)];
         bed.done(id);
     }
-    EXPECT_GT(count[MemberId{2}], 0);
-    EXPECT_LT(count[MemberId{2}], count[MemberId{1}] * 0.4);
+    EXPECT_GT(count[EndpointId{2}], 0);
+    EXPECT_LT(count[EndpointId{2}], count[EndpointId{1}] * 0.4);
 }
 
 // A whole group that comes back cold gets the share it can do, not next to nothing.
@@ -575,12 +589,12 @@
     Bed bed;
     bed.group(3);
     for (std::uint32_t m : {0, 1, 2})
-        bed.list(ListKind::changes, {Bed::entry(m, MemberState::ready, bed.now)});
+        bed.list(EndpointListKind::changes, {Bed::entry(m, EndpointState::ready, bed.now)});
     int sent = 0;
     for (int i = 0; i < 1000; ++i) {
         RequestId id = bed.ask(kAny);
         if (bed.last(id)) ++sent;
-        bed.end(id, Status::ok);
+        bed.end(id, AttemptStatus::ok);
     }
     EXPECT_GT(sent, 100);
     EXPECT_LT(sent, 320);  // a fifth, and 1.4 times that while answers come in time; it falls at 2.5 times
@@ -591,14 +605,14 @@
     Bed bed;
     bed.group(6);
     for (std::uint32_t m = 1; m < 6; ++m)
-        bed.give(ProbeResult{MemberId{m}, Status::ok, 1ms,
-                             Report{bed.now - (m == 1 ? 0s : 50s), false, {}, {}, {}}});
-    bed.list(ListKind::changes, {Bed::entry(1, MemberState::ready, bed.now)});
+        bed.give(HealthCheckResult{EndpointId{m}, AttemptStatus::ok, 1ms,
+                                   LoadReport{bed.now - (m == 1 ? 0s : 50s), false, {}, {}, {}}});
+    bed.list(EndpointListKind::changes, {Bed::entry(1, EndpointState::ready, bed.now)});
     int sent = 0;
     for (int i = 0; i < 1000; ++i) {
         RequestId id = bed.ask(kOwn, 1s, 1s);
-        sent += bed.target(id) == MemberId{1};
-        bed.end(id, Status::ok);
+        sent += bed.target(id) == EndpointId{1};
+        bed.end(id, AttemptStatus::ok);
     }
     EXPECT_GT(sent, 5);
     EXPECT_LT(sent, 80);  // a fifth of a fifth
@@ -615,8 +629,15 @@
             Bed::Sent x = bed.sends[k];
             if (x.id == RequestId{1}) continue;
             ++sent;
-            bed.give(
-                Outcome{x.id, x.attempt, x.member, Status::full, 1ms, false, Role::primary, bed.now, {}});
+            bed.give(AttemptOutcome{x.id,
+                                    x.attempt,
+                                    x.endpoint,
+                                    AttemptStatus::rejected,
+                                    1ms,
+                                    false,
+                                    Role::primary,
+                                    bed.now,
+                                    {}});
         }
         bed.sends.clear();
         bed.run(10ms);
@@ -630,15 +651,15 @@
     Settings s = usual();
     s.probes = false;  // nothing refreshes what is known
     Bed bed(s);
-    bed.list(ListKind::full, {Bed::entry(0), Bed::entry(1)});
+    bed.list(EndpointListKind::full, {Bed::entry(0), Bed::entry(1)});
     RequestId first = bed.ask(kAny);
-    bed.end(first, Status::ok, Role::replica, bed.now);
+    bed.end(first, AttemptStatus::ok, Role::replica, bed.now);
     Duration gap = 150ms;
     bed.now += gap;
-    MemberId fresh = bed.target(first);
+    EndpointId fresh = bed.target(first);
     RequestId soon = bed.ask(kRead);
     EXPECT_EQ(bed.target(soon), fresh);
-    bed.end(soon, Status::ok, Role::replica, std::nullopt);
+    bed.end(soon, AttemptStatus::ok, Role::replica, std::nullopt);
     bed.now += 100ms;
     RequestId later = bed.ask(kRead);
     EXPECT_EQ(bed.last(later), nullptr);
@@ -650,8 +671,8 @@
     Time report = bed.now;
     bed.now += 50ms;
     RequestId id = bed.ask(kWrite, 3s);
-    bed.end(id, Status::miss, Role::replica, std::nullopt);
-    bed.give(ProbeResult{kPrimary, Status::ok, 1ms, Report{report, true, {}, {}, {}}});
+    bed.end(id, AttemptStatus::miss, Role::replica, std::nullopt);
+    bed.give(HealthCheckResult{kPrimary, AttemptStatus::ok, 1ms, LoadReport{report, true, {}, {}, {}}});
     EXPECT_EQ(bed.attempts[id], 1u);
     RequestId own = bed.ask(kOwn, 1s, 1us);
     EXPECT_EQ(bed.last(own), nullptr);
@@ -664,7 +685,7 @@
     bed.group(2);
     for (std::uint64_t i = 0; i < 50002; ++i) {
         RequestId w = bed.ask(kWrite, 3s, std::nullopt, SessionKey{i});
-        bed.end(w, Status::ok, Role::primary, bed.now + 1h);
+        bed.end(w, AttemptStatus::ok, Role::primary, bed.now + 1h);
     }
     RequestId own = bed.ask(kOwn, 1s, std::nullopt, SessionKey{0});
     EXPECT_EQ(bed.target(own), kPrimary);
@@ -679,32 +700,32 @@
     bed.run(800ms);  // its probes still answer
     RequestId third = bed.ask(kWrite, 3s);
     EXPECT_EQ(bed.last(third), nullptr);
-    bed.end(first, Status::ok, Role::primary, bed.now);
+    bed.end(first, AttemptStatus::ok, Role::primary, bed.now);
     EXPECT_EQ(bed.target(third), kPrimary);
-    bed.end(second, Status::ok, Role::primary, bed.now);
+    bed.end(second, AttemptStatus::ok, Role::primary, bed.now);
 }
 
 TEST(Health, AnUnreachableReplicaIsLeftOutUntilAProbeAnswers) {
     Bed bed;
     bed.group(3);
-    bed.shows[MemberId{1}].answers = false;
+    bed.shows[EndpointId{1}].answers = false;
     RequestId id{};
     do {
         id = bed.ask(kAny);
-        if (bed.target(id) == MemberId{1}) break;
+        if (bed.target(id) == EndpointId{1}) break;
         bed.done(id);
     } while (true);
-    bed.end(id, Status::unreachable);
-    EXPECT_EQ(bed.target(id), MemberId{2});
+    bed.end(id, AttemptStatus::unreachable);
+    EXPECT_EQ(bed.target(id), EndpointId{2});
     bed.done(id);
     for (int i = 0; i < 20; ++i) {
         id = bed.ask(kAny);
-        EXPECT_EQ(bed.target(id), MemberId{2});
+        EXPECT_EQ(bed.target(id), EndpointId{2});
         bed.done(id);
     }
-    bed.shows[MemberId{1}].answers = true;
+    bed.shows[EndpointId{1}].answers = true;
     bed.run(2s);
-    std::set<MemberId> seen;
+    std::set<EndpointId> seen;
     for (int i = 0; i < 30; ++i) id = bed.ask(kAny), seen.insert(bed.target(id)), bed.done(id);
     EXPECT_EQ(seen.size(), 2u);
 }
@@ -715,7 +736,7 @@
     int bad = 0;
     for (int i = 0; i < 200; ++i) {
         RequestId id = bed.ask(kAny);
-        if (bed.target(id) == MemberId{1}) ++bad, bed.end(id, Status::error);
+        if (bed.target(id) == EndpointId{1}) ++bad, bed.end(id, AttemptStatus::error);
         bed.done(id);
         bed.run(5ms);
     }
@@ -727,7 +748,8 @@
     bed.group(3);
     for (int i = 0; i < 40; ++i) {
         RequestId id = bed.ask(kAny);
-        for (std::uint32_t k = 1; bed.attempts[id] == k; ++k) bed.end(id, Status::error);  // each ends once
+        for (std::uint32_t k = 1; bed.attempts[id] == k; ++k)
+            bed.end(id, AttemptStatus::error);  // each ends once
         bed.run(500ms);
     }
     EXPECT_NE(bed.last(bed.ask(kAny)), nullptr);
@@ -749,7 +771,7 @@
 std::size_t taken_at_once(Duration behind, std::optional<double> busy, std::optional<double> held = {}) {
     Bed bed;
     bed.group(2);
-    bed.shows[MemberId{1}] = {false, behind, true, busy, held};
+    bed.shows[EndpointId{1}] = {false, behind, true, busy, held};
     for (int i = 0; i < 50; ++i) {
         bed.done(bed.ask(kAny));
         bed.done(bed.ask(kRead));
@@ -783,7 +805,7 @@
     for (int i = 0; i < 50; ++i) {  // answers of class `any` take 50 ms
         RequestId id = bed.ask(kAny);
         bed.run(50ms);
-        bed.end(id, Status::ok, Role::replica, bed.now);
+        bed.end(id, AttemptStatus::ok, Role::replica, bed.now);
     }
     while (bed.last(bed.ask(kAny))) {  // until its window is full
     }
@@ -798,10 +820,10 @@
 // that waits asked again every 100 ms at no charge.
 TEST(LargeFleet, ReadsThatWaitAskForNoMoreProbesThanRequestsPayFor) {
     Settings s = usual();
-    s.probe_price = 0.02;
+    s.health_check_price = 0.02;
     Bed bed(s);
     bed.group(5);
-    for (std::uint32_t m : {1, 2, 3, 4}) bed.shows[MemberId{m}].behind = 500ms;  // too old, not surely so
+    for (std::uint32_t m : {1, 2, 3, 4}) bed.shows[EndpointId{m}].behind = 500ms;  // too old, not surely so
     int before = bed.probes;
     for (int i = 0; i < 40; ++i) {
         bed.ask(kRead);
@@ -814,7 +836,7 @@
 TEST(OrdinaryPath, SessionReadsGoToThePrimaryWhereReplicasHaveNoRoom) {
     Bed bed;
     bed.group(2);
-    while (bed.target(bed.ask(kAny)) == MemberId{1}) {
+    while (bed.target(bed.ask(kAny)) == EndpointId{1}) {
     }
     EXPECT_EQ(bed.target(bed.ask(kOwn)), kPrimary);
     EXPECT_EQ(bed.last(bed.ask(kRead)), nullptr);  // refused, never spilled
@@ -825,19 +847,19 @@
     Bed bed;
     bed.group(3);
     int before = bed.probes;
-    bed.give(PrimaryHeard{MemberId{1}});
+    bed.give(PrimaryGossip{EndpointId{1}});
     EXPECT_EQ(bed.probes, before + 1);
     EXPECT_EQ(bed.target(bed.ask(kWrite)), kPrimary);
-    for (int i = 0; i < 100; ++i) bed.give(PrimaryHeard{MemberId{1}});
+    for (int i = 0; i < 100; ++i) bed.give(PrimaryGossip{EndpointId{1}});
     EXPECT_EQ(bed.probes, before + 1);  // one is out
     bed.run(10ms);
     EXPECT_EQ(bed.target(bed.ask(kWrite)), kPrimary);
-    bed.shows[MemberId{1}].primary = true;
+    bed.shows[EndpointId{1}].primary = true;
     bed.shows[kPrimary].primary = false;
-    bed.give(PrimaryHeard{MemberId{1}});
+    bed.give(PrimaryGossip{EndpointId{1}});
     bed.run(10ms);
-    EXPECT_EQ(bed.target(bed.ask(kWrite)), MemberId{1});
-    bed.give(PrimaryHeard{MemberId{77}});  // never listed
+    EXPECT_EQ(bed.target(bed.ask(kWrite)), EndpointId{1});
+    bed.give(PrimaryGossip{EndpointId{77}});  // never listed
 }
 
 // A class whose answers take long was refused on arrival, every request of it, once reads had to ask for a
@@ -848,7 +870,7 @@
     for (int i = 0; i < 100; ++i) {
         RequestId id = bed.ask(kRead);
         bed.run(250ms);
-        bed.end(id, Status::ok, Role::replica, bed.now);
+        bed.end(id, AttemptStatus::ok, Role::replica, bed.now);
     }
     bed.run(3s);
     RequestId id = bed.ask(kRead);
@@ -861,21 +883,21 @@
 TEST(Requests, ATryThatEndsBeforeAnAnswerUsuallyComesIsRefusedAtOnce) {
     Bed bed;
     bed.group(3);
-    for (std::uint32_t cls : {kRead, kOwn, kWrite}) {
-        RequestId unknown = bed.ask(cls, 32ms);  // how long an answer takes is not known yet
+    for (std::uint32_t request_class : {kRead, kOwn, kWrite}) {
+        RequestId unknown = bed.ask(request_class, 32ms);  // how long an answer takes is not known yet
         EXPECT_FALSE(bed.finals.contains(unknown));
         bed.done(unknown);
-        RequestId early = bed.ask(cls, 32ms);
+        RequestId early = bed.ask(request_class, 32ms);
         EXPECT_EQ(bed.finals[early], "refused");
-        RequestId full = bed.ask(cls, 400ms);
+        RequestId full = bed.ask(request_class, 400ms);
         EXPECT_FALSE(bed.finals.contains(full));
-        bed.end(full, Status::ok);
+        bed.end(full, AttemptStatus::ok);
     }
     // However long answers take, a try with half of its aim left is let in.
     for (int i = 0; i < 100; ++i) {
         RequestId slow = bed.ask(kWrite, 3s);
         bed.run(900ms);
-        bed.end(slow, Status::ok, Role::primary);
+        bed.end(slow, AttemptStatus::ok, Role::primary);
     }
     RequestId id = bed.ask(kWrite, 270ms);
     EXPECT_FALSE(bed.finals.contains(id));
@@ -886,7 +908,7 @@
 TEST(Requests, AFirstTryHasAllItsTimeWhereClientsMarkTheOthers) {
     Bed bed;
     bed.group(3);
-    bed.give(Request{RequestId{900}, ClassId{kRead}, GroupId{1}, 60ms, {}, {}, true});
+    bed.give(RequestArrival{RequestId{900}, ClassId{kRead}, GroupId{1}, 60ms, {}, {}, true});
     for (int i = 0; i < 20; ++i) bed.ask(kRead, 60ms);
     RequestId first = bed.ask(kRead, 550ms);  // 450 ms of the deadline would have passed, longer than the aim
     EXPECT_FALSE(bed.finals.contains(first));
@@ -907,9 +929,9 @@
 
 TEST(Requests, WorthDecidesWhoGetsThePrimaryFirst) {
     Settings s = usual();
-    s.classes[kWrite].worth = 6;
+    s.classes[kWrite].priority_weight = 6;
     Bed bed(s);
-    bed.list(ListKind::full, {Bed::entry(0), Bed::entry(1)});
+    bed.list(EndpointListKind::full, {Bed::entry(0), Bed::entry(1)});
     RequestId read = bed.ask(kFresh), write = bed.ask(kWrite, 3s);
     bed.shows[kPrimary] = {true, 0ms, true};
     bed.run(200ms);
@@ -920,7 +942,7 @@
 
 TEST(Settings, NothingIsDoneThatTheSettingsDoNotAllow) {
     Bed bed{Settings{}};
-    bed.list(ListKind::full, {Bed::entry(0)});
+    bed.list(EndpointListKind::full, {Bed::entry(0)});
     bed.ask(0);
     bed.run(3s);
     EXPECT_EQ(bed.probes, 0);
@@ -934,16 +956,18 @@
     bed.group(4);
     bed.now += 5s;  // member 3 has moved a little since, the others are level
     for (std::uint32_t m : {1, 2})
-        bed.give(ProbeResult{MemberId{m}, Status::ok, 1ms, Report{bed.now, false, {}, {}, {}}});
-    bed.give(ProbeResult{MemberId{3}, Status::ok, 1ms, Report{bed.now - 4s, false, {}, {}, {}}});
-    for (int i = 0; i < 4; ++i) EXPECT_EQ(bed.target(bed.ask(kAny)), MemberId{3});
-    for (int i = 0; i < 4; ++i) EXPECT_NE(bed.target(bed.ask(kRead)), MemberId{3});
+        bed.give(
+            HealthCheckResult{EndpointId{m}, AttemptStatus::ok, 1ms, LoadReport{bed.now, false, {}, {}, {}}});
+    bed.give(HealthCheckResult{EndpointId{3}, AttemptStatus::ok, 1ms,
+                               LoadReport{bed.now - 4s, false, {}, {}, {}}});
+    for (int i = 0; i < 4; ++i) EXPECT_EQ(bed.target(bed.ask(kAny)), EndpointId{3});
+    for (int i = 0; i < 4; ++i) EXPECT_NE(bed.target(bed.ask(kRead)), EndpointId{3});
 }
 
 // cegin's quiet day: two long reads at a replica that is quick with the rest were taken for a hang.
 TEST(Health, TwoLongReadsOutAreNoSilence) {
     Settings s = usual();
-    s.classes[kAny].aim = 8s;
+    s.classes[kAny].latency_objective = 8s;
     s.classes[kAny].deadline = 20s;
     Bed bed(s);
     bed.group(2);
@@ -960,22 +984,22 @@
 TEST(LargeFleet, ProbesArePaidForByRequests) {
     auto probes = [](double price, bool answers) {
         Settings s = usual();
-        s.server_check = ServerCheck::wait;
+        s.staleness_check = StalenessCheck::wait;
         s.fleet_size = 100;
-        s.probe_price = price;
+        s.health_check_price = price;
         Bed bed(s);
-        std::vector<ListEntry> entries;
+        std::vector<EndpointEntry> entries;
         for (std::uint32_t i = 0; i < 60; ++i) {
             entries.push_back(Bed::entry(i));
             entries.back().group = GroupId{i / 5};
-            bed.shows[MemberId{i}] = {i % 5 == 0, 5ms, answers || i % 5 == 0};
+            bed.shows[EndpointId{i}] = {i % 5 == 0, 5ms, answers || i % 5 == 0};
         }
-        bed.list(ListKind::full, entries);
+        bed.list(EndpointListKind::full, entries);
         for (int i = 0; i < 300; ++i) {
             RequestId id =
                 bed.ask(i % 3 ? kRead : kWrite, 1s, std::nullopt, std::nullopt, std::uint32_t(i) % 12);
             bed.run(30ms);
-            bed.end(id, Status::ok);
+            bed.end(id, AttemptStatus::ok);
             bed.run(36ms);
         }
         return bed.probes;
@@ -990,22 +1014,24 @@
 // two seconds ago. The one with the shortest lag is asked, not the one that might have caught up.
 TEST(LargeFleet, SessionReadsAskTheReplicaWhoseLagWasShortest) {
     Settings s = usual();
-    s.server_check = ServerCheck::wait;
+    s.staleness_check = StalenessCheck::wait;
     s.probes = false;
     auto ask = [&](Duration first, Duration since, Duration second, Duration age, std::uint64_t seed) {
         Bed bed(s, seed);
         bed.group(3);
         bed.now += 10s;  // positions never go back
-        bed.give(ProbeResult{kPrimary, Status::ok, 1ms, Report{bed.now, true, {}, {}, {}}});
-        bed.give(ProbeResult{MemberId{1}, Status::ok, 1ms, Report{bed.now - first, false, {}, {}, {}}});
+        bed.give(HealthCheckResult{kPrimary, AttemptStatus::ok, 1ms, LoadReport{bed.now, true, {}, {}, {}}});
+        bed.give(HealthCheckResult{EndpointId{1}, AttemptStatus::ok, 1ms,
+                                   LoadReport{bed.now - first, false, {}, {}, {}}});
         bed.now += since;
-        bed.give(ProbeResult{MemberId{2}, Status::ok, 1ms, Report{bed.now - second, false, {}, {}, {}}});
+        bed.give(HealthCheckResult{EndpointId{2}, AttemptStatus::ok, 1ms,
+                                   LoadReport{bed.now - second, false, {}, {}, {}}});
         bed.now += 3s;
         return bed.target(bed.ask(kOwn, 1s, age));
     };
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-        EXPECT_EQ(ask(5ms, 0s, 2s, 300ms, seed), MemberId{1});
-        EXPECT_EQ(ask(60ms, 2s, 90ms, 40ms, seed), MemberId{1});  // though it was heard of longer ago
+        EXPECT_EQ(ask(5ms, 0s, 2s, 300ms, seed), EndpointId{1});
+        EXPECT_EQ(ask(60ms, 2s, 90ms, 40ms, seed), EndpointId{1});  // though it was heard of longer ago
     }
 }
 
@@ -1013,14 +1039,15 @@
 TEST(LargeFleet, WhereMembersCheckAllThatWereCurrentShareReads) {
     for (bool checks : {true, false}) {
         Settings s = usual();
-        s.probe_price = 0.08;
-        s.server_check = checks ? ServerCheck::wait : ServerCheck::none;
+        s.health_check_price = 0.08;
+        s.staleness_check = checks ? StalenessCheck::wait : StalenessCheck::none;
         Bed bed(s);
         bed.group(5);
         for (std::uint32_t m : {1, 2, 3, 4})
-            bed.give(ProbeResult{MemberId{m}, Status::ok, 1ms, Report{bed.now, false, {}, {}, {}}});
+            bed.give(HealthCheckResult{EndpointId{m}, AttemptStatus::ok, 1ms,
+                                       LoadReport{bed.now, false, {}, {}, {}}});
         bed.run(3s);  // what is known is older than the bound
-        std::map<MemberId, int> count;
+        std::map<EndpointId, int> count;
         for (int i = 0; i < 200; ++i) {
             RequestId id = bed.ask(kRead);
             bed.done(id);
@@ -1029,15 +1056,15 @@
         }
         EXPECT_EQ(count[kPrimary], 0);
         if (!checks) continue;
-        for (std::uint32_t m : {1, 2, 3, 4}) EXPECT_GT(count[MemberId{m}], 25) << m;
+        for (std::uint32_t m : {1, 2, 3, 4}) EXPECT_GT(count[EndpointId{m}], 25) << m;
     }
 }
 
 TEST(LargeFleet, ReadsOfAFleetThatKnowsNothingDoNotGatherOnTheFirstOfTheList) {
-    std::set<MemberId> seen;
+    std::set<EndpointId> seen;
     for (std::uint64_t proxy = 0; proxy < 40; ++proxy) {
         Bed bed(checked_without_probes(), proxy);
-        bed.list(ListKind::full, {Bed::entry(0), Bed::entry(1), Bed::entry(2), Bed::entry(3)});
+        bed.list(EndpointListKind::full, {Bed::entry(0), Bed::entry(1), Bed::entry(2), Bed::entry(3)});
         seen.insert(bed.target(bed.ask(kRead)));
     }
     EXPECT_EQ(seen.size(), 4u);
@@ -1054,7 +1081,7 @@
         RequestId id = bed.ask(kAny);
         EXPECT_FALSE(bed.answered(id));
         bed.now += i % 10 == 0 ? 600ms : 100ms;
-        bed.end(id, Status::ok, Role::replica, bed.now);
+        bed.end(id, AttemptStatus::ok, Role::replica, bed.now);
     }
 }
 
@@ -1063,8 +1090,8 @@
     Bed bed(checked_without_probes());
     bed.group(2);
     RequestId first = bed.ask(kRead);
-    ASSERT_EQ(bed.target(first), MemberId{1});
-    bed.end(first, Status::miss, Role::replica, bed.now - 3500ms);
+    ASSERT_EQ(bed.target(first), EndpointId{1});
+    bed.end(first, AttemptStatus::miss, Role::replica, bed.now - 3500ms);
     int sent = 0;
     for (Time from = bed.now; bed.now < from + 1300ms; bed.run(50ms))
         sent += bed.last(bed.ask(kRead)) != nullptr;
@@ -1078,40 +1105,43 @@
     Bed bed(checked_without_probes());
     bed.group(3);
     for (std::uint32_t m : {1, 2})
-        bed.give(ProbeResult{MemberId{m}, Status::ok, 1ms, Report{bed.now, false, {}, {}, {}}});
-    bed.list(ListKind::changes, {Bed::entry(3, MemberState::ready, bed.now)});
-    std::map<MemberId, int> early, later;
-    auto reads = [&](std::map<MemberId, int>& count) {
+        bed.give(
+            HealthCheckResult{EndpointId{m}, AttemptStatus::ok, 1ms, LoadReport{bed.now, false, {}, {}, {}}});
+    bed.list(EndpointListKind::changes, {Bed::entry(3, EndpointState::ready, bed.now)});
+    std::map<EndpointId, int> early, later;
+    auto reads = [&](std::map<EndpointId, int>& count) {
         for (int i = 0; i < 200; ++i) {
             RequestId id = bed.ask(kRead);
             ++count[bed.target(id)];
-            bed.end(id, Status::ok);
+            bed.end(id, AttemptStatus::ok);
         }
     };
     reads(early);
-    EXPECT_EQ(early[MemberId{3}], 0);  // its copy may be some seconds old
+    EXPECT_EQ(early[EndpointId{3}], 0);  // its copy may be some seconds old
     bed.now += 8s;
     reads(later);
-    EXPECT_GT(later[MemberId{3}], 20);
+    EXPECT_GT(later[EndpointId{3}], 20);
 }
 
 // Zero or absent numbers are no figures: nothing is divided by them, and nobody is starved for them.
 TEST(LargeFleet, ZeroAndAbsentNumbersInTheSettingsStarveNobody) {
     for (bool absent : {false, true}) {
         Settings s = usual();
-        s.fleet_size = 0, s.probe_price = 0, s.cold_from = 0.5, s.ramp = 0ms, s.fall_multiple = 0;
-        if (absent) s.fleet_size.reset(), s.probe_price.reset(), s.ramp.reset(), s.fall_multiple.reset();
+        s.fleet_size = 0, s.health_check_price = 0, s.slow_start_share = 0.5, s.ramp = 0ms,
+        s.overload_multiple = 0;
+        if (absent)
+            s.fleet_size.reset(), s.health_check_price.reset(), s.ramp.reset(), s.overload_multiple.reset();
         for (Duration ramp : {0ms, 10000ms}) {
             if (!absent) s.ramp = ramp;
             Bed bed(s);
             bed.group(3);
             for (std::uint32_t m : {0, 1, 2})
-                bed.list(ListKind::changes, {Bed::entry(m, MemberState::ready, bed.now)});
+                bed.list(EndpointListKind::changes, {Bed::entry(m, EndpointState::ready, bed.now)});
             int sent = 0;
             for (int i = 0; i < 200; ++i) {
                 RequestId id = bed.ask(kAny);
                 sent += bed.last(id) != nullptr;
-                bed.end(id, Status::ok);
+                bed.end(id, AttemptStatus::ok);
             }
             EXPECT_GT(sent, 20);
         }
@@ -1121,22 +1151,22 @@
 // A list of 10,000 members, some named twice, then hundreds of changes in one, then one that is empty.
 TEST(LargeFleet, AHugeListIsTakenInOneGoAndAnEmptyOneLeavesNothingToSendTo) {
     Bed bed;
-    std::vector<ListEntry> entries;
+    std::vector<EndpointEntry> entries;
     for (std::uint32_t i = 0; i < 10000; ++i) {
         entries.push_back(Bed::entry(i));
         entries.back().group = GroupId{i / 5};
         entries.back().primary = i % 5 == 0;
         if (i % 7 == 0) entries.push_back(entries.back());
     }
-    bed.list(ListKind::full, entries);
+    bed.list(EndpointListKind::full, entries);
     RequestId id = bed.ask(kAny, 1s, std::nullopt, std::nullopt, 1999);
     EXPECT_GE(std::uint32_t(bed.target(id)), 9995u);
     EXPECT_LE(bed.probes, 5);  // of its group alone
     bed.done(id);
-    for (ListEntry& e : entries) e.state = MemberState::gone;
-    bed.list(ListKind::changes, std::vector<ListEntry>(entries.begin(), entries.begin() + 700));
+    for (EndpointEntry& e : entries) e.state = EndpointState::gone;
+    bed.list(EndpointListKind::changes, std::vector<EndpointEntry>(entries.begin(), entries.begin() + 700));
     EXPECT_EQ(bed.last(bed.ask(kAny, 1s, std::nullopt, std::nullopt, 3)), nullptr);
     EXPECT_NE(bed.last(bed.ask(kAny, 1s, std::nullopt, std::nullopt, 1999)), nullptr);
-    bed.list(ListKind::full, {});
+    bed.list(EndpointListKind::full, {});
     EXPECT_EQ(bed.last(bed.ask(kAny, 1s, std::nullopt, std::nullopt, 1999)), nullptr);
 }
--- a/tests/processes/harness.hpp
+++ b/tests/processes/harness.hpp
@@ -11,7 +11,7 @@
 #include <sstream>
 
 #include "support/harness.hpp"
-#include "transport/endpoint.hpp"
+#include "transport/socket_address.hpp"
 
 extern char** environ;
 
@@ -222,7 +222,8 @@
     }
     // One write through that pooler, by a client of its own. Answered, by whichever host is primary.
     bool writes(std::size_t i) {
-        auto at = transport::read_endpoint("127.0.0.1:" + std::to_string(processes[i]->port("front=\"pg\"")));
+        auto at = transport::parse_socket_address("127.0.0.1:" +
+                                                  std::to_string(processes[i]->port("front=\"pg\"")));
         Client client(loop, *at);
         std::string id = "00000000000000" + std::to_string(10 + ids++);
         std::string text = "/* id=" + id +
@@ -237,7 +238,7 @@
         return served;
     }
     int heard(std::size_t i, const std::string& host) const {
-        return processes[i]->said({"heard of a primary", "member=\"" + host + "\""});
+        return processes[i]->said({"heard of a primary", "endpoint=\"" + host + "\""});
     }
 };
 
--- a/tests/processes/narrow_test.cpp
+++ b/tests/processes/narrow_test.cpp
@@ -52,8 +52,9 @@
         CHECK(c.reply() == "RZ");
         CHECK(c.reply() == "IZ");
     }
-    transport::Endpoint at(std::size_t i) {
-        return *transport::read_endpoint("127.0.0.1:" + std::to_string(processes[i]->port("front=\"pg\"")));
+    transport::SocketAddress at(std::size_t i) {
+        return *transport::parse_socket_address("127.0.0.1:" +
+                                                std::to_string(processes[i]->port("front=\"pg\"")));
     }
     std::string ask(Client& c) {
         char id[17];
--- a/tests/processes/site_harness.hpp
+++ b/tests/processes/site_harness.hpp
@@ -20,7 +20,7 @@
 
 class StreamRelay {
   public:
-    StreamRelay(Loop& loop, std::string to) : loop_(loop), to_(*transport::read_endpoint(to)) {
+    StreamRelay(Loop& loop, std::string to) : loop_(loop), to_(*transport::parse_socket_address(to)) {
         listener_ = std::make_unique<transport::Listener>(loop.io, loopback(), [this](auto socket) {
             ++opened_;
             auto pair = std::make_shared<Pair>(*this, std::move(socket));
@@ -104,7 +104,7 @@
         bool drips_there = false, drips_back = false;
     };
     Loop& loop_;
-    transport::Endpoint to_;
+    transport::SocketAddress to_;
     Way way_;
     std::size_t opened_ = 0;
     std::set<std::shared_ptr<Pair>> pairs_;
@@ -261,7 +261,8 @@
         connect(p);
     }
     void connect(std::size_t p) {
-        auto at = transport::read_endpoint("127.0.0.1:" + std::to_string(poolers[p]->port("front=\"pg\"")));
+        auto at =
+            transport::parse_socket_address("127.0.0.1:" + std::to_string(poolers[p]->port("front=\"pg\"")));
         for (std::size_t l = p * kLanes; l < (p + 1) * kLanes; ++l) {
             clients[l] = std::make_unique<Client>(loop, *at);
             clients[l]->send(pg::Writer().startup("backend", "store").take());
@@ -340,8 +341,8 @@
         });
     }
     std::string control(std::size_t p, const std::string& line) {
-        auto at =
-            transport::read_endpoint("127.0.0.1:" + std::to_string(poolers[p]->port("front=\"control\"")));
+        auto at = transport::parse_socket_address("127.0.0.1:" +
+                                                  std::to_string(poolers[p]->port("front=\"control\"")));
         Client c(loop, *at);
         c.send(line + "\n");
         REQUIRE(loop.until([&] { return c.in.find('\n') != std::string::npos; }));
--- a/tests/processes/site_test.cpp
+++ b/tests/processes/site_test.cpp
@@ -42,13 +42,13 @@
 
 // Every lane has a read out that waits for 2 s; the verdict comes sooner, and the others serve every group.
 TEST_CASE("site processes: reads that are out at a site when it is lost are answered by the others") {
-    for (bool rescue : {true, false}) {
-        Zones z(std::string("least = 2\nrescue = ") + (rescue ? "true\n" : "false\n"));
+    for (bool abandon_unresponsive : {true, false}) {
+        Zones z(std::string("least = 2\nrescue = ") + (abandon_unresponsive ? "true\n" : "false\n"));
         begin(z);
         z.strike(1, {.deaf = true, .mute = true});
         REQUIRE(z.until([&] { return z.all_became(1, "lost"); }));
         reads(z, 300);
-        if (rescue)
+        if (abandon_unresponsive)
             CHECK(z.refused == 0);
         else
             REQUIRE(z.until([&] { return z.refused > 0; }));
--- a/tests/processes/small_deployment.hpp
+++ b/tests/processes/small_deployment.hpp
@@ -60,8 +60,8 @@
     // Nothing where the connection broke before the pooler's greeting.
     std::unique_ptr<Client> client_or_none(std::size_t pooler) {
         auto port = processes[pooler]->port("front=\"pg\"");
-        auto c =
-            std::make_unique<Client>(loop, *transport::read_endpoint("127.0.0.1:" + std::to_string(port)));
+        auto c = std::make_unique<Client>(
+            loop, *transport::parse_socket_address("127.0.0.1:" + std::to_string(port)));
         c->send(pg::Writer().startup("backend", "store").take());
         if (c->reply() != "RZ") c.reset();
         return c;
--- a/tests/processes/soak_client.hpp
+++ b/tests/processes/soak_client.hpp
@@ -8,7 +8,7 @@
 
 // What a client sees of its pooler.
 struct SoakPooler {
-    std::optional<transport::Endpoint> at;  // none: not serving
+    std::optional<transport::SocketAddress> at;  // none: not serving
     int life = 0;
     SteadyTime told_to_end{};  // SIGTERM; the epoch: not told
     bool killed = false;       // this life
--- a/tests/processes/soak_fleet.hpp
+++ b/tests/processes/soak_fleet.hpp
@@ -69,10 +69,10 @@
                 if (line.find(id) != std::string::npos) text += "\n    " + line;
         return text;
     }
-    std::vector<std::string> guards() const {
+    std::vector<std::string> invariants() const {
         std::vector<std::string> all;
         for (const auto& node : nodes_)
-            all.insert(all.end(), node->guard_lines.begin(), node->guard_lines.end());
+            all.insert(all.end(), node->invariant_lines.begin(), node->invariant_lines.end());
         return all;
     }
     std::map<std::string, int> faults;
@@ -84,7 +84,7 @@
         ListHost agent;
         SoakPooler seen;
         std::unique_ptr<Process> process;
-        std::vector<std::string> guard_lines, request_lines;
+        std::vector<std::string> invariant_lines, request_lines;
         std::optional<SteadyTime> stopped_until, kill_at;
     };
     struct Active {
@@ -184,7 +184,8 @@
         }
         if (n.seen.at || n.seen.told_to_end != SteadyTime{} || n.process->said({"phase", "serving"}) == 0)
             return;
-        n.seen.at = transport::read_endpoint("127.0.0.1:" + std::to_string(n.process->port("front=\"pg\"")));
+        n.seen.at =
+            transport::parse_socket_address("127.0.0.1:" + std::to_string(n.process->port("front=\"pg\"")));
     }
     static std::string last_line(const Process& process) {
         std::string text = process.log();
@@ -196,7 +197,7 @@
         n.stopped_until.reset();
         std::istringstream lines(n.process->log());
         for (std::string line; std::getline(lines, line);) {
-            if (line.find(" guard [") != std::string::npos) n.guard_lines.push_back(line);
+            if (line.find(" invariant [") != std::string::npos) n.invariant_lines.push_back(line);
             if (line.find("request=\"") != std::string::npos) n.request_lines.push_back(line);
         }
     }
--- a/tests/processes/soak_host.hpp
+++ b/tests/processes/soak_host.hpp
@@ -122,15 +122,15 @@
             if (random_() % 2) execute(work);
             return;
         }
-        if (draw(trouble.refuses)) return turn_away(work, *connection, "53300");
+        if (draw(trouble.refuses)) return reject_by_site(work, *connection, "53300");
         if (draw(trouble.errs)) return answer(work, *connection, error("XX000"));
         pg::Statement statement = pg::read_statement(work.body);
         pg::Verb verb = pg::read_verb(statement.body);
-        if (verb.content && !host_.primary) return turn_away(work, *connection, "25006");
+        if (verb.content && !host_.primary) return reject_by_site(work, *connection, "25006");
         // Hosts check session reads for themselves, but hear of a commit 100 ms late.
         if (!verb.content && statement.field("c") == "own" &&
             store_.index(verb.name, position()) < store_.index(verb.name, now_unix_ms() - 100))
-            return turn_away(work, *connection, "72000");
+            return reject_by_site(work, *connection, "72000");
         deliver(work, *connection, execute(work));
     }
 
@@ -160,7 +160,7 @@
         record_.ended(work.id, work.attempt);
         connection.write(std::move(bytes));
     }
-    void turn_away(const Work& work, transport::Connection& connection, const char* code) {
+    void reject_by_site(const Work& work, transport::Connection& connection, const char* code) {
         record_.executed(work.id, work.attempt, Executed::never);
         answer(work, connection, error(code));
     }
--- a/tests/processes/soak_record.hpp
+++ b/tests/processes/soak_record.hpp
@@ -19,7 +19,7 @@
 // What a class promises, as the poolers' settings have it.
 struct SoakClassRule {
     const char* name;
-    bool may_repeat;          // reads without an effect
+    bool may_retry;           // reads without an effect
     bool keyed;               // repeats in the window are dropped by its hosts
     Millis deadline, window;  // the window counts from the first send
 };
@@ -48,16 +48,16 @@
         std::optional<SteadyTime> closed{};  // its connection
     };
     struct Request {
-        SoakClass cls{};
+        SoakClass request_class{};
         SteadyTime sent{};
         SteadyTime left{};  // its client closed; none: the epoch
         bool gone = false, answered = false;
         std::vector<Attempt> attempts;
     };
 
-    void sent(const std::string& id, SoakClass cls, SteadyTime now) {
+    void sent(const std::string& id, SoakClass request_class, SteadyTime now) {
         Request& r = requests_[id];
-        r.cls = cls;
+        r.request_class = request_class;
         if (r.sent == SteadyTime{}) r.sent = now;
         ++total;
     }
@@ -69,9 +69,9 @@
     // A host has read the whole statement. Returns the attempt's number.
     std::size_t asked(const std::string& id, std::size_t host, Millis told, SteadyTime now) {
         Request& r = requests_[id];
-        const SoakClassRule& rule = rule_of(r.cls);
+        const SoakClassRule& rule = rule_of(r.request_class);
         for (const Attempt& a : r.attempts) {
-            if (a.executed == Executed::never || rule.may_repeat) continue;
+            if (a.executed == Executed::never || rule.may_retry) continue;
             // Rule: what may have run runs again only as its class allows, within its window.
             if (!rule.keyed) breach("duplicate", id);
             if (rule.keyed && now > r.attempts.front().asked + rule.window + slack_) breach("window", id);
@@ -108,7 +108,7 @@
     }
     void answered(const std::string& id, const std::string& sqlstate, SteadyTime now) {
         Request& r = requests_[id];
-        const SoakClassRule& rule = rule_of(r.cls);
+        const SoakClassRule& rule = rule_of(r.request_class);
         if (r.answered) breach("answered twice", id);
         r.answered = true;
         if (now > r.sent + rule.deadline + Millis(500) + slack_)
@@ -116,7 +116,7 @@
         bool refused = sqlstate == "53300" || sqlstate == "57P03";
         if (sqlstate.empty()) ++served;
         if (refused) ++this->refused;
-        if (!refused || rule.may_repeat) return;
+        if (!refused || rule.may_retry) return;
         // Rule: a refusal promises that the statement has not run and will not.
         for (const Attempt& a : r.attempts)
             if (a.executed != Executed::never) breach("refused though it may have run", id);
@@ -128,7 +128,7 @@
         auto it = requests_.find(id);
         if (it == requests_.end()) return "";
         const Request& r = it->second;
-        std::string text = std::string(" class ") + rule_of(r.cls).name;
+        std::string text = std::string(" class ") + rule_of(r.request_class).name;
         if (r.gone) text += ", left" + text_of(r.left - r.sent);
         for (const Attempt& a : r.attempts)
             text += "; h" + std::to_string(a.host) + " asked" + text_of(a.asked - r.sent) + " executed " +
--- a/tests/processes/soak_test.cpp
+++ b/tests/processes/soak_test.cpp
@@ -17,13 +17,13 @@
     for (auto& [name, count] : fleet.faults) faults += name + " " + std::to_string(count) + ", ";
     MESSAGE("seed " << options.seed << ": " << fleet.record.total << " requests, " << fleet.record.served
                     << " served, " << fleet.record.refused << " refused, " << fleet.record.excused
-                    << " excused, breaches " << fleet.record.breaches.size() << ", guard lines "
-                    << fleet.guards().size() << "; " << faults);
+                    << " excused, breaches " << fleet.record.breaches.size() << ", invariant lines "
+                    << fleet.invariants().size() << "; " << faults);
     for (const std::string& breach : fleet.record.breaches)
         MESSAGE("BREACH " << breach << fleet.story(breach));
-    for (const std::string& line : fleet.guards()) MESSAGE("GUARD " << line);
+    for (const std::string& line : fleet.invariants()) MESSAGE("INVARIANT " << line);
     CHECK(fleet.record.breaches.empty());
-    CHECK(fleet.guards().empty());
+    CHECK(fleet.invariants().empty());
     CHECK(fleet.record.served > fleet.record.total / 3);
 }
 
--- a/tests/operation_test.cpp
+++ b/tests/program/operations_test.cpp
@@ -1,7 +1,7 @@
 // What operators' staff do day by day: calls at the control address, hosts taken out, clients sent away.
 #include "adapters/control_front.hpp"
 #include "program/config.hpp"
-#include "program/taken_out.hpp"
+#include "program/excluded_endpoints.hpp"
 #include "support/deployment.hpp"
 
 namespace indigovane::testing {
@@ -33,7 +33,7 @@
 // A caller's states: some of a line sent, the line whole, answered; what the model keeps is the line.
 TEST_CASE("control: each whole line is answered once, whatever others leave unfinished") {
     Dice dice(71);
-    ControlRig rig({.callers = 6, .lingering = 2, .line = 64, .patience = 20s});
+    ControlRig rig({.callers = 6, .lingering = 2, .line = 64, .client_timeout = 20s});
     std::vector<std::unique_ptr<Client>> silent;  // hold a connection without a whole call
     const std::pair<std::string, std::string> lines[] = {{"check", "check"},
                                                          {"check\r", "check"},
@@ -81,7 +81,7 @@
 }
 
 TEST_CASE("control: a caller without a whole call is told so in time") {
-    ControlRig rig({.patience = 5ms});
+    ControlRig rig({.client_timeout = 5ms});
     Client client(rig.loop, rig.front.local());
     client.send("set-down s-");
     REQUIRE(rig.loop.until([&] { return client.closed; }));
@@ -91,7 +91,7 @@
 
 TEST_CASE("hosts taken out: stored before the yes, seen by the other process, and after a start") {
     Folder folder;
-    program::TakenOut one(folder.path, "n1"), two(folder.path, "n1"), other(folder.path, "n2");
+    program::ExcludedEndpoints one(folder.path, "n1"), two(folder.path, "n1"), other(folder.path, "n2");
     std::set<std::string> model;
     Dice dice(5);
     for (int step = 0; step < 200; ++step) {
@@ -103,7 +103,7 @@
         two.refresh();
         CHECK(one.uids() == model);
         CHECK(two.uids() == model);
-        CHECK(program::TakenOut(folder.path, "n1").uids() == model);
+        CHECK(program::ExcludedEndpoints(folder.path, "n1").uids() == model);
         CHECK(!one.refresh());
     }
     CHECK(!other.refresh());
@@ -112,7 +112,7 @@
     std::filesystem::remove_all(folder.path);  // nothing can be stored any more: nothing is changed
     CHECK_THROWS(one.change("s-9", true));
     CHECK(one.uids() == before);
-    program::TakenOut nowhere("", "n1");
+    program::ExcludedEndpoints nowhere("", "n1");
     nowhere.change("s-1", true);
     CHECK(nowhere.uids() == std::set<std::string>{"s-1"});
 }
@@ -141,38 +141,40 @@
     ask(40);
     REQUIRE(d.hosts[1].queries > 0);
     REQUIRE(d.hosts[2].queries > 0);
-    d.core.lay_over({"m1"});
+    d.core.set_excluded({"m1"});
     int before = d.hosts[1].queries;
     Dice dice(3);
     for (int round = 0; round < 20; ++round) {
         switch (dice.below(5)) {
             case 0:  // listed as ready, by a change
-                d.core.list(ListKind::changes, {d.member(1, MemberState::ready)});
+                d.core.list(EndpointListKind::changes, {d.endpoint(1, EndpointState::ready)});
                 break;
             case 1:  // by a whole list
-                d.core.list(ListKind::full, {d.member(0, MemberState::ready), d.member(1, MemberState::ready),
-                                             d.member(2, MemberState::ready)});
+                d.core.list(EndpointListKind::full,
+                            {d.endpoint(0, EndpointState::ready), d.endpoint(1, EndpointState::ready),
+                             d.endpoint(2, EndpointState::ready)});
                 break;
             case 2:  // gone, left out, and back: restarted meanwhile
-                d.core.list(ListKind::changes, {d.member(1, MemberState::gone)});
+                d.core.list(EndpointListKind::changes, {d.endpoint(1, EndpointState::gone)});
                 break;
             case 3:
-                d.core.list(ListKind::full,
-                            {d.member(0, MemberState::ready), d.member(2, MemberState::ready)});
+                d.core.list(EndpointListKind::full,
+                            {d.endpoint(0, EndpointState::ready), d.endpoint(2, EndpointState::ready)});
                 d.loop.settle();  // forgotten: nothing refers to it
                 break;
             case 4:
-                d.core.lay_over({"m1", "unknown"});
+                d.core.set_excluded({"m1", "unknown"});
                 break;
         }
         ask(4);
     }
     CHECK(d.hosts[1].queries == before);
-    d.core.list(ListKind::full, {d.member(0, MemberState::ready), d.member(1, MemberState::ready),
-                                 d.member(2, MemberState::ready)});
+    d.core.list(EndpointListKind::full,
+                {d.endpoint(0, EndpointState::ready), d.endpoint(1, EndpointState::ready),
+                 d.endpoint(2, EndpointState::ready)});
     ask(4);
     CHECK(d.hosts[1].queries == before);
-    d.core.lay_over({});
+    d.core.set_excluded({});
     REQUIRE(d.loop.until([&] {  // once a probe has told its position
         ask(1);
         return d.hosts[1].queries > before;
@@ -181,18 +183,18 @@
 
 // A cold member gets part of its share; one that was put back is cold whatever its start was.
 TEST_CASE("a host that is put back counts as started just then") {
-    auto queries = [](bool taken_out) {
+    auto queries = [](bool excluded_endpoints) {
         auto s = settings();
-        s.cold_from = 0.1, s.ramp = 1h;
+        s.slow_start_share = 0.1, s.ramp = 1h;
         PgDeployment d(64, s);
         Client client(d.loop, d.pg.local());
         client.send(pg::Writer().startup("u", "d").take());
         client.reply();
-        if (taken_out) {
-            d.core.lay_over({"m1"});
+        if (excluded_endpoints) {
+            d.core.set_excluded({"m1"});
             d.loop.settle();
-            d.core.lay_over({});
-            d.core.list(ListKind::changes, {d.member(1, MemberState::ready)});
+            d.core.set_excluded({});
+            d.core.list(EndpointListKind::changes, {d.endpoint(1, EndpointState::ready)});
         }
         for (int i = 0; i < 200; ++i) {
             client.send(read(i));
@@ -308,9 +310,9 @@
     for (json bad : {json(0), json(-5), json("many"), json(nullptr), json(false)}) {
         for (const char* at :
              {"/settings/classes/1/hardLimitMs", "/settings/classes/0/sloMs", "/settings/allowed/tryLimit"}) {
-            json spoilt = file;
-            spoilt[json::json_pointer(at)] = bad;
-            CHECK(!taken(spoilt.dump()));
+            json malformed = file;
+            malformed[json::json_pointer(at)] = bad;
+            CHECK(!taken(malformed.dump()));
         }
     }
     json twice = file;
@@ -328,49 +330,49 @@
 // A request in hand keeps its class and its number of attempts, wherever the new list has that class; one
 // that comes later has the new ones.
 TEST_CASE("the module: settings are swapped between two events, requests keep what they came with") {
-    using namespace starlingpond;
+    using namespace indigovane::policy;
     for (bool retuned : {false, true}) {
         Time now{100s};
         Settings before = settings(), after = settings();
         before.attempts = 10, after.attempts = 1;
         std::swap(after.classes[0], after.classes[2]);
-        after.classes[2].effect = Effect::unsafe;
-        Brain brain(before, 3, now);
+        after.classes[2].idempotency = Idempotency::not_idempotent;
+        RoutingPolicy policy(before, 3, now);
         Actions actions;
         auto run = [&](const Event& e) {
             actions.clear();
-            brain.handle(now, e, actions);
+            policy.handle(now, e, actions);
         };
-        List list{ListKind::full, {}};
-        list.entries.push_back({MemberId{1}, GroupId{1}, ZoneId{}, MemberState::ready, true, {}});
+        EndpointList list{EndpointListKind::full, {}};
+        list.entries.push_back({EndpointId{1}, GroupId{1}, ZoneId{}, EndpointState::ready, true, {}});
         for (std::uint32_t i : {2, 3})
-            list.entries.push_back({MemberId{i}, GroupId{1}, ZoneId{}, MemberState::ready, false, {}});
+            list.entries.push_back({EndpointId{i}, GroupId{1}, ZoneId{}, EndpointState::ready, false, {}});
         run(list);
         auto sends = [&] {
             return std::count_if(actions.begin(), actions.end(),
-                                 [](auto& a) { return std::holds_alternative<Send>(a); });
+                                 [](auto& a) { return std::holds_alternative<SendAttempt>(a); });
         };
-        auto ask = [&](std::uint64_t id, ClassId cls) {
-            Request q;
-            q.id = RequestId{id}, q.cls = cls, q.group = GroupId{1}, q.patience = 1s,
-            q.session = SessionKey{1};
+        auto ask = [&](std::uint64_t id, ClassId request_class) {
+            RequestArrival q;
+            q.id = RequestId{id}, q.request_class = request_class, q.group = GroupId{1},
+            q.client_timeout = 1s, q.session = SessionKey{1};
             run(q);
         };
-        auto fail = [&](std::uint64_t id, MemberId member, std::uint32_t attempt) {
-            Outcome o;
-            o.id = RequestId{id}, o.attempt = attempt, o.member = member, o.status = Status::error;
+        auto fail = [&](std::uint64_t id, EndpointId endpoint, std::uint32_t attempt) {
+            AttemptOutcome o;
+            o.id = RequestId{id}, o.attempt = attempt, o.endpoint = endpoint, o.status = AttemptStatus::error;
             run(o);
         };
         ask(1, ClassId{2});  // a keyed write
         REQUIRE(sends() == 1);
         if (retuned) {
-            run(Retune{after, {ClassId{2}, ClassId{1}, std::nullopt}});
+            run(SettingsChanged{after, {ClassId{2}, ClassId{1}, std::nullopt}});
             ask(2, ClassId{0});  // the same class by its new place
             REQUIRE(sends() == 1);
-            fail(2, MemberId{1}, 0);
+            fail(2, EndpointId{1}, 0);
             CHECK(sends() == 0);  // one attempt is all
         }
-        fail(1, MemberId{1}, 0);
+        fail(1, EndpointId{1}, 0);
         CHECK(sends() == 1);  // keyed yet, with attempts left
     }
 }
--- a/tests/keeper_test.cpp
+++ b/tests/program/persistent_state_test.cpp
@@ -1,27 +1,30 @@
 // The store in a whole pooler: real files, hosts that lag, processes that end at any moment.
+#include "program/persistent_state.hpp"
+
 #include <fstream>
 
-#include "program/store_keeper.hpp"
-#include "program/taken_out.hpp"
+#include "program/excluded_endpoints.hpp"
 #include "support/deployment.hpp"
 
 namespace indigovane::testing {
 namespace {
 
-using program::StoreKeeper;
+using program::PersistentState;
 using PgDeployment = Deployment<adapters::PgBackend, PgHost>;
 
 struct Life {
     PgDeployment d;
-    StoreKeeper keeper;
+    PersistentState persistent_state;
     Life(const std::string& folder, const std::string& scratch)
-        : keeper(d.loop.io, d.clock, config(folder), scratch, "t1", d.core, d.logger) {
-        keeper.open(true);
-        d.core.on_write([this](std::uint64_t s, bool begins) { begins ? keeper.begun(s) : keeper.ended(s); });
-        d.core.on_commit([this](std::uint64_t s, routing::Time at) { keeper.commit(s, at); });
+        : persistent_state(d.loop.io, d.clock, config(folder), scratch, "t1", d.core, d.logger) {
+        persistent_state.open(true);
+        d.core.on_write([this](std::uint64_t s, bool begins) {
+            begins ? persistent_state.begun(s) : persistent_state.ended(s);
+        });
+        d.core.on_commit([this](std::uint64_t s, routing::Time at) { persistent_state.commit(s, at); });
         d.loop.batch = [this] {
             d.core.run_batch();
-            keeper.carry();
+            persistent_state.carry();
         };
         for (Host& host : d.hosts) host.lag_ms = host.primary ? 0 : 60000;
         d.loop.settle();
@@ -35,7 +38,7 @@
 };
 
 struct PgClient : Client {
-    PgClient(Loop& loop, const transport::Endpoint& to) : Client(loop, to) {
+    PgClient(Loop& loop, const transport::SocketAddress& to) : Client(loop, to) {
         send(pg::Writer().startup("backend", "store").take());
         REQUIRE(reply() == "RZ");
     }
@@ -76,7 +79,7 @@
             }
         }
         primary_rows = l.d.hosts[0].rows;
-        if (dice.below(3) == 0) l.keeper.close();  // else it ends like a process that is killed
+        if (dice.below(3) == 0) l.persistent_state.close();  // else it ends like a process that is killed
     }
     CHECK(reads > 30);
 }
@@ -86,16 +89,16 @@
     {
         Life l(folder.path, scratch.path);
         bool told = false;
-        l.keeper.hosts({"m1"}, {}, [&](bool on_disk) { told = on_disk; });
+        l.persistent_state.hosts({"m1"}, {}, [&](bool on_disk) { told = on_disk; });
         REQUIRE(l.d.loop.until([&] { return told; }));
-        l.keeper.list(R"({"rev":41,"all":true,"targets":[]})", 41);
-        l.keeper.carry();
-        l.keeper.close();
+        l.persistent_state.list(R"({"rev":41,"all":true,"targets":[]})", 41);
+        l.persistent_state.carry();
+        l.persistent_state.close();
     }
     Life l(folder.path, scratch.path);
-    CHECK(l.keeper.taken_out() == std::set<std::string>{"m1"});
-    CHECK(l.keeper.last_list(40).value_or("").find("41") != std::string::npos);
-    CHECK_FALSE(l.keeper.last_list(41));
+    CHECK(l.persistent_state.excluded_endpoints() == std::set<std::string>{"m1"});
+    CHECK(l.persistent_state.last_list(40).value_or("").find("41") != std::string::npos);
+    CHECK_FALSE(l.persistent_state.last_list(41));
 }
 
 // An upgrade: the heir serves before the elder lets go of the store, and both may end at any moment
@@ -103,25 +106,26 @@
 TEST_CASE("an heir waits for the store, writes down what it has heard, and lowers the witness only then") {
     Folder folder, scratch;
     auto witness = [&] { return std::filesystem::exists(scratch.path + "/t1.witness"); };
-    auto elder = std::make_unique<Life>(folder.path, scratch.path);
-    REQUIRE(elder->d.loop.until([&] { return !witness(); }));
-    Life heir(folder.path, scratch.path);
-    CHECK_FALSE(heir.keeper.is_open());
+    auto predecessor = std::make_unique<Life>(folder.path, scratch.path);
+    REQUIRE(predecessor->d.loop.until([&] { return !witness(); }));
+    Life successor(folder.path, scratch.path);
+    CHECK_FALSE(successor.persistent_state.is_open());
     CHECK(witness());
-    heir.keeper.commit(7, heir.d.clock.now());
-    starlingpond::Tokens tokens;
-    tokens.commits.emplace_back(starlingpond::SessionKey{8}, heir.d.clock.now());
-    heir.keeper.inherit(tokens);
-    elder->keeper.close();
-    REQUIRE(heir.d.loop.until([&] { return heir.keeper.is_open(); }));
-    REQUIRE(heir.d.loop.until([&] { return !witness(); }));
-    elder->keeper.commit(9, elder->d.clock.now());  // after it has let go: the witness says so
+    successor.persistent_state.commit(7, successor.d.clock.now());
+    policy::SessionTokens tokens;
+    tokens.commits.emplace_back(policy::SessionKey{8}, successor.d.clock.now());
+    successor.persistent_state.inherit(tokens);
+    predecessor->persistent_state.close();
+    REQUIRE(successor.d.loop.until([&] { return successor.persistent_state.is_open(); }));
+    REQUIRE(successor.d.loop.until([&] { return !witness(); }));
+    predecessor->persistent_state.commit(
+        9, predecessor->d.clock.now());  // after it has let go: the witness says so
     CHECK(witness());
-    tokens.commits[0].first = starlingpond::SessionKey{9};
-    heir.keeper.inherit(tokens);
-    REQUIRE(heir.d.loop.until([&] { return !witness(); }));
-    elder.reset();
-    heir.keeper.close();
+    tokens.commits[0].first = policy::SessionKey{9};
+    successor.persistent_state.inherit(tokens);
+    REQUIRE(successor.d.loop.until([&] { return !witness(); }));
+    predecessor.reset();
+    successor.persistent_state.close();
     std::unique_ptr<store::Environment> environment;
     REQUIRE(store::open_folder(folder.path, environment).ok());
     std::set<std::uint64_t> sessions;
--- a/tests/program_test.sh
+++ b/tests/program/program_test.sh
@@ -40,7 +40,7 @@
 expect 1 "limits.sockets: at least 113" timeout 20 "$program" serve --config "$work/few.json"
 expect 0 "REST front on" "$program" check-config --config "$work/config.json" --rest "$work/rest.json"
 expect 0 "REST front off" "$program" check-config --config "$work/config.json"
-expect 0 "1 zones watched" "$program" check-config --config "$work/config.json" --sites "$(dirname "$0")/../deploy/sites.toml"
+expect 0 "1 zones watched" "$program" check-config --config "$work/config.json" --sites "$(dirname "$0")/../../deploy/sites.toml"
 
 # Statements from standard input: one line of JSON each, whatever comes.
 got=$(printf 'SELECT 1\nSELECT nextval(1)\nSELECT "broken\n' | "$program" shapes classify | cut -d, -f2,3 | tr '\n' ' ')
@@ -51,7 +51,7 @@
 expect 2 "shapes classify" "$program" shapes
 
 # The one list of packages: what the platform installs is what packages.txt says a build needs.
-here=$(dirname "$0")/..
+here=$(dirname "$0")/../..
 for p in $(awk '$1 == "build" && $2 !~ /^(g\+\+|cmake|make)$/ {print $2}' "$here/packages.txt"); do
     grep -q "^packages.*\"$p\"" "$here/deploy/balancer.toml" || fail "deploy/balancer.toml lacks $p"
 done
--- a/tests/service_test.cpp
+++ b/tests/program/services_test.cpp
@@ -5,9 +5,9 @@
 #include "program/log.hpp"
 #include "program/log_output.hpp"
 #include "protocol/syslog.hpp"
-#include "routing/catalog.hpp"
+#include "routing/discovery_client.hpp"
 #include "support/discovery.hpp"
-#include "transport/endpoint.hpp"
+#include "transport/socket_address.hpp"
 
 namespace indigovane::testing {
 namespace {
@@ -22,14 +22,15 @@
     Agent agent(loop, host);
     adapters::PgBackend backend(loop.io);
     routing::LoopCore core(loop.io, clock, settings(), 1, {}, backend, logger);
-    routing::Catalog catalog(loop.io, *transport::read_endpoint(agent.address()), {"a"}, core, logger,
-                             {.hold = 10ms,
-                              .slack = 30ms,
-                              .whole = 30ms,
-                              .retry = 1ms,
-                              .again = 1ms,
-                              .retry_most = 2ms,
-                              .connect = 5s});
+    routing::DiscoveryClient catalog(loop.io, *transport::parse_socket_address(agent.address()), {"a"}, core,
+                                     logger,
+                                     {.hold = 10ms,
+                                      .slack = 30ms,
+                                      .whole = 30ms,
+                                      .retry = 1ms,
+                                      .again = 1ms,
+                                      .retry_most = 2ms,
+                                      .connect = 5s});
     loop.batch = [&] { core.run_batch(); };
     agent.replies = {
         Agent::reply(
@@ -53,7 +54,7 @@
 
 TEST_CASE(
     "a discovery that all poolers share is asked for what is new, and ever less often where it refuses") {
-    auto shared = routing::ListWatch::shared(48);
+    auto shared = routing::WatchSchedule::shared(48);
     CHECK(shared.again == 1800ms);  // spread over all that the term of 6 s leaves
     CHECK(shared.from_known);
     for (std::uint64_t seed : {1, 2}) {
@@ -64,10 +65,10 @@
         Agent agent(loop, host);
         adapters::PgBackend backend(loop.io);
         routing::LoopCore core(loop.io, clock, settings(), 1, {}, backend, logger);
-        routing::Catalog::Timing timing = shared;
+        routing::DiscoveryClient::Timing timing = shared;
         timing.again = 40ms, timing.retry = 0ms, timing.retry_most = 80ms;
-        routing::Catalog catalog(loop.io, *transport::read_endpoint(agent.address()), {"a"}, core, logger,
-                                 timing, seed);
+        routing::DiscoveryClient catalog(loop.io, *transport::parse_socket_address(agent.address()), {"a"},
+                                         core, logger, timing, seed);
         loop.batch = [&] { core.run_batch(); };
         catalog.seed({41, true, {}});
         std::string refusal = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
@@ -94,18 +95,18 @@
         routing::Clock clock;
         Host hosts[2];
         Agent agents[2] = {{loop, hosts[0]}, {loop, hosts[1]}};
-        transport::Endpoint at[2] = {*transport::read_endpoint(agents[0].address()),
-                                     *transport::read_endpoint(agents[1].address())};
+        transport::SocketAddress at[2] = {*transport::parse_socket_address(agents[0].address()),
+                                          *transport::parse_socket_address(agents[1].address())};
         adapters::PgBackend backend(loop.io);
         routing::LoopCore core(loop.io, clock, settings(), 1, {}, backend, logger);
-        routing::Catalog catalog(loop.io, at[0], {"a"}, core, logger,
-                                 {.hold = 2ms,
-                                  .slack = 20ms,
-                                  .whole = 20ms,
-                                  .retry = 1ms,
-                                  .again = 1ms,
-                                  .retry_most = 2ms,
-                                  .connect = 5s});
+        routing::DiscoveryClient catalog(loop.io, at[0], {"a"}, core, logger,
+                                         {.hold = 2ms,
+                                          .slack = 20ms,
+                                          .whole = 20ms,
+                                          .retry = 1ms,
+                                          .again = 1ms,
+                                          .retry_most = 2ms,
+                                          .connect = 5s});
         loop.batch = [&] { core.run_batch(); };
         catalog.follow();
         int now = 0, revision[2] = {100, 900};
@@ -153,19 +154,19 @@
 }
 
 TEST_CASE("lists: what is not known is passed over, what is no list is refused") {
-    auto list = routing::read_member_list(
+    auto list = routing::read_endpoint_listing(
         json::parse(
             R"({"rev":2,"all":true,"new":1,"targets":[{"uid":"a","state":"draining","az":"z","recovery":"off","boot_ms":17.5},{"uid":"b","state":"gone"},7]})"),
         {"y", "z"});
     REQUIRE(list.members.size() == 2);
-    CHECK(list.members[0].state == starlingpond::MemberState::draining);
+    CHECK(list.members[0].state == policy::EndpointState::draining);
     CHECK(list.members[0].primary);
     CHECK(list.members[0].zone == 1);
     CHECK(list.members[0].boot_unix_ms == 17);
-    CHECK(list.members[1].state == starlingpond::MemberState::gone);
+    CHECK(list.members[1].state == policy::EndpointState::gone);
     for (const char* bad :
          {"[]", "{}", R"({"targets":1})", R"({"targets":[{"uid":1}]})", R"({"rev":"x","targets":[]})"})
-        CHECK_THROWS_AS(routing::read_member_list(json::parse(bad), {}), std::runtime_error);
+        CHECK_THROWS_AS(routing::read_endpoint_listing(json::parse(bad), {}), std::runtime_error);
 }
 
 struct Collector : StandIn {
@@ -185,7 +186,7 @@
     Loop loop;
     Host host;
     Collector collector(loop, host);
-    adapters::SyslogSink sink(loop.io, *transport::read_endpoint(collector.address()), 1ms);
+    adapters::SyslogSink sink(loop.io, *transport::parse_socket_address(collector.address()), 1ms);
     std::vector<std::string> out;
     program::Log log("n1", "7", [&](const std::string& line) {
         out.push_back(line);
@@ -238,9 +239,9 @@
     CHECK(c.seed == 0x8c1f30d27a5be964);
     CHECK(c.settings.fleet_size == 3u);
     CHECK(c.settings.attempts == 10u);
-    CHECK(c.settings.classes.at(0).bound == starlingpond::Duration(3s));
-    CHECK(c.settings.classes.at(1).consistency == starlingpond::Consistency::session);
-    CHECK(c.settings.classes.at(1).deadline == starlingpond::Duration(600500us));
+    CHECK(c.settings.classes.at(0).bound == policy::Duration(3s));
+    CHECK(c.settings.classes.at(1).consistency == policy::Consistency::session);
+    CHECK(c.settings.classes.at(1).deadline == policy::Duration(600500us));
     CHECK(c.classes.find("stock view")->deadline == routing::Duration(1s));
     CHECK(c.classes.find("w")->write);
     CHECK(c.idle_limit == routing::Duration(20s));
@@ -260,39 +261,39 @@
 
 TEST_CASE(
     "the module: a write without a primary is refused at 45% of its time; a withdrawn one is cancelled") {
-    using namespace starlingpond;
+    using namespace indigovane::policy;
     Time now{100s};
-    Brain brain(settings(), 3, now);
+    RoutingPolicy policy(settings(), 3, now);
     Actions actions;
-    auto run = [&](const Event& e) { brain.handle(now, e, actions); };
-    List list{ListKind::full, {}};
-    list.entries.push_back({MemberId{1}, GroupId{1}, ZoneId{}, MemberState::draining, true, {}});
-    list.entries.push_back({MemberId{2}, GroupId{1}, ZoneId{}, MemberState::ready, false, {}});
+    auto run = [&](const Event& e) { policy.handle(now, e, actions); };
+    EndpointList list{EndpointListKind::full, {}};
+    list.entries.push_back({EndpointId{1}, GroupId{1}, ZoneId{}, EndpointState::draining, true, {}});
+    list.entries.push_back({EndpointId{2}, GroupId{1}, ZoneId{}, EndpointState::ready, false, {}});
     run(list);
-    Request write;
-    write.id = RequestId{1}, write.cls = ClassId{2}, write.group = GroupId{1}, write.patience = 1s,
-    write.session = SessionKey{1};
+    RequestArrival write;
+    write.id = RequestId{1}, write.request_class = ClassId{2}, write.group = GroupId{1},
+    write.client_timeout = 1s, write.session = SessionKey{1};
     run(write);
     std::optional<Duration> refused;
     for (int ms = 0; ms < 1000 && !refused; ms += 5) {
         now = Time(100s) + std::chrono::milliseconds(ms);
-        run(Timer{TimerId{3}});
+        run(TimerExpired{TimerId{3}});
         for (auto& a : actions)
-            if (auto* r = std::get_if<Refuse>(&a)) {
+            if (auto* r = std::get_if<RejectRequest>(&a)) {
                 refused = now - Time(100s);
                 CHECK(r->retry_after);
                 CHECK(!r->deadline);
             }
     }
     CHECK(refused == Duration(450ms));
-    list.entries[0].state = MemberState::ready;
+    list.entries[0].state = EndpointState::ready;
     run(list);
     write.id = RequestId{2};
     run(write);
     actions.clear();
-    run(Withdrawn{RequestId{2}});
+    run(RequestCancelled{RequestId{2}});
     REQUIRE(actions.size() == 1);
-    CHECK(std::get<Cancel>(actions[0]).attempt == 0);
+    CHECK(std::get<CancelAttempt>(actions[0]).attempt == 0);
 }
 
 // Connections of a zone that is cut off never come up: a read that waited the connect timeout out came too
@@ -300,105 +301,108 @@
 TEST_CASE("the core: a read whose connection does not come up goes elsewhere within its aim, a write waits") {
     struct Made : routing::Clock {
         Made() : Clock(0) {}
-        starlingpond::Time now() const override { return at; }
-        starlingpond::Time at{100s};
+        policy::Time now() const override { return at; }
+        policy::Time at{100s};
     } clock;
     struct Driver : routing::Driver {
         void wake() override {}
-        void alarm(std::optional<starlingpond::Time> at) override { next = at; }
-        std::optional<starlingpond::Time> next;
+        void alarm(std::optional<policy::Time> at) override { next = at; }
+        std::optional<policy::Time> next;
     } driver;
     FakeBackend backend;  // whose connections never come up
     struct Client : routing::Responder {
         void served(const routing::Answer&) override {}
-        void ended(const routing::Ending&) override {}
+        void ended(const routing::FinalError&) override {}
     } client;
-    for (std::uint32_t cls : {1u, 2u}) {
+    for (std::uint32_t request_class : {1u, 2u}) {
         backend.opened.clear();
-        clock.at = starlingpond::Time(100s);
+        clock.at = policy::Time(100s);
         auto s = settings();
         s.probes = false;
-        s.classes[cls].aim = 200ms;
+        s.classes[request_class].latency_objective = 200ms;
         NullLogger logger;
         routing::Core core(driver, clock, s, 3, {}, backend, logger);
-        std::vector<routing::MemberInfo> infos(3);
+        std::vector<routing::EndpointInfo> infos(3);
         for (std::uint32_t i = 0; i < 3; ++i)
-            infos[i].uid = infos[i].endpoint = std::to_string(i), infos[i].group = 1,
+            infos[i].uid = infos[i].address = std::to_string(i), infos[i].group = 1,
             infos[i].primary = i == 0;
-        core.list(starlingpond::ListKind::full, infos);
-        routing::Item item;
-        item.id = "a", item.cls = routing::ClassId{cls}, item.group = routing::GroupId{1}, item.patience = 1s;
+        core.list(policy::EndpointListKind::full, infos);
+        routing::ClientRequest item;
+        item.id = "a", item.request_class = routing::ClassId{request_class}, item.group = routing::GroupId{1},
+        item.client_timeout = 1s;
         core.accept(item, client);
         auto until = clock.at + 200ms;  // the connect timeout is 250 ms
         for (core.run_batch(); driver.next && *driver.next < until; core.run_batch()) {
             clock.at = std::max(clock.at, *driver.next);
-            core.rang();
+            core.timer_expired();
         }
-        CHECK((backend.opened.size() > 1) == (cls == 1));
-        CHECK((backend.opened.front() == "0") == (cls == 2));
-        CHECK(logger.lines["ledger"] < 2);
+        CHECK((backend.opened.size() > 1) == (request_class == 1));
+        CHECK((backend.opened.front() == "0") == (request_class == 2));
+        CHECK(logger.lines["statistics"] < 2);
         clock.at += 6s;
         core.run_batch();
-        CHECK(logger.lines["ledger"] > 0);  // what it did is told some seconds later, in one line
+        CHECK(logger.lines["statistics"] > 0);  // what it did is told some seconds later, in one line
     }
 }
 
 TEST_CASE("the module: where probes have a price, each pooler asks but a part of a group at first use") {
-    using namespace starlingpond;
+    using namespace indigovane::policy;
     for (auto [price, expected] : {std::pair{0.0, 6}, {0.08, 3}}) {
         Time now{100s};
         auto s = settings();
-        s.probe_price = price;
-        Brain brain(s, 3, now);
+        s.health_check_price = price;
+        RoutingPolicy policy(s, 3, now);
         Actions actions;
-        List list{ListKind::full, {}};
+        EndpointList list{EndpointListKind::full, {}};
         for (std::uint32_t i = 0; i < 6; ++i)
-            list.entries.push_back({MemberId{i}, GroupId{1}, ZoneId{}, MemberState::ready, i == 4, {}});
-        brain.handle(now, list, actions);
+            list.entries.push_back({EndpointId{i}, GroupId{1}, ZoneId{}, EndpointState::ready, i == 4, {}});
+        policy.handle(now, list, actions);
         actions.clear();
-        Request q;
-        q.id = RequestId{1}, q.cls = ClassId{0}, q.group = GroupId{1}, q.patience = 1s;
-        brain.handle(now, q, actions);
+        RequestArrival q;
+        q.id = RequestId{1}, q.request_class = ClassId{0}, q.group = GroupId{1}, q.client_timeout = 1s;
+        policy.handle(now, q, actions);
         int probes = 0;
         bool primary = false;
         for (auto& a : actions)
-            if (auto* p = std::get_if<Probe>(&a)) ++probes, primary = primary || p->member == MemberId{4};
+            if (auto* p = std::get_if<CheckHealth>(&a))
+                ++probes, primary = primary || p->endpoint == EndpointId{4};
         CHECK(probes == expected);
         CHECK(primary);
     }
 }
 
 TEST_CASE("the module: a cold member gets the same share of its work whatever the number of poolers") {
-    using namespace starlingpond;
+    using namespace indigovane::policy;
     auto sent = [](std::uint32_t fleet) {
         Time now{100s};
         auto s = settings();
-        s.fleet_size = fleet, s.cold_from = 0.5, s.ramp = 1h, s.fall_multiple = 2.5;
-        Brain brain(s, 3, now);
+        s.fleet_size = fleet, s.slow_start_share = 0.5, s.ramp = 1h, s.overload_multiple = 2.5;
+        RoutingPolicy policy(s, 3, now);
         Actions actions;
-        auto run = [&](const Event& e) { brain.handle(now, e, actions); };
-        List list{ListKind::full, {}};
+        auto run = [&](const Event& e) { policy.handle(now, e, actions); };
+        EndpointList list{EndpointListKind::full, {}};
         for (std::uint32_t i = 0; i < 3; ++i)
-            list.entries.push_back({MemberId{i}, GroupId{1}, ZoneId{}, MemberState::ready, i == 0,
+            list.entries.push_back({EndpointId{i}, GroupId{1}, ZoneId{}, EndpointState::ready, i == 0,
                                     i == 2 ? std::optional(now) : std::nullopt});
         run(list);
         int cold = 0;
         for (std::uint64_t id = 1; id <= 1000; ++id) {
             now += 5ms;
             for (std::uint32_t i = 1; i < 3; ++i) {
-                ProbeResult p;
-                p.member = MemberId{i}, p.status = Status::ok, p.latency = 1ms, p.report.position = now;
+                HealthCheckResult p;
+                p.endpoint = EndpointId{i}, p.status = AttemptStatus::ok, p.latency = 1ms,
+                p.report.position = now;
                 run(p);
             }
-            Request q;
-            q.id = RequestId{id}, q.cls = ClassId{0}, q.group = GroupId{1}, q.patience = 1s;
+            RequestArrival q;
+            q.id = RequestId{id}, q.request_class = ClassId{0}, q.group = GroupId{1}, q.client_timeout = 1s;
             actions.clear();
             run(q);
             for (auto& a : std::exchange(actions, {}))
-                if (auto* send = std::get_if<Send>(&a)) {
-                    cold += send->member == MemberId{2};
-                    Outcome o;
-                    o.id = q.id, o.member = send->member, o.status = Status::ok, o.latency = 10ms,
+                if (auto* send = std::get_if<SendAttempt>(&a)) {
+                    cold += send->endpoint == EndpointId{2};
+                    AttemptOutcome o;
+                    o.id = q.id, o.endpoint = send->endpoint, o.status = AttemptStatus::ok, o.latency = 10ms,
                     o.finished = true;
                     run(o);
                 }
@@ -412,35 +416,36 @@
 }
 
 TEST_CASE("the module: a missing primary is looked for at a pace that the group's reads pay for") {
-    using namespace starlingpond;
+    using namespace indigovane::policy;
     auto probes = [](int reads) {
         Time now{100s};
-        Brain brain(settings(), 3, now);
+        RoutingPolicy policy(settings(), 3, now);
         Actions actions;
-        auto run = [&](const Event& e) { brain.handle(now, e, actions); };
-        List list{ListKind::full, {}};
+        auto run = [&](const Event& e) { policy.handle(now, e, actions); };
+        EndpointList list{EndpointListKind::full, {}};
         for (std::uint32_t i = 0; i < 4; ++i)
-            list.entries.push_back({MemberId{i}, GroupId{1}, ZoneId{}, MemberState::ready, false, {}});
+            list.entries.push_back({EndpointId{i}, GroupId{1}, ZoneId{}, EndpointState::ready, false, {}});
         run(list);
         std::uint64_t id = 0;
         int count = 0;
-        Request q;
-        q.id = RequestId{++id}, q.cls = ClassId{2}, q.group = GroupId{1}, q.patience = 8s,
+        RequestArrival q;
+        q.id = RequestId{++id}, q.request_class = ClassId{2}, q.group = GroupId{1}, q.client_timeout = 8s,
         q.session = SessionKey{1};
         run(q);  // a write is held all the time
         for (int ms = 0; ms < 3000; ms += 20) {
             now = Time(100s) + std::chrono::milliseconds(ms);
             for (int i = 0; i < reads; ++i) {
-                q.id = RequestId{++id}, q.cls = ClassId{0}, q.patience = 500ms, q.session.reset();
+                q.id = RequestId{++id}, q.request_class = ClassId{0}, q.client_timeout = 500ms,
+                q.session.reset();
                 run(q);
             }
-            run(Timer{TimerId{0}});
+            run(TimerExpired{TimerId{0}});
             auto done = std::exchange(actions, {});
             for (auto& a : done)
-                if (auto* p = std::get_if<Probe>(&a)) {
+                if (auto* p = std::get_if<CheckHealth>(&a)) {
                     ++count;
-                    ProbeResult r;
-                    r.member = p->member, r.status = Status::ok, r.report.primary = false;
+                    HealthCheckResult r;
+                    r.endpoint = p->endpoint, r.status = AttemptStatus::ok, r.report.primary = false;
                     run(r);
                 }
         }
@@ -452,107 +457,109 @@
 }
 
 TEST_CASE("the module: a session read passes over replicas that can't reach its token in time") {
-    using namespace starlingpond;
-    for (auto [behind, expected] : {std::pair{20ms, MemberId{2}}, {2000ms, MemberId{1}}}) {
+    using namespace indigovane::policy;
+    for (auto [behind, expected] : {std::pair{20ms, EndpointId{2}}, {2000ms, EndpointId{1}}}) {
         Time now{100s};
-        Brain brain(settings(), 3, now);
+        RoutingPolicy policy(settings(), 3, now);
         Actions actions;
         auto run = [&](const Event& e) {
             actions.clear();
-            brain.handle(now, e, actions);
+            policy.handle(now, e, actions);
         };
-        List list{ListKind::full, {}};
-        list.entries.push_back({MemberId{1}, GroupId{1}, ZoneId{}, MemberState::ready, true, {}});
-        list.entries.push_back({MemberId{2}, GroupId{1}, ZoneId{}, MemberState::ready, false, {}});
+        EndpointList list{EndpointListKind::full, {}};
+        list.entries.push_back({EndpointId{1}, GroupId{1}, ZoneId{}, EndpointState::ready, true, {}});
+        list.entries.push_back({EndpointId{2}, GroupId{1}, ZoneId{}, EndpointState::ready, false, {}});
         run(list);
-        Request q;
-        q.id = RequestId{1}, q.cls = ClassId{2}, q.group = GroupId{1}, q.patience = 1s,
+        RequestArrival q;
+        q.id = RequestId{1}, q.request_class = ClassId{2}, q.group = GroupId{1}, q.client_timeout = 1s,
         q.session = SessionKey{1};
         run(q);
         now += 50ms;
-        Outcome o;
-        o.id = q.id, o.member = MemberId{1}, o.status = Status::ok, o.finished = true, o.role = Role::primary;
+        AttemptOutcome o;
+        o.id = q.id, o.endpoint = EndpointId{1}, o.status = AttemptStatus::ok, o.finished = true,
+        o.role = Role::primary;
         o.position = now;  // the commit
         run(o);
-        ProbeResult p;
-        p.member = MemberId{2}, p.status = Status::ok;
+        HealthCheckResult p;
+        p.endpoint = EndpointId{2}, p.status = AttemptStatus::ok;
         p.report.position = now - behind;
         run(p);
-        q.id = RequestId{2}, q.cls = ClassId{1};
+        q.id = RequestId{2}, q.request_class = ClassId{1};
         run(q);
         auto sent = std::find_if(actions.begin(), actions.end(),
-                                 [](const Action& a) { return std::holds_alternative<Send>(a); });
+                                 [](const Action& a) { return std::holds_alternative<SendAttempt>(a); });
         REQUIRE(sent != actions.end());
-        CHECK(std::get<Send>(*sent).member == expected);
+        CHECK(std::get<SendAttempt>(*sent).endpoint == expected);
     }
 }
 
 TEST_CASE(
     "the module: groups and members that are no more cost nothing; a group of nobody is refused at once") {
-    using namespace starlingpond;
+    using namespace indigovane::policy;
     Time now{100s};
-    Brain brain(settings(), 3, now);
+    RoutingPolicy policy(settings(), 3, now);
     Actions actions;
     auto run = [&](const Event& e) {
         actions.clear();
-        brain.handle(now, e, actions);
+        policy.handle(now, e, actions);
     };
     auto refused = [&](std::uint64_t id, std::uint32_t group) {
-        Request q;
-        q.id = RequestId{id}, q.cls = ClassId{0}, q.group = GroupId{group}, q.patience = 1s;
+        RequestArrival q;
+        q.id = RequestId{id}, q.request_class = ClassId{0}, q.group = GroupId{group}, q.client_timeout = 1s;
         run(q);
         return std::any_of(actions.begin(), actions.end(), [](const Action& a) {
-            auto* r = std::get_if<Refuse>(&a);
+            auto* r = std::get_if<RejectRequest>(&a);
             return r && r->retry_after && !r->deadline;
         });
     };
-    List list{ListKind::full, {}};
-    list.entries.push_back({MemberId{1}, GroupId{1}, ZoneId{}, MemberState::ready, true, {}});
+    EndpointList list{EndpointListKind::full, {}};
+    list.entries.push_back({EndpointId{1}, GroupId{1}, ZoneId{}, EndpointState::ready, true, {}});
     run(list);
     CHECK(!refused(1, 1));  // held for its first probes
     CHECK(refused(2, 77));
-    run(List{ListKind::full, {}});
-    run(Withdrawn{RequestId{1}});
+    run(EndpointList{EndpointListKind::full, {}});
+    run(RequestCancelled{RequestId{1}});
     now += 61s;
-    run(ProbeResult{MemberId{1}, Status::timeout, 250ms, {}});
-    run(Timer{TimerId{0}});
-    run(List{ListKind::changes, {}});
+    run(HealthCheckResult{EndpointId{1}, AttemptStatus::timeout, 250ms, {}});
+    run(TimerExpired{TimerId{0}});
+    run(EndpointList{EndpointListKind::changes, {}});
     CHECK(refused(4, 1));
 }
 
 TEST_CASE("the module: tokens are kept for a minute; what is forgotten binds all session reads") {
-    using namespace starlingpond;
+    using namespace indigovane::policy;
     Time now{100s};
-    Brain brain(settings(), 3, now);
+    RoutingPolicy policy(settings(), 3, now);
     Actions actions;
     auto run = [&](const Event& e) {
         actions.clear();
-        brain.handle(now, e, actions);
+        policy.handle(now, e, actions);
     };
-    List list{ListKind::full, {}};
-    list.entries.push_back({MemberId{1}, GroupId{1}, ZoneId{}, MemberState::ready, true, {}});
-    list.entries.push_back({MemberId{2}, GroupId{1}, ZoneId{}, MemberState::ready, false, {}});
+    EndpointList list{EndpointListKind::full, {}};
+    list.entries.push_back({EndpointId{1}, GroupId{1}, ZoneId{}, EndpointState::ready, true, {}});
+    list.entries.push_back({EndpointId{2}, GroupId{1}, ZoneId{}, EndpointState::ready, false, {}});
     run(list);
     auto write = [&](std::uint64_t id) {
-        Request q;
-        q.id = RequestId{id}, q.cls = ClassId{2}, q.group = GroupId{1}, q.patience = 1s,
+        RequestArrival q;
+        q.id = RequestId{id}, q.request_class = ClassId{2}, q.group = GroupId{1}, q.client_timeout = 1s,
         q.session = SessionKey{id};
         run(q);
-        Outcome o;
-        o.id = q.id, o.member = MemberId{1}, o.status = Status::ok, o.finished = true, o.role = Role::primary;
+        AttemptOutcome o;
+        o.id = q.id, o.endpoint = EndpointId{1}, o.status = AttemptStatus::ok, o.finished = true,
+        o.role = Role::primary;
         o.position = now;
         run(o);
     };
     auto needs = [&](std::uint64_t id) {
-        ProbeResult p;
-        p.member = MemberId{2}, p.status = Status::ok, p.report.position = now;
+        HealthCheckResult p;
+        p.endpoint = EndpointId{2}, p.status = AttemptStatus::ok, p.report.position = now;
         run(p);
-        Request q;
-        q.id = RequestId{id}, q.cls = ClassId{1}, q.group = GroupId{1}, q.patience = 1s,
+        RequestArrival q;
+        q.id = RequestId{id}, q.request_class = ClassId{1}, q.group = GroupId{1}, q.client_timeout = 1s,
         q.session = SessionKey{id};
         run(q);
         for (const Action& a : actions)
-            if (auto* sent = std::get_if<Send>(&a)) return sent->needs;
+            if (auto* sent = std::get_if<SendAttempt>(&a)) return sent->needs;
         FAIL("not sent");
         return std::optional<Time>();
     };
--- a/tests/upgrade_test.cpp
+++ b/tests/program/upgrade_test.cpp
@@ -2,13 +2,13 @@
 // of clients.
 #include <sys/socket.h>
 
-#include "program/succession.hpp"
+#include "program/process_handover.hpp"
 #include "support/deployment.hpp"
 
 namespace indigovane::testing {
 namespace {
 
-using program::Succession;
+using program::ProcessHandover;
 using transport::Channel;
 using transport::Descriptor;
 
@@ -78,13 +78,15 @@
 using PgDeployment = Deployment<adapters::PgBackend, PgHost>;
 
 // One of the two processes, before the same hosts.
-struct Process : Succession::Estate {
-    Process(PgDeployment& deployment, const std::string& folder, std::chrono::milliseconds patience = 20s)
+struct Process : ProcessHandover::HandoverOwner {
+    Process(PgDeployment& deployment, const std::string& folder,
+            std::chrono::milliseconds client_timeout = 20s)
         : d(deployment),
           core(d.loop.io, d.clock, settings(), 9, limits(), d.backend, d.logger),
-          succession(d.loop.io, folder, "n1", *this, patience) {
-        core.list(ListKind::full, {d.member(0, MemberState::ready), d.member(1, MemberState::ready),
-                                   d.member(2, MemberState::ready)});
+          succession(d.loop.io, folder, "n1", *this, client_timeout) {
+        core.list(EndpointListKind::full,
+                  {d.endpoint(0, EndpointState::ready), d.endpoint(1, EndpointState::ready),
+                   d.endpoint(2, EndpointState::ready)});
         core.on_commit([this](std::uint64_t session, routing::Time at) { succession.commit(session, at); });
     }
     // Who was put back when is kept as long as members that left are. The rig's usual 0 s forgets it at the
@@ -104,21 +106,21 @@
     std::vector<std::pair<std::string, int>> listening_sockets() override {
         return {{"pg", front->listening_socket()}};
     }
-    starlingpond::Tokens tokens() override { return core.tokens(); }
+    policy::SessionTokens tokens() override { return core.tokens(); }
     std::map<std::string, routing::Time> put_back() override { return core.put_back(); }
     void inherit_socket(const std::string& name, Descriptor socket) override {
         CHECK(name == "pg");
         inherited = std::move(socket);
     }
-    void inherit_tokens(starlingpond::Tokens tokens) override { core.take_over(std::move(tokens)); }
+    void inherit_tokens(policy::SessionTokens tokens) override { core.take_over(std::move(tokens)); }
     void inherit_put_back(const std::string& uid, routing::Time at) override {
         core.take_over_put_back(uid, at);
     }
-    void inherit_client(const std::string&, routing::ClientParcel p) override {
+    void inherit_client(const std::string&, routing::ClientHandover p) override {
         front->take_over(std::move(p));
     }
     void on_company() override {}
-    void on_heir_ready() override { ++ready; }
+    void on_successor_ready() override { ++ready; }
     bool knows(const std::string& session) {
         for (auto& [key, at] : core.tokens().commits)
             if (std::uint64_t(key) == adapters::session_number(session)) return true;
@@ -130,7 +132,7 @@
     std::unique_ptr<adapters::PgFront> front;
     Descriptor inherited;
     int ready = 0;
-    Succession succession;
+    ProcessHandover succession;
 };
 
 std::string write_to(const std::string& session) {
@@ -155,33 +157,33 @@
         PgDeployment d;
         for (Host& host : d.hosts) host.rows["a1"] = host.rows["a2"] = "1";
         Folder folder;
-        Process elder(d, folder.path), heir(d, folder.path);
-        d.loop.batch = [&] { elder.core.run_batch(), heir.core.run_batch(); };
-        CHECK(!elder.succession.ask());  // there is nobody
-        elder.serve();
-        Client client(d.loop, elder.front->local());
+        Process predecessor(d, folder.path), successor(d, folder.path);
+        d.loop.batch = [&] { predecessor.core.run_batch(), successor.core.run_batch(); };
+        CHECK(!predecessor.succession.ask());  // there is nobody
+        predecessor.serve();
+        Client client(d.loop, predecessor.front->local());
         client.send(pg::Writer().startup("u", "d").take());
         client.reply();
         client.send(write_to("a1"));
         CHECK(client.reply() == "TDCZ");
-        elder.core.lay_over({"m1"});
-        elder.core.lay_over({});
-        REQUIRE(heir.succession.ask());
-        REQUIRE(d.loop.until([&] { return !heir.succession.inheriting(); }));
-        CHECK(heir.inherited);
-        REQUIRE(d.loop.until([&] { return heir.knows("a1"); }));
-        CHECK(heir.core.put_back() == elder.core.put_back());
-        CHECK(!elder.succession.heir_ready());
-        heir.serve();
-        REQUIRE(d.loop.until([&] { return elder.ready == 1; }));
-        CHECK(heir.front->local() == elder.front->local());
-        CHECK(heir.succession.company());
+        predecessor.core.set_excluded({"m1"});
+        predecessor.core.set_excluded({});
+        REQUIRE(successor.succession.ask());
+        REQUIRE(d.loop.until([&] { return !successor.succession.inheriting(); }));
+        CHECK(successor.inherited);
+        REQUIRE(d.loop.until([&] { return successor.knows("a1"); }));
+        CHECK(successor.core.put_back() == predecessor.core.put_back());
+        CHECK(!predecessor.succession.successor_ready());
+        successor.serve();
+        REQUIRE(d.loop.until([&] { return predecessor.ready == 1; }));
+        CHECK(successor.front->local() == predecessor.front->local());
+        CHECK(successor.succession.company());
         client.send(write_to("a2"));  // as they come
         CHECK(client.reply() == "TDCZ");
-        REQUIRE(d.loop.until([&] { return heir.knows("a2"); }));
+        REQUIRE(d.loop.until([&] { return successor.knows("a2"); }));
         // A client in any state: not started, idle, halfway in a message, owed an answer.
         std::string startup = pg::Writer().startup("u", "d").take(), rest;
-        Client late(d.loop, elder.front->local());
+        Client late(d.loop, predecessor.front->local());
         std::size_t cut = dice.below(startup.size());
         late.send(startup.substr(0, cut));
         std::string next = read_of("a2");
@@ -190,36 +192,38 @@
         if (asked) {
             for (Host& host : d.hosts) host.silent = true;
             client.send(next);
-            REQUIRE(d.loop.until([&] { return elder.core.requests() + heir.core.requests() == 1; }));
+            REQUIRE(
+                d.loop.until([&] { return predecessor.core.requests() + successor.core.requests() == 1; }));
         } else {
             client.send(next.substr(0, half));
         }
         d.loop.settle();
-        elder.front->stop_accepting();
+        predecessor.front->stop_accepting();
         auto hand = [&] {
-            return elder.front->hand_over([&](auto p) { elder.succession.give("pg", std::move(p)); });
+            return predecessor.front->hand_over(
+                [&](auto p) { predecessor.succession.give("pg", std::move(p)); });
         };
         hand();
         d.loop.settle();
         if (asked) {
-            CHECK(elder.front->connections() == 1);  // it stays until it has its answer
+            CHECK(predecessor.front->connections() == 1);  // it stays until it has its answer
             for (Host& host : d.hosts) host.silent = false;
             for (auto& server : d.servers) server->drop_all();
         } else {
-            CHECK(elder.front->connections() == 0);
+            CHECK(predecessor.front->connections() == 0);
             client.send(next.substr(half));
         }
         CHECK(client.reply() == "TDCZ");
         CHECK(client.value == "1");
         hand();
-        CHECK(elder.front->connections() == 0);
-        REQUIRE(d.loop.until([&] { return elder.succession.all_sent(); }));
+        CHECK(predecessor.front->connections() == 0);
+        REQUIRE(d.loop.until([&] { return predecessor.succession.all_sent(); }));
         late.send(startup.substr(cut));
         CHECK(late.reply() == "RZ");
         client.send(write_to("a3"));  // on the same connection, at the heir; the elder hears of it
         CHECK(client.reply() == "TDCZ");
-        REQUIRE(d.loop.until([&] { return elder.knows("a3"); }));
-        Client fresh(d.loop, heir.front->local());
+        REQUIRE(d.loop.until([&] { return predecessor.knows("a3"); }));
+        Client fresh(d.loop, successor.front->local());
         fresh.send(pg::Writer().startup("u", "d").take());
         CHECK(fresh.reply() == "RZ");
         // What was written through the elder binds reads at the heir: a lagging replica won't do.
@@ -228,7 +232,7 @@
         fresh.send(read_of("a1"));
         CHECK(fresh.reply() == "TDCZ");
         CHECK(d.hosts[0].queries == before + 1);
-        CHECK(heir.front->connections() == 3);
+        CHECK(successor.front->connections() == 3);
     }
 }
 
@@ -246,13 +250,13 @@
             if (answers) CHECK(::send(taken.back().get(), "F12345678", 9, 0) == 9);
             if (answers) taken.clear();
         });
-        Process heir(d, folder.path, 5ms);
-        REQUIRE(heir.succession.ask());
-        REQUIRE(d.loop.until([&] { return !heir.succession.inheriting(); }));
-        CHECK(!heir.inherited);
-        CHECK(!heir.succession.company());
-        heir.serve();
-        Client client(d.loop, heir.front->local());
+        Process successor(d, folder.path, 5ms);
+        REQUIRE(successor.succession.ask());
+        REQUIRE(d.loop.until([&] { return !successor.succession.inheriting(); }));
+        CHECK(!successor.inherited);
+        CHECK(!successor.succession.company());
+        successor.serve();
+        Client client(d.loop, successor.front->local());
         client.send(pg::Writer().startup("u", "d").take());
         CHECK(client.reply() == "RZ");
     }
@@ -261,22 +265,22 @@
 TEST_CASE("an heir that dies, or speaks another version, leaves the elder as it was") {
     PgDeployment d;
     Folder folder;
-    Process elder(d, folder.path);
-    elder.serve();
+    Process predecessor(d, folder.path);
+    predecessor.serve();
     for (std::string hello : {std::string("H\1\0\0\0", 5), std::string("H\7\0\0\0", 5), std::string("R")}) {
         End end;
         end.reads = false;
-        auto heir = Channel::connect(d.loop.io, folder.path, "n1.peer", end);
-        REQUIRE(heir);
-        heir->start();
-        heir->send(hello);
+        auto successor = Channel::connect(d.loop.io, folder.path, "n1.peer", end);
+        REQUIRE(successor);
+        successor->start();
+        successor->send(hello);
         d.loop.settle();
-        CHECK(elder.succession.company() == (hello[1] == '\1'));
-        CHECK(!elder.succession.heir_ready());
-        heir->close();
-        REQUIRE(d.loop.until([&] { return !elder.succession.company(); }));
+        CHECK(predecessor.succession.company() == (hello[1] == '\1'));
+        CHECK(!predecessor.succession.successor_ready());
+        successor->close();
+        REQUIRE(d.loop.until([&] { return !predecessor.succession.company(); }));
     }
-    Client client(d.loop, elder.front->local());
+    Client client(d.loop, predecessor.front->local());
     client.send(pg::Writer().startup("u", "d").take());
     CHECK(client.reply() == "RZ");
 }
--- a/tests/pool_test.cpp
+++ b/tests/routing/pool_test.cpp
@@ -6,26 +6,26 @@
 namespace indigovane::testing {
 namespace {
 
-using routing::Job;
-using routing::Link;
+using policy::AttemptStatus;
+using routing::BackendConnection;
+using routing::BackendTask;
 using routing::Pool;
-using starlingpond::Status;
 
 struct FakeOwner : Pool::Owner {
-    void on_job_begun(Pool&, const Job&, const routing::Answer&, std::size_t) override {}
-    bool on_job_piece(const Job&, std::string_view) override { return true; }
-    void on_job_end(Pool&, const Job& job, routing::Result result) override {
-        REQUIRE(open.erase(std::uint64_t(job.id)) == 1);  // each job ends once
+    void on_job_begun(Pool&, const BackendTask&, const routing::Answer&, std::size_t) override {}
+    bool on_job_piece(const BackendTask&, std::string_view) override { return true; }
+    void on_job_end(Pool&, const BackendTask& task, routing::AttemptResult result) override {
+        REQUIRE(open.erase(std::uint64_t(task.id)) == 1);  // each job ends once
         last = result.status;
     }
-    const routing::Item* may_start(const Pool&, Job& job) override {
-        return stopped.count(std::uint64_t(job.id)) ? nullptr : &item;
+    const routing::ClientRequest* may_start(const Pool&, BackendTask& task) override {
+        return stopped.count(std::uint64_t(task.id)) ? nullptr : &item;
     }
     bool may_open() override { return links < most && ++links; }
     void on_link_gone() override { --links; }
-    routing::Item item;
+    routing::ClientRequest item;
     std::set<std::uint64_t> open, stopped;
-    std::optional<Status> last;
+    std::optional<AttemptStatus> last;
     int links = 0, most = 5;
 };
 
@@ -35,11 +35,11 @@
         routing::Clock clock;
         FakeBackend backend;
         FakeOwner owner;
-        Pool pool(routing::MemberId{0}, backend, clock, 1s, owner);
-        pool.set_endpoint("a:1");
+        Pool pool(routing::EndpointId{0}, backend, clock, 1s, owner);
+        pool.set_address("a:1");
         std::uint64_t next = 0;
-        auto job = [](std::uint64_t n) {
-            Job j;
+        auto task = [](std::uint64_t n) {
+            BackendTask j;
             j.id = routing::RequestId{n}, j.until = routing::Time::max();
             return j;
         };
@@ -54,7 +54,7 @@
                 case 0:
                 case 1:
                     owner.open.insert(++next);
-                    pool.submit(job(next));
+                    pool.submit(task(next));
                     break;
                 case 2:
                     if (link && !link->up) link->up = true, link->owner->on_ready(*link);
@@ -63,8 +63,8 @@
                     if (!link || !link->busy) break;
                     link->busy = false;
                     {
-                        routing::Result r;
-                        r.status = Status::ok, r.reusable = dice.below(4) > 0;
+                        routing::AttemptResult r;
+                        r.status = AttemptStatus::ok, r.reusable = dice.below(4) > 0;
                         link->owner->on_result(*link, r);
                     }
                     CHECK(owner.open.size() < was_open);
@@ -73,10 +73,12 @@
                     if (!link) break;
                     bool up = link->up, busy = link->busy;
                     link->closed = true;
-                    link->owner->on_end(*link, !up             ? Link::End::unreachable
-                                               : dice.below(2) ? Link::End::unwritten
-                                                               : Link::End::written);
-                    if (busy) CHECK((owner.last == Status::unreachable || owner.last == Status::reset));
+                    link->owner->on_end(*link, !up             ? BackendConnection::End::unreachable
+                                               : dice.below(2) ? BackendConnection::End::unwritten
+                                                               : BackendConnection::End::written);
+                    if (busy)
+                        CHECK(
+                            (owner.last == AttemptStatus::unreachable || owner.last == AttemptStatus::reset));
                     if (up && !busy) CHECK(owner.open.size() == was_open);
                     break;
                 }
@@ -84,9 +86,9 @@
                     if (owner.open.empty()) break;
                     std::uint64_t id =
                         *std::next(owner.open.begin(), std::ptrdiff_t(dice.below(owner.open.size())));
-                    CHECK(pool.give_up(job(id)) != Pool::Given::none);
+                    CHECK(pool.give_up(task(id)) != Pool::Given::none);
                     owner.open.erase(id);
-                    CHECK(pool.give_up(job(id)) == Pool::Given::none);
+                    CHECK(pool.give_up(task(id)) == Pool::Given::none);
                     pool.serve_waiting();
                     break;
                 }
@@ -114,7 +116,8 @@
                     l->up = true, l->owner->on_ready(*l);
                 } else if (l->busy) {
                     l->busy = false;
-                    l->owner->on_result(*l, routing::Result{Status::ok, {}, {}, {}, {}, {}, true});
+                    l->owner->on_result(*l,
+                                        routing::AttemptResult{AttemptStatus::ok, {}, {}, {}, {}, {}, true});
                 }
             }
         CHECK(owner.open.empty());
@@ -125,17 +128,17 @@
     routing::Clock clock;
     FakeBackend backend;
     FakeOwner owner;
-    Pool pool(routing::MemberId{0}, backend, clock, 1s, owner);
+    Pool pool(routing::EndpointId{0}, backend, clock, 1s, owner);
     for (std::uint64_t n = 1; n <= 2; ++n) {
         owner.open.insert(n);
-        Job j;
+        BackendTask j;
         j.id = routing::RequestId{n};
         pool.submit(j);
         if (n == 2) break;
         FakeLink& link = *backend.links[0];
         link.owner->on_ready(link);
         link.noisy = true;  // behind the answer, before the next job
-        link.owner->on_result(link, routing::Result{Status::ok, {}, {}, {}, {}, {}, true});
+        link.owner->on_result(link, routing::AttemptResult{AttemptStatus::ok, {}, {}, {}, {}, {}, true});
     }
     CHECK(backend.links[0]->closed);
     REQUIRE(backend.links.size() == 2);
@@ -146,28 +149,29 @@
     routing::Clock clock;
     FakeBackend backend;
     FakeOwner owner;
-    Pool pool(routing::MemberId{0}, backend, clock, 1s, owner);
+    Pool pool(routing::EndpointId{0}, backend, clock, 1s, owner);
     for (std::uint64_t n = 1; n <= 3; ++n) {
         owner.open.insert(n);
-        Job j;
+        BackendTask j;
         j.id = routing::RequestId{n};
         pool.submit(j);
     }
     for (auto& l : backend.links) l->owner->on_ready(*l);
     for (std::size_t n : {0, 2, 1}) {
         backend.links[n]->busy = false;
-        backend.links[n]->owner->on_result(*backend.links[n],
-                                           routing::Result{Status::ok, {}, {}, {}, {}, {}, true});
+        backend.links[n]->owner->on_result(
+            *backend.links[n], routing::AttemptResult{AttemptStatus::ok, {}, {}, {}, {}, {}, true});
     }
-    backend.links[1]->owner->on_end(*backend.links[1], Link::End::written);  // the host closed the newest
+    backend.links[1]->owner->on_end(*backend.links[1],
+                                    BackendConnection::End::written);  // the host closed the newest
     owner.open.insert(4);
-    Job j;
+    BackendTask j;
     j.id = routing::RequestId{4};
     pool.submit(j);
     CHECK(backend.links[2]->busy);
     CHECK(!backend.links[0]->busy);
     CHECK(backend.links.size() == 3);
-    CHECK(owner.last == Status::ok);
+    CHECK(owner.last == AttemptStatus::ok);
 }
 
 }  // namespace
--- a/tests/wire_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -1,4 +1,6 @@
 // The codec, and whole frames through the host.
+#include "simulator/codec.hpp"
+
 #include <gtest/gtest.h>
 
 #include <array>
@@ -6,10 +8,8 @@
 #include <cstdlib>
 #include <fstream>
 
-#include "wire/codec.hpp"
-
-using namespace starlingpond;
-using namespace starlingpond::wire;
+using namespace indigovane::policy;
+using namespace indigovane::simulator;
 using namespace std::chrono_literals;
 
 namespace {
@@ -28,7 +28,8 @@
     std::string base =
         testing::TempDir() + "host-" + testing::UnitTest::GetInstance()->current_test_info()->name();
     std::ofstream(base + ".in") << input;
-    std::string command = std::string(WIREHOST) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
+    std::string command =
+        std::string(SIMULATOR_ADAPTER) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
     int status = std::system(command.c_str());
     return {WEXITSTATUS(status), slurp(base + ".out"), slurp(base + ".err")};
 }
@@ -69,57 +70,58 @@
     ASSERT_EQ(s.classes.size(), 2u);
     EXPECT_EQ(s.classes[0].consistency, Consistency::bounded);
     EXPECT_EQ(s.classes[0].bound, 300ms);
-    EXPECT_EQ(s.classes[1].effect, Effect::unsafe);
-    EXPECT_EQ(s.server_check, ServerCheck::refuse);
+    EXPECT_EQ(s.classes[1].idempotency, Idempotency::not_idempotent);
+    EXPECT_EQ(s.staleness_check, StalenessCheck::refuse);
     EXPECT_EQ(s.fleet_size, 2u);
-    EXPECT_FALSE(s.second_copies.has_value());
+    EXPECT_FALSE(s.hedging.has_value());
     EXPECT_EQ(read_scale(line).base_micros, 1000500);
 }
 
 TEST(Codec, OutcomesNotesAndReports) {
     Names names;
-    Outcome o =
+    AttemptOutcome o =
         read_outcome(Line("DONE proxy=3 txn=9 lagMs=18.5 database=a:1 rc=OK progress=25486 last=1 hop=2 "
                           "serverStats=x0:1.5,x1:1,concurrent:3,novel:9"),
                      Scale{1000000}, names);
     EXPECT_EQ(o.attempt, 2u);
-    EXPECT_EQ(o.status, Status::ok);
+    EXPECT_EQ(o.status, AttemptStatus::ok);
     EXPECT_TRUE(o.finished);
     EXPECT_EQ(o.role, Role::replica);
     EXPECT_EQ(o.position, Time(1000000us + 6371ms));
     EXPECT_EQ(o.report.position, Time(1000000us + 1500ms));
     EXPECT_EQ(o.report.primary, true);
-    EXPECT_EQ(o.report.held, 3);
-    Outcome bare = read_outcome(Line("DONE proxy=3 txn=9 lagMs=1 database=a:1 rc=NOT_FOUND progress=1 hop=0"),
-                                {}, names);
+    EXPECT_EQ(o.report.in_flight, 3);
+    AttemptOutcome bare = read_outcome(
+        Line("DONE proxy=3 txn=9 lagMs=1 database=a:1 rc=NOT_FOUND progress=1 hop=0"), {}, names);
     EXPECT_EQ(bare.role, Role::primary);
     EXPECT_FALSE(bare.position);
     EXPECT_THROW(read_outcome(Line("DONE proxy=3 txn=9 database=a:1 rc=WHAT hop=0"), {}, names), Malformed);
 }
 
 TEST(Codec, RequestsAndTokens) {
-    Request r = read_request(
+    RequestArrival r = read_request(
         Line("ORDER proxy=3 txn=15 priority=1 user=ff budgetMs=240.0 shard=11 lastWriteMs=412.5"));
     EXPECT_EQ(r.since_last_write, 412500us);
-    EXPECT_EQ(r.patience, 240ms);
+    EXPECT_EQ(r.client_timeout, 240ms);
     EXPECT_EQ(r.session, SessionKey{255});
     EXPECT_FALSE(read_request(Line("ORDER txn=1 priority=0 budgetMs=1 lastWriteMs=0")).since_last_write);
 }
 
 TEST(Codec, Actions) {
     Names names;
-    MemberId m = names.number("10.0.0.1:8083");
-    EXPECT_EQ(write_action(3, Send{RequestId{7}, m, 80ms}, names),
+    EndpointId m = names.number("10.0.0.1:8083");
+    EXPECT_EQ(write_action(3, SendAttempt{RequestId{7}, m, 80ms}, names),
               "HAND_OFF proxy=3 txn=7 database=10.0.0.1:8083 capMs=80.000");
-    EXPECT_EQ(write_action(3, Refuse{RequestId{7}, 250ms}, names), "BUSY proxy=3 txn=7 retryInMs=250.000");
-    EXPECT_EQ(write_action(3, Refuse{RequestId{7}, {}}, names), "BUSY proxy=3 txn=7");
-    EXPECT_EQ(write_action(3, Fail{RequestId{7}}, names), "REPORT_FAILURE proxy=3 txn=7");
-    EXPECT_EQ(write_action(3, Cancel{RequestId{7}, 1}, names), "STOP_ATTEMPT proxy=3 txn=7 hop=1");
-    EXPECT_EQ(write_action(3, Probe{m}, names), "POLL proxy=3 database=10.0.0.1:8083");
+    EXPECT_EQ(write_action(3, RejectRequest{RequestId{7}, 250ms}, names),
+              "BUSY proxy=3 txn=7 retryInMs=250.000");
+    EXPECT_EQ(write_action(3, RejectRequest{RequestId{7}, {}}, names), "BUSY proxy=3 txn=7");
+    EXPECT_EQ(write_action(3, FailRequest{RequestId{7}}, names), "REPORT_FAILURE proxy=3 txn=7");
+    EXPECT_EQ(write_action(3, CancelAttempt{RequestId{7}, 1}, names), "STOP_ATTEMPT proxy=3 txn=7 hop=1");
+    EXPECT_EQ(write_action(3, CheckHealth{m}, names), "POLL proxy=3 database=10.0.0.1:8083");
     EXPECT_EQ(write_action(3, SetTimer{TimerId{5}, 1500us}, names),
               "SET_ALARM proxy=3 sleepForMs=1.500 name=5");
-    EXPECT_EQ(write_action(3, FollowList{}, names), "OBSERVE proxy=3 enable=1");
-    EXPECT_EQ(write_action(3, Log{"two known"}, names), "NOTE_DOWN proxy=3 noteText=two known");
+    EXPECT_EQ(write_action(3, WatchEndpoints{}, names), "OBSERVE proxy=3 enable=1");
+    EXPECT_EQ(write_action(3, LogMessage{"two known"}, names), "NOTE_DOWN proxy=3 noteText=two known");
 }
 
 TEST(Host, EmptyFramesAndCleanEnd) {
--- a/tests/site_test.cpp
+++ b/tests/site/site_test.cpp
@@ -9,7 +9,7 @@
 #include "program/site_command.hpp"
 #include "program/site_config.hpp"
 #include "program/toml_reader.hpp"
-#include "site/director.hpp"
+#include "site/site_manager.hpp"
 #include "support/harness.hpp"
 
 namespace indigovane::site {
@@ -20,12 +20,12 @@
 struct Rig {
     Settings settings;
     std::uint64_t drawn = 1;
-    Director director;
+    SiteManager manager;
     Time now = Time(seconds(100));
     std::set<std::uint32_t> silent, refusing;  // hosts
     std::set<HostId> out;
     std::vector<std::pair<Time, HostId>> let_in, probes;
-    std::vector<Note> notes;
+    std::vector<SiteTransition> notes;
     std::vector<Host> hosts;
     int steps = 0, let_in_cold = 0;
     std::map<std::uint32_t, std::vector<Time>> pending;  // sent to silent hosts
@@ -33,14 +33,14 @@
     int every = 1;  // of the 10 ms steps that some host is asked in
 
     explicit Rig(Settings s = enabled(), unsigned fleet = 1, bool may_probe = true)
-        : settings(s), director(s, {fleet, may_probe, classes()}, [this] { return draw(); }) {
+        : settings(s), manager(s, {fleet, may_probe, classes()}, [this] { return draw(); }) {
         for (std::uint32_t i = 0; i < 18; ++i) {
             Host h;
             h.id = HostId{i}, h.site = SiteId{i % 3}, h.group = GroupId{i / 3},
             h.primary = i % 3 == i / 3 % 3;
             hosts.push_back(h);
         }
-        director.hosts(hosts, now);
+        manager.hosts(hosts, now);
     }
     static Settings enabled() {
         Settings s;
@@ -49,33 +49,34 @@
     }
     static std::vector<Demand> classes() {
         std::vector<Demand> out(2);
-        out[0].cls = "read", out[1].cls = "write", out[1].primary = true, out[1].worth = 6;
+        out[0].request_class = "read", out[1].request_class = "write", out[1].primary = true,
+        out[1].priority_weight = 6;
         return out;
     }
     double draw() {
         drawn = drawn * 6364136223846793005u + 1442695040888963407u;
         return double(drawn >> 11) * 0x1.0p-53;
     }
-    void carry(Effects effects) {
-        for (const Effect& e : effects) {
-            if (auto* o = std::get_if<HoldOut>(&e)) out.insert(o->host);
-            if (auto* i = std::get_if<LetIn>(&e)) {
+    void carry(SiteActions effects) {
+        for (const SiteAction& e : effects) {
+            if (auto* o = std::get_if<ExcludeHost>(&e)) out.insert(o->host);
+            if (auto* i = std::get_if<ReadmitHost>(&e)) {
                 out.erase(i->host), let_in.push_back({now, i->host});
                 let_in_cold += i->started.has_value();
             }
             if (auto* p = std::get_if<ProbeHost>(&e)) probes.push_back({now, p->host}), ask(p->host);
-            if (auto* n = std::get_if<Note>(&e)) notes.push_back(*n);
+            if (auto* n = std::get_if<SiteTransition>(&e)) notes.push_back(*n);
         }
     }
     void ask(HostId host) {
         auto id = std::uint32_t(host);
-        director.sent(host, now);
+        manager.sent(host, now);
         if (silent.count(id)) {
             pending[id].push_back(now);
             return;
         }
-        director.over(host);
-        director.sign(host, refusing.count(id) ? Sign::broken : Sign::answer, now, now);
+        manager.over(host);
+        manager.sign(host, refusing.count(id) ? ContactResult::broken : ContactResult::answer, now, now);
     }
     // Every 10 ms some host that is in use is asked; a tick whenever one is due.
     void run(Duration length, bool traffic = true) {
@@ -83,22 +84,23 @@
         for (; now < end; now += milliseconds(10)) {
             for (auto& [id, sent] : pending)
                 while (!sent.empty() && now - sent.front() >= gives_up) {
-                    director.over(HostId{id});
-                    director.sign(HostId{id}, Sign::mute, sent.front(), now);
+                    manager.over(HostId{id});
+                    manager.sign(HostId{id}, ContactResult::mute, sent.front(), now);
                     sent.erase(sent.begin());
                 }
             auto pick = std::uint32_t(draw() * 18);
             if (traffic && steps++ % every == 0 && !out.count(HostId{pick})) ask(HostId{pick});
-            if (director.next() && *director.next() <= now) carry(director.tick(now));
+            if (manager.next() && *manager.next() <= now) carry(manager.tick(now));
         }
     }
     void strike(std::uint32_t site, std::set<std::uint32_t>& how) {
         for (std::uint32_t i = site; i < 18; i += 3) how.insert(i);
     }
-    Standing is(std::uint32_t site) const { return director.verdicts().of(SiteId{site}).standing; }
-    bool was(std::uint32_t site, Standing s) const {
-        return std::any_of(notes.begin(), notes.end(),
-                           [&](const Note& n) { return n.change.site == SiteId{site} && n.change.now == s; });
+    SiteState is(std::uint32_t site) const { return manager.verdicts().of(SiteId{site}).standing; }
+    bool was(std::uint32_t site, SiteState s) const {
+        return std::any_of(notes.begin(), notes.end(), [&](const SiteTransition& n) {
+            return n.change.site == SiteId{site} && n.change.now == s;
+        });
     }
     std::size_t out_of(std::uint32_t site) const {
         return std::size_t(
@@ -112,11 +114,11 @@
         r.run(seconds(3));
         r.strike(1, refuses ? r.refusing : r.silent);
         r.run(milliseconds(1500));
-        CHECK(r.is(1) == Standing::lost);
+        CHECK(r.is(1) == SiteState::lost);
         CHECK(r.out_of(1) == 6);
         CHECK(r.out.size() == 6);
-        CHECK(r.director.verdicts().of(SiteId{1}).restarted == refuses);
-        CHECK(r.director.verdicts().of(SiteId{1}).evidence.run >= 3);
+        CHECK(r.manager.verdicts().of(SiteId{1}).restarted == refuses);
+        CHECK(r.manager.verdicts().of(SiteId{1}).evidence.run >= 3);
     }
 }
 
@@ -125,7 +127,7 @@
     r.silent = {1, 4};
     r.run(seconds(20));
     CHECK(r.out.empty());
-    CHECK(!r.was(1, Standing::lost));
+    CHECK(!r.was(1, SiteState::lost));
 }
 
 // Three requests a second over 18 hosts: by chance alone three different hosts of one site are hardly ever
@@ -141,7 +143,7 @@
             r.run(seconds(60));  // long enough to have dealt with every host
             r.strike(1, r.silent);
             r.run(seconds(3));
-            n += r.is(1) == Standing::lost && !r.was(0, Standing::lost) && !r.was(2, Standing::lost);
+            n += r.is(1) == SiteState::lost && !r.was(0, SiteState::lost) && !r.was(2, SiteState::lost);
         }
         return n;
     };
@@ -155,7 +157,7 @@
     r.every = 30;
     r.silent = {4};
     r.run(seconds(60));
-    CHECK(!r.was(1, Standing::lost));
+    CHECK(!r.was(1, SiteState::lost));
     // All poolers together: no host more often than it may be probed.
     CHECK(r.probes.size() > 0);
     CHECK(double(r.probes.size()) * 30 / 60 <= 6 * s.probes_per_host + 3 * 30 / 60.0);
@@ -176,18 +178,18 @@
         r.run(seconds(2));
         for (std::uint32_t s = 0; s < 3; ++s) r.strike(s, r.silent);
         r.run(seconds(8));
-        CHECK(r.director.verdicts().uplink_down() == doubts);
+        CHECK(r.manager.verdicts().uplink_down() == doubts);
         r.silent.clear();
         r.run(seconds(3));
         // That this can fail: one that does not doubt itself first gives others up for its own silence.
-        bool judged = r.was(0, Standing::lost) || r.was(1, Standing::lost) || r.was(2, Standing::lost) ||
-                      r.was(0, Standing::cut_off) || r.was(1, Standing::cut_off) ||
-                      r.was(2, Standing::cut_off);
+        bool judged = r.was(0, SiteState::lost) || r.was(1, SiteState::lost) || r.was(2, SiteState::lost) ||
+                      r.was(0, SiteState::cut_off) || r.was(1, SiteState::cut_off) ||
+                      r.was(2, SiteState::cut_off);
         CHECK(judged == !doubts);
         if (!doubts) continue;
-        CHECK(!r.director.verdicts().uplink_down());
+        CHECK(!r.manager.verdicts().uplink_down());
         CHECK(r.out.empty());
-        for (std::uint32_t s = 0; s < 3; ++s) CHECK(r.is(s) == Standing::reachable);
+        for (std::uint32_t s = 0; s < 3; ++s) CHECK(r.is(s) == SiteState::reachable);
     }
 }
 
@@ -197,8 +199,8 @@
     r.strike(1, r.silent);
     r.strike(2, r.silent);
     r.run(seconds(3));
-    CHECK((r.is(1) == Standing::cut_off || r.is(2) == Standing::cut_off));
-    CHECK(r.is(0) == Standing::reachable);
+    CHECK((r.is(1) == SiteState::cut_off || r.is(2) == SiteState::cut_off));
+    CHECK(r.is(0) == SiteState::reachable);
     CHECK(r.out_of(0) == 0);
     r.silent.clear();
     r.run(seconds(6));
@@ -211,16 +213,15 @@
         with.doubt_self = doubts;
         Rig r(with);
         r.run(seconds(2));
-        for (std::uint32_t i = 1; i < 18; i += 3)
-            r.director.sent(HostId{i}, r.now);  // out when it is stopped
+        for (std::uint32_t i = 1; i < 18; i += 3) r.manager.sent(HostId{i}, r.now);  // out when it is stopped
         Time before = r.now;
         r.now += seconds(10);
         for (std::uint32_t i = 1; i < 18; i += 3) {  // all time-outs are found at once, before any answer
-            r.director.over(HostId{i});
-            r.director.sign(HostId{i}, Sign::mute, before, r.now);
+            r.manager.over(HostId{i});
+            r.manager.sign(HostId{i}, ContactResult::mute, before, r.now);
         }
         r.ask(HostId{0});  // and then the first answer, of another site
-        r.carry(r.director.tick(r.now));
+        r.carry(r.manager.tick(r.now));
         CHECK(r.out.empty() == doubts);  // that this can fail: the site is given up for the sleep
         r.run(seconds(3));
         CHECK(r.notes.empty() == doubts);
@@ -244,9 +245,9 @@
             r.run(seconds(2));
             r.strike(1, r.refusing);
             r.run(seconds(4));
-            REQUIRE(r.is(1) == Standing::lost);
+            REQUIRE(r.is(1) == SiteState::lost);
             r.refusing.clear();
-            while (!r.was(1, Standing::returning)) r.run(milliseconds(10));
+            while (!r.was(1, SiteState::returning)) r.run(milliseconds(10));
             Time back = r.now;
             r.run(s.ramp + seconds(1));
             CHECK(r.out.empty());
@@ -282,13 +283,13 @@
     r.run(seconds(2));
     r.strike(1, r.refusing);
     r.run(seconds(4));
-    REQUIRE(r.is(1) == Standing::lost);
+    REQUIRE(r.is(1) == SiteState::lost);
     r.refusing.clear();
     std::size_t before = r.let_in.size();
     r.run(milliseconds(1200));
-    CHECK(r.is(1) == Standing::returning);
+    CHECK(r.is(1) == SiteState::returning);
     r.run(seconds(8));
-    CHECK(r.is(1) == Standing::reachable);
+    CHECK(r.is(1) == SiteState::reachable);
     REQUIRE(r.let_in.size() == before + 6);
     Time first = r.let_in[before].first, last = r.let_in.back().first;
     CHECK(last - first >= seconds(1));
@@ -306,22 +307,23 @@
     r.run(seconds(2));
     r.strike(1, r.silent);
     r.run(seconds(4));
-    REQUIRE(r.is(1) == Standing::lost);
+    REQUIRE(r.is(1) == SiteState::lost);
     r.silent.clear();
-    while (!r.director.verdicts().heard(SiteId{1})) r.run(milliseconds(10));
+    while (!r.manager.verdicts().heard(SiteId{1})) r.run(milliseconds(10));
     std::size_t before = r.probes.size();
     r.run(milliseconds(600));  // each pooler's own interval is 5 s here
-    CHECK(r.was(1, Standing::returning));
+    CHECK(r.was(1, SiteState::returning));
     r.run(seconds(3));
-    CHECK(r.is(1) == Standing::reachable);
+    CHECK(r.is(1) == SiteState::reachable);
     CHECK(r.probes.size() <= before + 3);
 }
 
 TEST_CASE("return: a second fall during the ramp holds twice as long; falls are forgotten in time") {
     Rig r;
     auto hold = [&] {
-        const Note& n = *std::find_if(r.notes.rbegin(), r.notes.rend(),
-                                      [](const Note& x) { return x.change.now == Standing::lost; });
+        const SiteTransition& n =
+            *std::find_if(r.notes.rbegin(), r.notes.rend(),
+                          [](const SiteTransition& x) { return x.change.now == SiteState::lost; });
         return n.hold_s;
     };
     r.run(seconds(2));
@@ -329,15 +331,15 @@
     r.run(seconds(3));
     CHECK(hold() == doctest::Approx(1).epsilon(0.1));
     r.silent.clear();
-    while (r.is(1) != Standing::returning) r.run(milliseconds(50));
+    while (r.is(1) != SiteState::returning) r.run(milliseconds(50));
     r.run(milliseconds(700));
     r.strike(1, r.silent);
     r.run(seconds(5));
-    REQUIRE(r.is(1) == Standing::lost);
+    REQUIRE(r.is(1) == SiteState::lost);
     CHECK(hold() == doctest::Approx(2).epsilon(0.1));
     r.silent.clear();
     r.run(seconds(90));
-    CHECK(r.is(1) == Standing::reachable);
+    CHECK(r.is(1) == SiteState::reachable);
     r.strike(1, r.silent);
     r.run(seconds(3));
     CHECK(hold() == doctest::Approx(1).epsilon(0.1));
@@ -348,27 +350,27 @@
     r.run(seconds(2));
     r.strike(1, r.silent);
     r.run(seconds(6));
-    CHECK(r.is(1) == Standing::lost);
+    CHECK(r.is(1) == SiteState::lost);
     CHECK(r.probes.empty());
     CHECK(!r.let_in.empty());
     CHECK(r.out_of(1) >= 4);
     r.silent.clear();
     r.run(seconds(8));
-    CHECK(r.is(1) == Standing::reachable);
+    CHECK(r.is(1) == SiteState::reachable);
 
     Rig quiet;
     quiet.run(seconds(2));
     quiet.strike(1, quiet.silent);
     quiet.run(seconds(2));
-    REQUIRE(quiet.is(1) == Standing::lost);
+    REQUIRE(quiet.is(1) == SiteState::lost);
     for (auto& [id, sent] : quiet.pending)
-        for (std::size_t i = 0; i < sent.size(); ++i) quiet.director.over(HostId{id});
+        for (std::size_t i = 0; i < sent.size(); ++i) quiet.manager.over(HostId{id});
     for (int i = 0; i < 400; ++i) {  // probes are never answered and never end: nothing confirms the loss
         quiet.now += milliseconds(50);
-        for (const Effect& e : quiet.director.tick(quiet.now))
-            if (auto* n = std::get_if<Note>(&e)) quiet.notes.push_back(*n);
+        for (const SiteAction& e : quiet.manager.tick(quiet.now))
+            if (auto* n = std::get_if<SiteTransition>(&e)) quiet.notes.push_back(*n);
     }
-    CHECK(quiet.was(1, Standing::returning));
+    CHECK(quiet.was(1, SiteState::returning));
 }
 
 TEST_CASE("return: all poolers together probe each host no more often than they may") {
@@ -377,7 +379,7 @@
     r.run(seconds(2));
     r.strike(1, r.silent);
     r.run(seconds(2));
-    REQUIRE(r.is(1) == Standing::lost);
+    REQUIRE(r.is(1) == SiteState::lost);
     std::size_t before = r.probes.size();
     r.run(seconds(60));
     double per_host = double(r.probes.size() - before) * 300 / 6 / 60;  // a second, if all do the same
@@ -390,21 +392,21 @@
     r.run(seconds(2));
     r.strike(1, r.silent);
     r.run(seconds(3));
-    REQUIRE(r.is(1) == Standing::lost);
+    REQUIRE(r.is(1) == SiteState::lost);
     Host fresh;
     fresh.id = HostId{18}, fresh.site = SiteId{1}, fresh.group = GroupId{0};
     auto listed = r.hosts;
     listed.push_back(fresh);
-    r.director.hosts(listed, r.now);
-    r.carry(r.director.tick(r.now));
+    r.manager.hosts(listed, r.now);
+    r.carry(r.manager.tick(r.now));
     CHECK(r.out.count(HostId{18}) == 1);
     for (Host& h : listed)
         if (h.site == SiteId{1}) h.started = r.now;
     r.silent.clear();
-    r.director.hosts(listed, r.now);
-    r.carry(r.director.tick(r.now));
-    CHECK(r.is(1) == Standing::returning);
-    CHECK(r.director.verdicts().of(SiteId{1}).ramp == r.settings.ramp);  // they are cold, and known to be
+    r.manager.hosts(listed, r.now);
+    r.carry(r.manager.tick(r.now));
+    CHECK(r.is(1) == SiteState::returning);
+    CHECK(r.manager.verdicts().of(SiteId{1}).ramp == r.settings.ramp);  // they are cold, and known to be
     r.run(seconds(8));
     CHECK(r.out.empty());
 }
@@ -414,47 +416,47 @@
     r.run(seconds(2));
     r.strike(1, r.silent);
     r.run(seconds(3));
-    REQUIRE(r.is(1) == Standing::lost);
+    REQUIRE(r.is(1) == SiteState::lost);
     auto listed = r.hosts;
     listed[4].started = r.now;
-    r.director.hosts(listed, r.now);
+    r.manager.hosts(listed, r.now);
     r.silent.clear();
     r.run(seconds(2));
-    REQUIRE(r.was(1, Standing::returning));
-    CHECK(r.director.verdicts().of(SiteId{1}).ramp == r.settings.ramp_unsure);
+    REQUIRE(r.was(1, SiteState::returning));
+    CHECK(r.manager.verdicts().of(SiteId{1}).ramp == r.settings.ramp_unsure);
 }
 
 TEST_CASE("operators: a drained site stays away whatever it answers, and comes back when they say so") {
     Rig r;
     r.run(seconds(2));
-    CHECK(!r.director.drain(SiteId{9}, true, r.now));
-    CHECK(!r.director.drain(SiteId{1}, false, r.now));
-    CHECK(r.director.drain(SiteId{1}, true, r.now));
-    CHECK(!r.director.drain(SiteId{1}, true, r.now));
+    CHECK(!r.manager.drain(SiteId{9}, true, r.now));
+    CHECK(!r.manager.drain(SiteId{1}, false, r.now));
+    CHECK(r.manager.drain(SiteId{1}, true, r.now));
+    CHECK(!r.manager.drain(SiteId{1}, true, r.now));
     r.run(seconds(30));
-    CHECK(r.is(1) == Standing::drained);
+    CHECK(r.is(1) == SiteState::drained);
     CHECK(r.out_of(1) == 6);
-    CHECK(r.director.drain(SiteId{1}, false, r.now));
+    CHECK(r.manager.drain(SiteId{1}, false, r.now));
     r.run(seconds(3));
     CHECK(r.out.empty());
-    CHECK(r.is(1) == Standing::reachable);
+    CHECK(r.is(1) == SiteState::reachable);
 }
 
 TEST_CASE("budget: reads are sent again as far as they have earned it, and freely where all is well") {
     Rig r;
     r.run(seconds(2));
-    for (int i = 0; i < 100; ++i) CHECK(r.director.may_repeat());
+    for (int i = 0; i < 100; ++i) CHECK(r.manager.may_retry());
     r.strike(1, r.silent);
     r.run(seconds(2));
-    REQUIRE(r.is(1) == Standing::lost);
+    REQUIRE(r.is(1) == SiteState::lost);
     int allowed = 0;
-    for (int i = 0; i < 100; ++i) allowed += r.director.may_repeat();
+    for (int i = 0; i < 100; ++i) allowed += r.manager.may_retry();
     CHECK(allowed == 20);
-    for (int i = 0; i < 50; ++i) r.director.admit({GroupId{0}, 0, "t", 0.5}, r.now);
+    for (int i = 0; i < 50; ++i) r.manager.admit({GroupId{0}, 0, "t", 0.5}, r.now);
     allowed = 0;
-    for (int i = 0; i < 100; ++i) allowed += r.director.may_repeat();
+    for (int i = 0; i < 100; ++i) allowed += r.manager.may_retry();
     CHECK(allowed == 10);
-    CHECK(r.director.repeats_held_back() == 170);
+    CHECK(r.manager.repeats_held_back() == 170);
 }
 
 // ---- the plan ----------------------------------------------------------------------------------
@@ -484,12 +486,12 @@
     CHECK(one.hosts[1].after == doctest::Approx(3.75));
     CHECK(one.hosts[2].after == 0);
     CHECK(one.groups[GroupId{7}].moved == doctest::Approx(2.5));
-    CHECK(one.groups[GroupId{7}].strain == doctest::Approx(1.5));
+    CHECK(one.groups[GroupId{7}].load_ratio == doctest::Approx(1.5));
     in.lost = {SiteId{1}, SiteId{2}};
     Plan two = make_plan(in);  // 4 of 7.5: the dearer 2.5 whole, of the other 5 the rest
     CHECK(two.admit(GroupId{7}, "own") == doctest::Approx(1));
     CHECK(two.admit(GroupId{7}, "view") == doctest::Approx(0.3));
-    CHECK(two.shares.front().cls == "view");
+    CHECK(two.shares.front().request_class == "view");
     CHECK(two.groups[GroupId{7}].refused == doctest::Approx(3.5));
     in.last = {"view"};
     CHECK(make_plan(in).admit(GroupId{7}, "view") > 0.7);  // as operators say
@@ -516,19 +518,19 @@
     Settings s = Rig::enabled();
     s.shed = true;
     Rig r(s);
-    auto arrive = [&](std::size_t cls, const char* tenant) {
-        return r.director.admit({GroupId{0}, cls, tenant, r.draw()}, r.now);
+    auto arrive = [&](std::size_t request_class, const char* tenant) {
+        return r.manager.admit({GroupId{0}, request_class, tenant, r.draw()}, r.now);
     };
     for (int i = 0; i < 2000; ++i) {  // 100 reads a second of 20 ms on two replicas that are 0.7 busy
         r.now += milliseconds(10);
         CHECK(arrive(0, "t"));
-        r.director.took(GroupId{0}, 0, milliseconds(20));
-        for (std::uint32_t h : {0, 1, 2}) r.director.busy(HostId{h}, 0.7);
+        r.manager.took(GroupId{0}, 0, milliseconds(20));
+        for (std::uint32_t h : {0, 1, 2}) r.manager.busy(HostId{h}, 0.7);
         r.ask(HostId{std::uint32_t(i) % 18});
     }
     r.strike(1, r.silent);
     r.run(seconds(2));
-    REQUIRE(r.is(1) == Standing::lost);
+    REQUIRE(r.is(1) == SiteState::lost);
     int in = 0, other = 0;
     for (int i = 0; i < 1000; ++i) {
         r.now += milliseconds(10);
@@ -538,7 +540,7 @@
     CHECK(in > 450);  // 0.8 of one replica over 1.4
     CHECK(in < 680);
     CHECK(other >= 5);  // one in two seconds at the least
-    CHECK(r.director.refused() > 300);
+    CHECK(r.manager.refused() > 300);
 }
 
 // ---- the operator's file, and the command ------------------------------------------------------
@@ -546,11 +548,11 @@
 TEST_CASE("fairness: what is let in of a class goes to tenants by their shares, and to the young first") {
     CHECK(fair_level({{10, 1}, {20, 1}}, 30) > 1e300);
     // 60 of 120: the small one has all of its 5, the others 8 and 1 parts of what that leaves.
-    std::vector<Ask> asks{{5, 1}, {80, 8}, {35, 1}};
-    double level = fair_level(asks, 60);
-    CHECK(fair_part(asks[0], level) == 1);
-    CHECK(fair_part(asks[1], level) * 80 == doctest::Approx(55 * 8 / 9.0));
-    CHECK(fair_part(asks[2], level) * 35 == doctest::Approx(55 / 9.0));
+    std::vector<ShareDemand> demands{{5, 1}, {80, 8}, {35, 1}};
+    double level = fair_level(demands, 60);
+    CHECK(fair_part(demands[0], level) == 1);
+    CHECK(fair_part(demands[1], level) * 80 == doctest::Approx(55 * 8 / 9.0));
+    CHECK(fair_part(demands[2], level) * 35 == doctest::Approx(55 / 9.0));
     CHECK(by_age(0.5, 0.25).young == doctest::Approx(2.0 / 3));
     CHECK(by_age(0.5, 0.25).old == 0);
     CHECK(by_age(0.9, 0.25).young == 1);
--- a/tests/statement_test.cpp
+++ b/tests/statement/statement_test.cpp
@@ -11,7 +11,7 @@
 #include <set>
 
 #include "program/statement_rules.hpp"
-#include "statement/judge.hpp"
+#include "statement/statement_analyzer.hpp"
 
 namespace indigovane::statement {
 namespace {
@@ -86,7 +86,7 @@
     std::string deep = "SELECT " + std::string(100000, '(') + "1" + std::string(100000, ')');
     CHECK_FALSE(s.scan(deep));
     CHECK(s.flaw() == Flaw::too_long);
-    Judge judge({}, {});
+    StatementAnalyzer judge({}, {});
     CHECK(judge.judge(deep, {}).route != Route::replica);
     std::string nested = "SELECT ";
     for (int i = 0; i < 1500; ++i) nested += "abs(";
@@ -94,7 +94,7 @@
 }
 
 TEST_CASE("kinds of literal share a shape, not a judgement: none can be planted for another") {
-    Judge judge({}, {});
+    StatementAnalyzer judge({}, {});
     CHECK(judge.judge("SELECT x::char('a') FROM t", {}).kind == Kind::invalid);
     CHECK(judge.judge("SELECT x::char(10) FROM t", {}).kind == Kind::read);
     CHECK(shape("SELECT x::char('a') FROM t") == shape("SELECT x::char(10) FROM t"));
@@ -115,7 +115,7 @@
         }
         return out;
     };
-    Judge judge({}, {});
+    StatementAnalyzer judge({}, {});
     std::string line;
     int count = 0;
     while (std::getline(in, line)) {
@@ -123,7 +123,7 @@
         std::size_t a = line.find('\t'), b = line.find('\t', a + 1);
         std::string sql = unescape(line.substr(b + 1));
         for (int again = 0; again < 2; ++again) {
-            const Judgement& j = judge.judge(sql, {});
+            const StatementProfile& j = judge.judge(sql, {});
             CHECK_MESSAGE(name(j.kind) == line.substr(0, a), sql);
             CHECK_MESSAGE(name(j.route) == line.substr(a + 1, b - a - 1), sql);
         }
@@ -158,7 +158,7 @@
 kinds = ["read"]
 )",
                                                   "t.toml");
-    Judge judge(std::move(config.rules), config.judge);
+    StatementAnalyzer judge(std::move(config.rules), config.judge);
     auto of = [&](const char* sql) { return judge.judge(sql, {}); };
     CHECK(of("SELECT app.peek(1)").route == Route::replica);
     CHECK(of("SELECT peek(1)").route == Route::primary);  // the search path may find another
@@ -171,10 +171,10 @@
     CHECK(of("SELECT * FROM inbox").kind == Kind::write);
     CHECK(of("SELEC 1").route == Route::primary);
     auto stock = of("SELECT * FROM app.stock WHERE x = 1");
-    CHECK(stock.cls == 0);
+    CHECK(stock.request_class == 0);
     CHECK(estimate_cost(stock) == 40000);
-    CHECK(of("SELECT 1").cls == 1);
-    CHECK(of("DELETE FROM t").cls == -1);
+    CHECK(of("SELECT 1").request_class == 1);
+    CHECK(of("DELETE FROM t").request_class == -1);
     judge.set_rules({});  // a reload: nothing judged by the old rules is remembered
     CHECK(of("SELECT app.peek(1)").route == Route::primary);
 }
@@ -208,11 +208,11 @@
 }
 
 TEST_CASE("new shapes beyond what may be parsed a second go where no harm is done; known ones pass") {
-    Judge judge({}, {.parses_per_second = 10});
-    Judge::Time now{std::chrono::seconds(100)};
+    StatementAnalyzer judge({}, {.parses_per_second = 10});
+    StatementAnalyzer::Time now{std::chrono::seconds(100)};
     int read = 0;
     for (int i = 0; i < 100; ++i) {
-        const Judgement& j = judge.judge("SELECT c" + std::to_string(i) + " FROM t", now);
+        const StatementProfile& j = judge.judge("SELECT c" + std::to_string(i) + " FROM t", now);
         read += j.kind == Kind::read;
         if (j.kind != Kind::read) CHECK(j.route == Route::refuse);
     }
@@ -223,8 +223,8 @@
 
 // ---- the cache -----------------------------------------------------------------------------------
 
-Judgement judgement(int i) {
-    Judgement j;
+StatementProfile profile(int i) {
+    StatementProfile j;
     j.shape = {std::uint64_t(i), 1};
     j.reason = "it only reads, as far as can be seen";
     return j;
@@ -236,8 +236,8 @@
     for (int step = 0; step < 60000; ++step) {
         int i = int(random() % (step % 2 ? 50 : 5000));
         std::string text = "select c" + std::to_string(i) + std::string(std::size_t(i % 200), 'x');
-        const Judgement* j = cache.find(text);
-        if (!j) j = cache.put(text, judgement(i));
+        const StatementProfile* j = cache.find(text);
+        if (!j) j = cache.put(text, profile(i));
         REQUIRE(j->shape.high == std::uint64_t(i));
         REQUIRE(cache.bytes() <= 256 * 1024 + 4096);
     }
@@ -251,7 +251,7 @@
     ShapeCache cache(256 * 1024, 1);
     auto ask = [&](const std::string& text) {
         bool hit = cache.find(text) != nullptr;
-        if (!hit) cache.put(text, judgement(0));
+        if (!hit) cache.put(text, profile(0));
         return hit;
     };
     auto hot = [](int i) { return "select hot" + std::to_string(i) + std::string(100, 'h'); };
@@ -269,7 +269,7 @@
 }
 
 TEST_CASE("ten thousand shapes of the usual length fit into 8 MiB") {
-    Judge judge({}, {.parses_per_second = 1e9});
+    StatementAnalyzer judge({}, {.parses_per_second = 1e9});
     for (int round = 0; round < 2; ++round)
         for (int i = 0; i < 10000; ++i) {
             std::string n = std::to_string(i);
@@ -449,8 +449,8 @@
 
 TEST_CASE("any bytes at all get a verdict, and only what is a plain read may go to a replica") {
     CHECK(rc::check([](const std::string& bytes) {
-        Judge judge({}, {});
-        const Judgement& j = judge.judge(bytes, {});
+        StatementAnalyzer judge({}, {});
+        const StatementProfile& j = judge.judge(bytes, {});
         RC_ASSERT(j.route != Route::replica || j.kind == Kind::read);
     }));
     CHECK(rc::check([](std::uint64_t seed) {
@@ -463,8 +463,8 @@
         std::string sql = "select ";
         for (int i = 0; i < 12; ++i)
             sql += std::string(pieces[r() % std::size(pieces)]) + (r() % 2 ? " " : "");
-        Judge judge({}, {});
-        const Judgement& j = judge.judge(sql, {});
+        StatementAnalyzer judge({}, {});
+        const StatementProfile& j = judge.judge(sql, {});
         RC_ASSERT(j.route != Route::replica || j.kind == Kind::read);
     }));
 }
--- a/tests/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -9,8 +9,8 @@
 #include <set>
 #include <unordered_map>
 
-#include "store/carrier.hpp"
 #include "store/fault_environment.hpp"
+#include "store/log_worker.hpp"
 #include "store/positions.hpp"
 #include "store/thread.hpp"
 #include "support/store_rig.hpp"
@@ -146,10 +146,10 @@
             }
             rig.carry();
             if (step > 200)
-                REQUIRE(rig.carrier.writer().bytes() <
+                REQUIRE(rig.log_worker.writer().bytes() <
                         2.4 * double(rig.store.live_bytes()) + 4 * options.writer.segment);
         }
-        CHECK(rig.carrier.writer().counts().dropped > 0);
+        CHECK(rig.log_worker.writer().counts().dropped > 0);
     }
 }
 
@@ -328,9 +328,9 @@
         if (how == 0) folder->set_file(first->first, first->second.substr(0, 200));
         if (how == 1) folder->set_file("MANIFEST", "nonsense");
         if (how == 2) {
-            std::string spoilt = last->second;
-            spoilt[kHeader + 60] = char(~spoilt[kHeader + 60]);
-            folder->set_file(last->first, spoilt);
+            std::string malformed = last->second;
+            malformed[kHeader + 60] = char(~malformed[kHeader + 60]);
+            folder->set_file(last->first, malformed);
         }
         REQUIRE(recover(*folder, false, [](Record&&, std::uint64_t) {}).outcome ==
                 Recovered::Outcome::damaged);
--- a/tests/support/decision_recording.hpp
+++ b/tests/support/decision_recording.hpp
@@ -8,10 +8,11 @@
 #include <cstdio>
 #include <map>
 #include <queue>
-#include <starlingpond/brain.hpp>
 #include <string>
 #include <vector>
 
+#include "policy/routing_policy.hpp"
+
 namespace indigovane::testing {
 
 using namespace std::chrono_literals;
@@ -35,8 +36,8 @@
 
 struct RecordingOptions {
     std::string name;
-    starlingpond::Settings settings;
-    starlingpond::Settings later;  // settings that replace the first halfway, where `changes_settings` is on
+    policy::Settings settings;
+    policy::Settings later;  // settings that replace the first halfway, where `changes_settings` is on
     bool changes_settings = false;
     std::uint64_t seed = 1;
     std::uint32_t groups = 3, hosts_per_group = 4;
@@ -58,7 +59,7 @@
 
     void run() {
         make_hosts();
-        feed_list(starlingpond::ListKind::full, all_entries());
+        feed_list(policy::EndpointListKind::full, all_entries());
         schedule(1ms, Kind::client, 0);
         schedule(500ms, Kind::list, 0);
         while (events_ < options_.events && !queue_.empty()) {
@@ -73,8 +74,8 @@
     std::vector<std::uint64_t> hashes;  // of each thousand events and their actions
 
   private:
-    using Duration = starlingpond::Duration;
-    using Time = starlingpond::Time;
+    using Duration = policy::Duration;
+    using Time = policy::Time;
 
     enum class Kind { client, list, timer, attempt_end, response_start, health_check_end, departure, retune };
     struct Item {
@@ -92,7 +93,7 @@
         bool primary = false;
         Duration lag{}, latency{};
         int faulty_until_event = 0;
-        starlingpond::MemberState state = starlingpond::MemberState::ready;
+        policy::EndpointState state = policy::EndpointState::ready;
         std::optional<Time> started;
     };
     struct Client {
@@ -120,21 +121,21 @@
             }
     }
 
-    starlingpond::ListEntry list_entry(std::uint32_t index) const {
+    policy::EndpointEntry list_entry(std::uint32_t index) const {
         const Host& host = hosts_[index];
-        starlingpond::ListEntry entry;
-        entry.member = starlingpond::MemberId{index};
-        entry.group = starlingpond::GroupId{host.group};
-        entry.zone = starlingpond::ZoneId{index % 3};
+        policy::EndpointEntry entry;
+        entry.endpoint = policy::EndpointId{index};
+        entry.group = policy::GroupId{host.group};
+        entry.zone = policy::ZoneId{index % 3};
         entry.state = host.state;
         entry.primary = host.primary;
         entry.started = host.started;
         return entry;
     }
-    std::vector<starlingpond::ListEntry> all_entries() const {
-        std::vector<starlingpond::ListEntry> entries;
+    std::vector<policy::EndpointEntry> all_entries() const {
+        std::vector<policy::EndpointEntry> entries;
         for (std::uint32_t i = 0; i < hosts_.size(); ++i)
-            if (hosts_[i].state != starlingpond::MemberState::gone) entries.push_back(list_entry(i));
+            if (hosts_[i].state != policy::EndpointState::gone) entries.push_back(list_entry(i));
         return entries;
     }
 
@@ -150,7 +151,7 @@
                 return list_changes();
             case Kind::timer:
                 line("T %" PRIu64, item.id);
-                return feed(starlingpond::Timer{starlingpond::TimerId{item.id}});
+                return feed(policy::TimerExpired{policy::TimerId{item.id}});
             case Kind::attempt_end:
                 return attempt_ends(item.id, item.attempt);
             case Kind::response_start:
@@ -168,21 +169,22 @@
         std::uint64_t id = next_request_++;
         Client& client = clients_[id];
         client.class_index = std::uint32_t(random_.below(options_.settings.classes.size()));
-        const starlingpond::ClassSettings& settings = options_.settings.classes[client.class_index];
-        starlingpond::Request request;
-        request.id = starlingpond::RequestId{id};
-        request.cls = starlingpond::ClassId{client.class_index};
-        request.group = starlingpond::GroupId{std::uint32_t(random_.below(options_.groups))};
-        request.patience = settings.deadline.value_or(1s);
-        if (random_.one_in(5)) request.patience = request.patience / std::int64_t(1 + random_.below(6));
+        const policy::ClassSettings& settings = options_.settings.classes[client.class_index];
+        policy::RequestArrival request;
+        request.id = policy::RequestId{id};
+        request.request_class = policy::ClassId{client.class_index};
+        request.group = policy::GroupId{std::uint32_t(random_.below(options_.groups))};
+        request.client_timeout = settings.deadline.value_or(1s);
+        if (random_.one_in(5))
+            request.client_timeout = request.client_timeout / std::int64_t(1 + random_.below(6));
         if (random_.one_in(2)) {
             client.session = random_.below(40);
-            request.session = starlingpond::SessionKey{*client.session};
+            request.session = policy::SessionKey{*client.session};
         }
         if (random_.one_in(4)) request.since_last_write = Duration(std::int64_t(1 + random_.below(3000000)));
         request.repeat = random_.one_in(8);
         line("R %" PRIu64 " %u %u %lld", id, client.class_index, unsigned(request.group),
-             count(request.patience));
+             count(request.client_timeout));
         if (options_.clients_leave && random_.one_in(6))
             schedule(Duration(std::int64_t(random_.below(150000))), Kind::departure, id);
         if (options_.changes_settings && events_ > options_.events / 2 && !settings_changed_) {
@@ -196,14 +198,14 @@
 
     void list_changes() {
         schedule(Duration(std::int64_t(200000 + random_.below(900000))), Kind::list, 0);
-        if (options_.lists_fail && random_.one_in(3)) return feed_list(starlingpond::ListKind::failed, {});
+        if (options_.lists_fail && random_.one_in(3)) return feed_list(policy::EndpointListKind::failed, {});
         if (options_.gossip && random_.one_in(2)) {
             std::uint32_t host = std::uint32_t(random_.below(hosts_.size()));
             line("G %u", host);
-            return feed(starlingpond::PrimaryHeard{starlingpond::MemberId{host}});
+            return feed(policy::PrimaryGossip{policy::EndpointId{host}});
         }
         if (!random_.one_in(options_.restart_one_in)) {
-            auto kind = random_.one_in(3) ? starlingpond::ListKind::cached : starlingpond::ListKind::full;
+            auto kind = random_.one_in(3) ? policy::EndpointListKind::cached : policy::EndpointListKind::full;
             return feed_list(kind, all_entries());
         }
         std::uint32_t index = std::uint32_t(random_.below(hosts_.size()));
@@ -211,17 +213,17 @@
         if (host.primary && random_.one_in(2)) move_primary(index);
         switch (random_.below(3)) {
             case 0:
-                host.state = starlingpond::MemberState::draining;
+                host.state = policy::EndpointState::draining;
                 break;
             case 1:
-                host.state = starlingpond::MemberState::gone;
+                host.state = policy::EndpointState::gone;
                 break;
             default:
-                host.state = starlingpond::MemberState::ready;
+                host.state = policy::EndpointState::ready;
                 host.started = now_;
                 break;
         }
-        feed_list(starlingpond::ListKind::changes, {list_entry(index)});
+        feed_list(policy::EndpointListKind::changes, {list_entry(index)});
     }
 
     void move_primary(std::uint32_t from) {
@@ -233,22 +235,22 @@
             }
     }
 
-    void feed_list(starlingpond::ListKind kind, std::vector<starlingpond::ListEntry> entries) {
+    void feed_list(policy::EndpointListKind kind, std::vector<policy::EndpointEntry> entries) {
         line("L %d %zu", int(kind), entries.size());
         for (const auto& entry : entries)
-            line("  %u %u %d %d", unsigned(entry.member), unsigned(entry.group), int(entry.state),
+            line("  %u %u %d %d", unsigned(entry.endpoint), unsigned(entry.group), int(entry.state),
                  int(entry.primary));
-        feed(starlingpond::List{kind, std::move(entries)});
+        feed(policy::EndpointList{kind, std::move(entries)});
     }
 
-    starlingpond::Report report_of(const Host& host) {
-        starlingpond::Report report;
+    policy::LoadReport report_of(const Host& host) {
+        policy::LoadReport report;
         if (random_.one_in(8)) return report;
         report.position = position_of(host);
         report.primary = host.primary;
-        if (random_.one_in(2)) report.held = double(random_.below(12));
-        if (random_.one_in(2)) report.waiting = double(random_.below(4));
-        if (random_.one_in(3)) report.busy = double(random_.below(100)) / 100;
+        if (random_.one_in(2)) report.in_flight = double(random_.below(12));
+        if (random_.one_in(2)) report.queued = double(random_.below(4));
+        if (random_.one_in(3)) report.cpu_utilization = double(random_.below(100)) / 100;
         return report;
     }
     Time position_of(const Host& host) const {
@@ -256,11 +258,13 @@
     }
 
     // The most frequent fault leaves it open whether the statement ran.
-    starlingpond::Status random_fault() {
-        using starlingpond::Status;
-        constexpr Status faults[] = {Status::timeout, Status::error,       Status::full, Status::reset,
-                                     Status::timeout, Status::unreachable, Status::miss, Status::cancelled,
-                                     Status::moot,    Status::stale};
+    policy::AttemptStatus random_fault() {
+        using policy::AttemptStatus;
+        constexpr AttemptStatus faults[] = {AttemptStatus::timeout,     AttemptStatus::error,
+                                            AttemptStatus::rejected,    AttemptStatus::reset,
+                                            AttemptStatus::timeout,     AttemptStatus::unreachable,
+                                            AttemptStatus::miss,        AttemptStatus::cancelled,
+                                            AttemptStatus::not_started, AttemptStatus::stale};
         return faults[random_.below(std::size(faults))];
     }
 
@@ -272,24 +276,23 @@
         attempt.over = true;
         const Host& host = hosts_[attempt.host];
         bool unlucky = host.faulty_until_event > int(events_);
-        starlingpond::Outcome outcome;
-        outcome.id = starlingpond::RequestId{id};
+        policy::AttemptOutcome outcome;
+        outcome.id = policy::RequestId{id};
         outcome.attempt = number;
-        outcome.member = starlingpond::MemberId{attempt.host};
-        outcome.status = starlingpond::Status::ok;
+        outcome.endpoint = policy::EndpointId{attempt.host};
+        outcome.status = policy::AttemptStatus::ok;
         if (!client.response_started && (unlucky || random_.one_in(options_.fault_one_in)))
             outcome.status = random_fault();
         outcome.latency = now_ - attempt.sent;
-        outcome.finished = client.answered || outcome.status == starlingpond::Status::ok;
+        outcome.finished = client.answered || outcome.status == policy::AttemptStatus::ok;
         if (outcome.finished) client.answered = true;
         if (random_.one_in(3)) {
-            outcome.role = host.primary ? starlingpond::Role::primary : starlingpond::Role::replica;
+            outcome.role = host.primary ? policy::Role::primary : policy::Role::replica;
             outcome.position = position_of(host);
         }
         if (random_.one_in(4)) outcome.report = report_of(host);
-        if (outcome.status != starlingpond::Status::ok && random_.one_in(6))
-            outcome.evidence =
-                random_.one_in(2) ? starlingpond::Execution::ran : starlingpond::Execution::may_have_run;
+        if (outcome.status != policy::AttemptStatus::ok && random_.one_in(6))
+            outcome.evidence = random_.one_in(2) ? policy::Execution::ran : policy::Execution::may_have_run;
         if (options_.fault_one_in > 0 && random_.one_in(120))
             hosts_[attempt.host].faulty_until_event = int(events_) + 60;
         line("O %" PRIu64 " %u %u %d %lld %d", id, number, attempt.host, int(outcome.status),
@@ -303,10 +306,10 @@
         if (number + 1 != it->second.attempts.size()) return;
         it->second.response_started = true;
         const Client::Attempt& attempt = it->second.attempts[number];
-        starlingpond::Begun begun;
-        begun.id = starlingpond::RequestId{id};
+        policy::ResponseStarted begun;
+        begun.id = policy::RequestId{id};
         begun.attempt = number;
-        begun.member = starlingpond::MemberId{attempt.host};
+        begun.endpoint = policy::EndpointId{attempt.host};
         begun.latency = now_ - attempt.sent;
         line("B %" PRIu64 " %u", id, number);
         feed(begun);
@@ -314,12 +317,12 @@
 
     void health_check_ends(std::uint32_t index) {
         const Host& host = hosts_[index];
-        starlingpond::ProbeResult result;
-        result.member = starlingpond::MemberId{index};
+        policy::HealthCheckResult result;
+        result.endpoint = policy::EndpointId{index};
         bool unlucky = host.faulty_until_event > int(events_) || random_.one_in(options_.fault_one_in);
-        result.status = unlucky ? random_fault() : starlingpond::Status::ok;
+        result.status = unlucky ? random_fault() : policy::AttemptStatus::ok;
         result.latency = host.latency / 2;
-        if (result.status == starlingpond::Status::ok) result.report = report_of(host);
+        if (result.status == policy::AttemptStatus::ok) result.report = report_of(host);
         line("P %u %d", index, int(result.status));
         feed(result);
     }
@@ -329,37 +332,37 @@
         if (it == clients_.end() || it->second.answered) return;
         it->second.answered = true;
         line("W %" PRIu64, id);
-        feed(starlingpond::Withdrawn{starlingpond::RequestId{id}});
+        feed(policy::RequestCancelled{policy::RequestId{id}});
     }
 
     void settings_change() {
-        starlingpond::Retune retune;
+        policy::SettingsChanged retune;
         retune.settings = options_.later;
         for (std::uint32_t i = 0; i < options_.later.classes.size(); ++i)
-            retune.continues.push_back(
-                i % 2 ? std::nullopt : std::optional<starlingpond::ClassId>(starlingpond::ClassId{i}));
+            retune.continues.push_back(i % 2 ? std::nullopt
+                                             : std::optional<policy::ClassId>(policy::ClassId{i}));
         line("S");
         feed(retune);
-        starlingpond::Tokens tokens;
+        policy::SessionTokens tokens;
         for (std::uint64_t i = 0; i < 5; ++i)
-            tokens.commits.push_back({starlingpond::SessionKey{i}, now_ - Duration(std::int64_t(i) * 1000)});
+            tokens.commits.push_back({policy::SessionKey{i}, now_ - Duration(std::int64_t(i) * 1000)});
         tokens.floor = now_ - 2s;
         line("K");
         feed(tokens);
     }
 
-    void feed(const starlingpond::Event& event) {
-        starlingpond::Actions actions;
+    void feed(const policy::Event& event) {
+        policy::Actions actions;
         policy_.handle(now_, event, actions);
         line("@ %lld", count(now_.time_since_epoch()));
-        for (const starlingpond::Action& action : actions)
+        for (const policy::Action& action : actions)
             std::visit([this](const auto& a) { carry_out(a); }, action);
         if (++events_ % kEventsPerHash == 0 || events_ == options_.events) close_chunk();
     }
 
-    void carry_out(const starlingpond::Send& send) {
+    void carry_out(const policy::SendAttempt& send) {
         std::uint64_t id = std::uint64_t(send.id);
-        std::uint32_t index = std::uint32_t(send.member);
+        std::uint32_t index = std::uint32_t(send.endpoint);
         Client& client = clients_[id];
         std::uint32_t number = std::uint32_t(client.attempts.size());
         client.attempts.push_back({index, now_});
@@ -372,32 +375,32 @@
         if (random_.one_in(10)) schedule(took / 2, Kind::response_start, id, number);
         schedule(took, Kind::attempt_end, id, number);
     }
-    void carry_out(const starlingpond::Cancel& cancel) {
+    void carry_out(const policy::CancelAttempt& cancel) {
         line("x %" PRIu64 " %u", std::uint64_t(cancel.id), cancel.attempt);
     }
-    void carry_out(const starlingpond::Refuse& refuse) {
+    void carry_out(const policy::RejectRequest& refuse) {
         line("r %" PRIu64 " %lld %d", std::uint64_t(refuse.id),
              refuse.retry_after ? count(*refuse.retry_after) : -1LL, int(refuse.deadline));
         clients_[std::uint64_t(refuse.id)].answered = true;
     }
-    void carry_out(const starlingpond::Fail& fail) {
+    void carry_out(const policy::FailRequest& fail) {
         line("f %" PRIu64 " %d", std::uint64_t(fail.id), int(fail.deadline));
         clients_[std::uint64_t(fail.id)].answered = true;
     }
-    void carry_out(const starlingpond::Probe& probe) {
-        std::uint32_t index = std::uint32_t(probe.member);
+    void carry_out(const policy::CheckHealth& probe) {
+        std::uint32_t index = std::uint32_t(probe.endpoint);
         line("p %u", index);
         schedule(hosts_[index].latency / 2, Kind::health_check_end, index);
     }
-    void carry_out(const starlingpond::SetTimer& timer) {
+    void carry_out(const policy::SetTimer& timer) {
         line("t %" PRIu64 " %lld", std::uint64_t(timer.id), count(timer.delay));
         schedule(timer.delay, Kind::timer, std::uint64_t(timer.id));
     }
-    void carry_out(const starlingpond::FollowList&) {
+    void carry_out(const policy::WatchEndpoints&) {
         line("l");
         schedule(300ms, Kind::list, 0);
     }
-    void carry_out(const starlingpond::Log&) {}  // its text is no decision
+    void carry_out(const policy::LogMessage&) {}  // its text is no decision
 
     static long long count(Duration duration) { return static_cast<long long>(duration.count()); }
 
@@ -420,7 +423,7 @@
     const RecordingOptions& options_;
     RecordingRandom random_;
     Time now_{100s};
-    starlingpond::Brain policy_;
+    policy::RoutingPolicy policy_;
     std::vector<Host> hosts_;
     std::map<std::uint64_t, Client> clients_;
     std::priority_queue<Item> queue_;
--- a/tests/support/deployment.hpp
+++ b/tests/support/deployment.hpp
@@ -2,7 +2,7 @@
 // members.
 #pragma once
 
-#include "adapters/limited_intake.hpp"
+#include "adapters/limited_admission.hpp"
 #include "adapters/pg_backend.hpp"
 #include "adapters/pg_front.hpp"
 #include "adapters/rest_backend.hpp"
@@ -11,9 +11,9 @@
 
 namespace indigovane::testing {
 
-using routing::MemberInfo;
-using starlingpond::ListKind;
-using starlingpond::MemberState;
+using policy::EndpointListKind;
+using policy::EndpointState;
+using routing::EndpointInfo;
 
 // One primary and two replicas of one group behind both fronts.
 template <typename Backend, typename StandInHost>
@@ -25,33 +25,33 @@
     std::vector<std::unique_ptr<StandInHost>> servers;
     Backend backend{loop.io};
     routing::LoopCore core;
-    std::unique_ptr<adapters::LimitedIntake> limited;
+    std::unique_ptr<adapters::LimitedAdmission> limited;
     adapters::Classes known = classes();
     adapters::RestFront rest;
     adapters::PgFront pg;
 
-    explicit Deployment(std::size_t links = 64, const starlingpond::Settings& with = settings(),
+    explicit Deployment(std::size_t links = 64, const policy::Settings& with = settings(),
                         adapters::Statements* statements = nullptr,
                         std::optional<limits::Settings> by_cost = std::nullopt)
         : core(loop.io, clock, with, 7, limits(links), backend, logger),
-          limited(by_cost ? std::make_unique<adapters::LimitedIntake>(loop.io, clock, *by_cost, core)
+          limited(by_cost ? std::make_unique<adapters::LimitedAdmission>(loop.io, clock, *by_cost, core)
                           : nullptr),
-          rest(loop.io, loopback(), 64, known, {.page_size = 4, .page_size_most = 10}, intake(), logger),
-          pg(loop.io, loopback(), 64, known, {}, intake(), logger, statements) {
+          rest(loop.io, loopback(), 64, known, {.page_size = 4, .page_size_most = 10}, admission(), logger),
+          pg(loop.io, loopback(), 64, known, {}, admission(), logger, statements) {
         hosts[0].primary = true;
         for (Host& host : hosts) {
             servers.push_back(std::make_unique<StandInHost>(loop, host));
             for (int i = 0; i < 23; ++i)
                 host.rows["r" + std::to_string(100 + i)] = "value" + std::to_string(i);
         }
-        std::vector<MemberInfo> members;
-        for (std::size_t i = 0; i < 3; ++i) members.push_back(member(i, MemberState::ready));
-        core.list(ListKind::full, members);
+        std::vector<EndpointInfo> members;
+        for (std::size_t i = 0; i < 3; ++i) members.push_back(endpoint(i, EndpointState::ready));
+        core.list(EndpointListKind::full, members);
         loop.batch = [this] { core.run_batch(); };
         rest.start();
         pg.start();
     }
-    routing::Intake& intake() {
+    routing::RequestAdmission& admission() {
         if (limited) return *limited;
         return core;
     }
@@ -62,9 +62,9 @@
         l.probe_timeout = l.connect_timeout = 2s;
         return l;
     }
-    MemberInfo member(std::size_t i, MemberState state) {
-        MemberInfo m;
-        m.uid = "m" + std::to_string(i), m.endpoint = servers[i]->address();
+    EndpointInfo endpoint(std::size_t i, EndpointState state) {
+        EndpointInfo m;
+        m.uid = "m" + std::to_string(i), m.address = servers[i]->address();
         m.group = 3, m.state = state, m.primary = i == 0;
         return m;
     }
--- a/tests/support/discovery.hpp
+++ b/tests/support/discovery.hpp
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "adapters/pg_backend.hpp"
-#include "routing/catalog.hpp"
+#include "routing/discovery_client.hpp"
 #include "support/harness.hpp"
-#include "transport/endpoint.hpp"
+#include "transport/socket_address.hpp"
 
 namespace indigovane::testing {
 
@@ -38,9 +38,9 @@
     Agent agent{loop, host};
     adapters::PgBackend backend{loop.io};
     routing::LoopCore core{loop.io, clock, settings(), 1, {}, backend, logger};
-    routing::Catalog catalog;
+    routing::DiscoveryClient catalog;
     explicit ListRig(std::vector<std::string> zones)
-        : catalog(loop.io, *transport::read_endpoint(agent.address()), std::move(zones), core, logger,
+        : catalog(loop.io, *transport::parse_socket_address(agent.address()), std::move(zones), core, logger,
                   {.hold = 60s,
                    .slack = 60s,
                    .whole = 60s,
--- a/tests/support/harness.hpp
+++ b/tests/support/harness.hpp
@@ -33,10 +33,10 @@
 using nlohmann::json;
 using namespace std::chrono_literals;
 
-inline transport::Endpoint loopback() {
+inline transport::SocketAddress loopback() {
     return {boost::asio::ip::make_address("127.0.0.1"), 0};
 }
-inline std::string text(const transport::Endpoint& at) {
+inline std::string text(const transport::SocketAddress& at) {
     return at.address().to_string() + ":" + std::to_string(at.port());
 }
 
@@ -46,8 +46,8 @@
 };
 
 // Connections without a network: what a test does not bring about does not happen.
-struct FakeLink : routing::Link {
-    void submit(const routing::Item&, routing::Duration, std::optional<std::int64_t>) override {
+struct FakeLink : routing::BackendConnection {
+    void submit(const routing::ClientRequest&, routing::Duration, std::optional<std::int64_t>) override {
         busy = true;
     }
     void probe() override { busy = true; }
@@ -59,9 +59,9 @@
 };
 
 struct FakeBackend : routing::Backend {
-    std::shared_ptr<routing::Link> open(const std::string& endpoint, routing::Duration,
-                                        routing::Link::Owner& owner) override {
-        opened.push_back(endpoint);
+    std::shared_ptr<routing::BackendConnection> open(const std::string& address, routing::Duration,
+                                                     routing::BackendConnection::Owner& owner) override {
+        opened.push_back(address);
         links.push_back(std::make_shared<FakeLink>());
         links.back()->owner = &owner;
         return links.back();
@@ -97,7 +97,7 @@
 
 // One connection from the outside; what comes back piles up in `in`.
 struct Client : transport::Connection::Handler {
-    explicit Client(Loop& l, const transport::Endpoint& to)
+    explicit Client(Loop& l, const transport::SocketAddress& to)
         : loop(l), connection(std::make_shared<transport::Connection>(l.io)) {
         connection->connect(to, 10s, *this);
         REQUIRE(loop.until([&] { return up; }));
@@ -449,19 +449,19 @@
 };
 
 // Classes like a deployment's: a bounded read, a session read, a write.
-inline starlingpond::Settings settings() {
-    starlingpond::Settings s;
+inline policy::Settings settings() {
+    policy::Settings s;
     s.fleet_size = 1, s.probes = true, s.cancels = true, s.retry_after = true, s.attempts = 10;
-    s.longest_retry_after = 1s, s.tokens = starlingpond::TokenSource::remembered;
-    s.server_check = starlingpond::ServerCheck::wait;
-    for (auto [consistency, effect] :
-         {std::pair{starlingpond::Consistency::bounded, starlingpond::Effect::safe},
-          {starlingpond::Consistency::session, starlingpond::Effect::safe},
-          {starlingpond::Consistency::write, starlingpond::Effect::keyed}}) {
-        starlingpond::ClassSettings c;
-        c.consistency = consistency, c.effect = effect;
-        c.aim = 2s, c.deadline = 4s, c.bound = 3s, c.repeat_window = 2s;
-        c.repeat_scope = starlingpond::RepeatScope::group;
+    s.max_retry_after = 1s, s.tokens = policy::TokenSource::remembered;
+    s.staleness_check = policy::StalenessCheck::wait;
+    for (auto [consistency, idempotency] :
+         {std::pair{policy::Consistency::bounded, policy::Idempotency::idempotent},
+          {policy::Consistency::session, policy::Idempotency::idempotent},
+          {policy::Consistency::write, policy::Idempotency::idempotency_key}}) {
+        policy::ClassSettings c;
+        c.consistency = consistency, c.idempotency = idempotency;
+        c.latency_objective = 2s, c.deadline = 4s, c.bound = 3s, c.deduplication_window = 2s;
+        c.deduplication_scope = policy::DeduplicationScope::group;
         s.classes.push_back(c);
     }
     return s;
--- a/tests/support/store_rig.hpp
+++ b/tests/support/store_rig.hpp
@@ -8,13 +8,13 @@
 #include <random>
 #include <set>
 
-#include "store/carrier.hpp"
 #include "store/fault_environment.hpp"
+#include "store/log_worker.hpp"
 
 namespace indigovane::store {
 
-inline Carrier::Options small_options() {
-    Carrier::Options o;
+inline LogWorker::Options small_options() {
+    LogWorker::Options o;
     o.writer.segment = 512;
     o.compact_per_second = 1u << 30;
     return o;
@@ -24,27 +24,27 @@
     FaultEnvironment& disk;
     Store store;
     Recovered found;
-    Carrier carrier;
+    LogWorker log_worker;
     std::uint64_t now_ms;
     bool usable = false;
 
-    explicit Rig(FaultEnvironment& d, std::uint64_t now = 0, Carrier::Options options = small_options())
-        : disk(d), carrier(d, options), now_ms(now) {
+    explicit Rig(FaultEnvironment& d, std::uint64_t now = 0, LogWorker::Options options = small_options())
+        : disk(d), log_worker(d, options), now_ms(now) {
         found = recover(disk, false,
                         [&](Record&& r, std::uint64_t sequence) { store.load(std::move(r), sequence); });
         if (!found.usable()) return;
         store.begin(found, now_ms);
-        usable = carrier.begin(found, 77).ok();
+        usable = log_worker.begin(found, 77).ok();
     }
     // All that was ordered, and what follows from it, at once.
     void carry(std::uint64_t now = 0) {
         now_ms = std::max(now_ms, now);
         for (int round = 0; round < 200; ++round) {
-            std::vector<News> news;
-            if (store.has_orders()) carrier.carry(store.orders(), store.live_bytes(), now_ms, news);
-            carrier.tick(store.live_bytes(), now_ms, news);
-            if (news.empty() && !store.has_orders()) return;
-            for (News& n : news) store.news(std::move(n));
+            std::vector<StoreEvent> events;
+            if (store.has_orders()) log_worker.carry(store.orders(), store.live_bytes(), now_ms, events);
+            log_worker.tick(store.live_bytes(), now_ms, events);
+            if (events.empty() && !store.has_orders()) return;
+            for (StoreEvent& n : events) store.events(std::move(n));
         }
     }
     void pass(std::uint64_t ms) {
@@ -140,7 +140,7 @@
     // So many batches of values so long, in segments so long. The values tell the states apart.
     Specimen(int batches, std::size_t value, std::size_t segment) {
         FaultEnvironment disk;
-        Carrier::Options options;
+        LogWorker::Options options;
         options.writer.segment = segment;
         options.amplification = 1000;
         Rig rig(disk, 0, options);
@@ -160,12 +160,12 @@
         files = disk.files();
     }
 
-    struct Result {
+    struct AttemptResult {
         std::uint64_t tried = 0, refused = 0, earlier = 0, whole = 0, wrong = 0;
     };
     // Of every `of` bytes the `part`th.
-    Result torture(std::size_t part, std::size_t of) const {
-        Result out;
+    AttemptResult torture(std::size_t part, std::size_t of) const {
+        AttemptResult out;
         FaultEnvironment disk;
         for (auto& [name, bytes] : files) disk.set_file(name, bytes);
         std::map<std::string, std::string> whole;
@@ -195,13 +195,13 @@
             for (std::size_t i = part; i < bytes.size(); i += of) {
                 disk.set_file(name, bytes.substr(0, i));
                 look(true);
-                std::string spoilt = bytes;
-                spoilt[i] = char(spoilt[i] ^ 1 << i % 8);
-                disk.set_file(name, spoilt);
+                std::string malformed = bytes;
+                malformed[i] = char(malformed[i] ^ 1 << i % 8);
+                disk.set_file(name, malformed);
                 look(true);
                 if (bytes[i] != 0) {
-                    spoilt[i] = 0;
-                    disk.set_file(name, spoilt);
+                    malformed[i] = 0;
+                    disk.set_file(name, malformed);
                     look(true);
                 }
             }
