--- a/src/adapters/client_listener.cpp
+++ b/src/adapters/client_listener.cpp
@@ -44,16 +44,17 @@
 
 // A connection whose first request is on its way would be closed in its face otherwise.
 bool ClientListener::retires(const Session& session) const {
-    constexpr auto time_to_ask = std::chrono::milliseconds(300);
-    return retiring_ && (session.served || std::chrono::steady_clock::now() >= session.came + time_to_ask);
+    constexpr auto kFirstRequestGrace = std::chrono::milliseconds(300);
+    auto now = std::chrono::steady_clock::now();
+    return retiring_ && (session.served || now >= session.came + kFirstRequestGrace);
 }
 
 void ClientListener::sweep() {
-    constexpr auto every = std::chrono::milliseconds(20);
+    constexpr auto kSweepInterval = std::chrono::milliseconds(20);
     std::vector<std::shared_ptr<Session>> all;
     for (const auto& [use, session] : sessions_) all.push_back(session);
     for (const auto& session : all) session->retire();
-    sweeper_.expires_after(every);
+    sweeper_.expires_after(kSweepInterval);
     sweeper_.async_wait([this](const transport::error_code& ec) {
         if (!ec && retiring_) sweep();
     });
@@ -120,9 +121,9 @@
 // since its first request is on its way. Of its kind the one unused for longest. When every session is busy,
 // what comes waits in the kernel's queue.
 void ClientListener::make_room(const Session& newcomer) {
-    constexpr auto time_to_ask = std::chrono::milliseconds(50);
-    auto asking_since = std::chrono::steady_clock::now() - time_to_ask;
-    auto kind = [&](const Session& s) { return s.served ? 1 : s.came <= asking_since ? 0 : 2; };
+    constexpr auto kFirstRequestTime = std::chrono::milliseconds(50);
+    auto overdue_since = std::chrono::steady_clock::now() - kFirstRequestTime;
+    auto kind = [&](const Session& s) { return s.served ? 1 : s.came <= overdue_since ? 0 : 2; };
     std::shared_ptr<Session> first;
     for (const auto& [use, s] : sessions_)
         if (s.get() != &newcomer && (!first || kind(*s) < kind(*first)) && s->between_requests()) {
@@ -166,11 +167,11 @@
 }
 
 bool ClientListener::crowded(Session& session) {
-    constexpr std::size_t small = 16384;
+    constexpr std::size_t kSmallSessionBytes = 16384;
     std::size_t held = session.held() - std::min(session.held(), session.granted);
     bytes_ += held - session.counted;
     session.counted = held;
-    return bytes_ > bytes_most_ && held > small;
+    return bytes_ > bytes_most_ && held > kSmallSessionBytes;
 }
 
 void ClientListener::linger(const std::shared_ptr<transport::Connection>& connection) {
--- a/src/adapters/control_front.cpp
+++ b/src/adapters/control_front.cpp
@@ -5,8 +5,8 @@
 
 namespace indigovane::adapters {
 
-class ControlFront::Caller : public transport::Connection::Handler,
-                             public std::enable_shared_from_this<Caller> {
+class ControlFront::Caller final : public transport::Connection::Handler,
+                                   public std::enable_shared_from_this<Caller> {
   public:
     Caller(ControlFront& front, std::uint64_t number)
         : front_(front),
--- a/src/adapters/limited_admission.cpp
+++ b/src/adapters/limited_admission.cpp
@@ -8,7 +8,7 @@
 
 using namespace routing;
 
-class LimitedAdmission::Ticket : public Responder {
+class LimitedAdmission::Ticket final : public Responder {
   public:
     Ticket(LimitedAdmission& owner, RequestId id, ClientRequest item, Responder& responder, Time deadline)
         : owner_(owner), id_(id), item_(std::move(item)), responder_(&responder), deadline_(deadline) {}
--- a/src/adapters/limited_admission.hpp
+++ b/src/adapters/limited_admission.hpp
@@ -16,7 +16,7 @@
 
 namespace indigovane::adapters {
 
-class LimitedAdmission : public routing::RequestAdmission {
+class LimitedAdmission final : public routing::RequestAdmission {
   public:
     LimitedAdmission(boost::asio::io_context& io, const routing::Clock& clock,
                      const limits::Settings& settings, routing::RequestAdmission& core);
--- a/src/adapters/pg_backend.cpp
+++ b/src/adapters/pg_backend.cpp
@@ -207,9 +207,9 @@
     }
 
     bool may_come(char type) const {
-        static constexpr std::string_view kinds[] = {"REN", "SKNZE", "TESN", "DCESN", "SNZ"};
+        static constexpr std::string_view kMessagesAllowed[] = {"REN", "SKNZE", "TESN", "DCESN", "SNZ"};
         if (passes_on() && part_ == Part::columns && type == 'C') return true;  // a statement without rows
-        return kinds[std::size_t(part_)].find(type) != std::string_view::npos;
+        return kMessagesAllowed[std::size_t(part_)].find(type) != std::string_view::npos;
     }
 
     // A row of one value tells its length twice: the two are compared before the value has come.
@@ -313,11 +313,12 @@
     // Errors that the statement itself has made: another host would say the same, and nothing of it has taken
     // effect. Anything else (08, 53, 57, 58, XX, ...) is the host's trouble.
     static bool own_error(std::string_view code) {
-        static constexpr std::string_view classes[] = {"0A", "20", "21", "22", "23", "24", "25", "26",
-                                                       "28", "2B", "2D", "2F", "34", "38", "39", "3B",
-                                                       "3D", "3F", "40", "42", "44", "54", "55", "P0"};
-        return code == pg::sqlstate::query_canceled ||
-               std::find(std::begin(classes), std::end(classes), code.substr(0, 2)) != std::end(classes);
+        static constexpr std::string_view kStatementErrorClasses[] = {
+            "0A", "20", "21", "22", "23", "24", "25", "26", "28", "2B", "2D", "2F",
+            "34", "38", "39", "3B", "3D", "3F", "40", "42", "44", "54", "55", "P0"};
+        return code == pg::sqlstate::kQueryCanceled ||
+               std::find(std::begin(kStatementErrorClasses), std::end(kStatementErrorClasses),
+                         code.substr(0, 2)) != std::end(kStatementErrorClasses);
     }
 
     const char* error(std::string_view body) {
@@ -327,9 +328,9 @@
             }))
             return "an error with no code";
         failed_ = true;
-        if (e.code == pg::sqlstate::read_only || e.code == pg::sqlstate::snapshot_too_old)
+        if (e.code == pg::sqlstate::kReadOnly || e.code == pg::sqlstate::kSnapshotTooOld)
             result_.status = AttemptStatus::miss;
-        else if (e.code == pg::sqlstate::too_many_connections || e.code == pg::sqlstate::cannot_connect_now)
+        else if (e.code == pg::sqlstate::kTooManyConnections || e.code == pg::sqlstate::kCannotConnectNow)
             result_.status = AttemptStatus::rejected;
         else
             result_.status = AttemptStatus::error;
--- a/src/adapters/pg_front.cpp
+++ b/src/adapters/pg_front.cpp
@@ -62,9 +62,9 @@
         if (state >= char(Expects::startup) && state <= char(Expects::sync)) expects_ = Expects(state);
     }
     void on_impatient() override {
-        fatal(pg::sqlstate::protocol_violation, unfinished() ? "no startup packet" : "half a message");
+        fatal(pg::sqlstate::kProtocolViolation, unfinished() ? "no startup packet" : "half a message");
     }
-    void on_no_memory() override { fatal(pg::sqlstate::out_of_memory, "too much is unread or unfinished"); }
+    void on_no_memory() override { fatal(pg::sqlstate::kOutOfMemory, "too much is unread or unfinished"); }
 
     bool startup() {
         pg::Message m;
@@ -72,13 +72,13 @@
         pg::Next next = pg::next_startup(in_->view(), kStartupLimit, m, length);
         if (next == pg::Next::more) return false;
         if (next != pg::Next::message)
-            return fatal(pg::sqlstate::protocol_violation, "malformed startup packet");
+            return fatal(pg::sqlstate::kProtocolViolation, "malformed startup packet");
         std::uint32_t code = pg::read_u32(m.body);
         std::string m_copy(m.body);
         in_->consume(length);
         if (code == pg::kSslCode || code == pg::kGssCode) {
             // Plain TCP only. Asking again and again would be a way to stay without ever starting.
-            if (++declined_ > 2) return fatal(pg::sqlstate::protocol_violation, "no startup packet");
+            if (++declined_ > 2) return fatal(pg::sqlstate::kProtocolViolation, "no startup packet");
             write("N");
             return true;
         }
@@ -87,7 +87,7 @@
             return false;
         }
         if (code >> 16 != 3)
-            return fatal(pg::sqlstate::feature_not_supported, "only protocol 3 is spoken here");
+            return fatal(pg::sqlstate::kFeatureNotSupported, "only protocol 3 is spoken here");
         read_user(m_copy.substr(4));
         write(pg::Writer()
                   .authentication_ok()
@@ -112,9 +112,9 @@
             if (length > kUsualMessage) expect(length);
             return false;
         }
-        if (next == pg::Next::malformed) return fatal(pg::sqlstate::protocol_violation, "malformed message");
+        if (next == pg::Next::malformed) return fatal(pg::sqlstate::kProtocolViolation, "malformed message");
         // Nothing so long can be of use, and reading past it would cost all others: the header is enough.
-        if (next == pg::Next::too_long) return fatal(pg::sqlstate::program_limit, "the message is too long");
+        if (next == pg::Next::too_long) return fatal(pg::sqlstate::kProgramLimit, "the message is too long");
         if (expects_ == Expects::sync && m.type != 'S' && m.type != 'X') {
             in_->consume(length);
             return true;
@@ -139,18 +139,18 @@
             case 'E':
             case 'C':
                 // Its errors are followed by silence up to the next Sync.
-                reject({pg::sqlstate::feature_not_supported, "only simple queries are served"}, false);
+                reject({pg::sqlstate::kFeatureNotSupported, "only simple queries are served"}, false);
                 expects_ = Expects::sync;
                 break;
             case 'F':
-                reject({pg::sqlstate::feature_not_supported, "function calls are not served"});
+                reject({pg::sqlstate::kFeatureNotSupported, "function calls are not served"});
                 break;
             case 'd':
             case 'c':
             case 'f':
                 break;  // copy data outside a copy is passed over
             default:
-                return fatal(pg::sqlstate::protocol_violation, "unknown message type");
+                return fatal(pg::sqlstate::kProtocolViolation, "unknown message type");
         }
         if (!over()) in_->consume(length);
         return true;
@@ -159,19 +159,19 @@
     void query(std::string_view body) {
         std::string_view sql = body.substr(0, body.find('\0'));
         if (body.find('\0') != body.size() - 1 || body.empty())
-            return reject({pg::sqlstate::protocol_violation, "a query ends with its only zero byte"});
-        if (!pg::valid_text(sql)) return reject({pg::sqlstate::bad_text, "a query is plain UTF-8"});
+            return reject({pg::sqlstate::kProtocolViolation, "a query ends with its only zero byte"});
+        if (!pg::valid_text(sql)) return reject({pg::sqlstate::kBadText, "a query is plain UTF-8"});
         pg::Statement statement = pg::read_statement(sql);
         if (statements_ && statements_->open() && is_open_form(statement)) return open_query(sql, statement);
         if (statement.malformed)
-            return reject({pg::sqlstate::syntax_error, "the comment or a literal is malformed"});
-        if (statement.several) return reject({pg::sqlstate::syntax_error, "a query holds one statement"});
+            return reject({pg::sqlstate::kSyntaxError, "the comment or a literal is malformed"});
+        if (statement.several) return reject({pg::sqlstate::kSyntaxError, "a query holds one statement"});
         if (statement.body.empty()) return empty();
         if (statement.fields.empty() && local(statement.body)) return;
         ClientRequest item;
         if (auto rejection = read_item(sql, statement, item)) return reject(*rejection);
         if (is_open(item.id))
-            return reject({pg::sqlstate::invalid_parameter, "a request of this id is in hand"});
+            return reject({pg::sqlstate::kInvalidParameter, "a request of this id is in hand"});
         // The item keeps the statement and what was read from it.
         if (!has_capacity(sql.size() + std::min(sql.size(), kUsualMessage))) return too_much();
         ask(std::move(item), length_);
@@ -179,7 +179,7 @@
 
     void too_much() {
         write(pg::Writer()
-                  .error("ERROR", pg::sqlstate::too_many_connections, "too much is in hand", "250")
+                  .error("ERROR", pg::sqlstate::kTooManyConnections, "too much is in hand", "250")
                   .ready()
                   .take());
     }
@@ -187,7 +187,7 @@
     void empty() {
         if (refusing())
             return write(pg::Writer()
-                             .error("ERROR", pg::sqlstate::cannot_connect_now, "clients are sent away")
+                             .error("ERROR", pg::sqlstate::kCannotConnectNow, "clients are sent away")
                              .ready()
                              .take());
         write(pg::Writer().empty_query().ready().take());
@@ -214,12 +214,12 @@
             using statement::Kind;
             bool known = j.kind == Kind::session || j.kind == Kind::transaction;
             return reject(
-                {known ? pg::sqlstate::feature_not_supported : pg::sqlstate::syntax_error, j.reason});
+                {known ? pg::sqlstate::kFeatureNotSupported : pg::sqlstate::kSyntaxError, j.reason});
         }
         ClientRequest item;
         if (auto rejection = read_open(sql, s, j, item)) return reject(*rejection);
         if (is_open(item.id))
-            return reject({pg::sqlstate::invalid_parameter, "a request of this id is in hand"});
+            return reject({pg::sqlstate::kInvalidParameter, "a request of this id is in hand"});
         if (!has_capacity(2 * sql.size())) return too_much();
         ask(std::move(item), length_);
     }
@@ -227,7 +227,7 @@
     std::optional<Rejection> read_open(std::string_view sql, const pg::Statement& s,
                                        const statement::StatementProfile& j, ClientRequest& item) {
         auto invalid = [](std::string text) {
-            return Rejection{pg::sqlstate::invalid_parameter, std::move(text)};
+            return Rejection{pg::sqlstate::kInvalidParameter, std::move(text)};
         };
         if (auto id = s.field("id")) {
             if (id->empty() || id->size() > 64 || !plain(*id))
@@ -276,13 +276,13 @@
             auto wait = whole<std::int64_t>(*d);
             // None left is no mistake: the request is refused like any that comes too late.
             if (!wait || *wait < 0 || *wait > 3'600'000)
-                return Rejection{pg::sqlstate::invalid_parameter, "the wait (d) is out of range"};
+                return Rejection{pg::sqlstate::kInvalidParameter, "the wait (d) is out of range"};
             item.client_timeout = std::min<Duration>(std::chrono::milliseconds(*wait), kPatienceMost);
         }
         if (auto after = s.field("after")) {
             auto position = whole<std::int64_t>(*after);
             if (!position || *position < 0 || *position > 9'000'000'000'000)
-                return Rejection{pg::sqlstate::invalid_parameter, "the position (after) is out of range"};
+                return Rejection{pg::sqlstate::kInvalidParameter, "the position (after) is out of range"};
             if (*position > 0) item.after_unix_ms = *position;
         }
         return std::nullopt;
@@ -346,7 +346,7 @@
 
     std::optional<Rejection> read_item(std::string_view sql, const pg::Statement& s, ClientRequest& item) {
         auto invalid = [](std::string text) {
-            return Rejection{pg::sqlstate::invalid_parameter, std::move(text)};
+            return Rejection{pg::sqlstate::kInvalidParameter, std::move(text)};
         };
         for (std::size_t i = 0; i < s.fields.size(); ++i)
             for (std::size_t j = 0; j < i; ++j)
@@ -364,7 +364,7 @@
         if (!group) return invalid("the group (cluster) is no number");
         if (auto rejection = read_times(s, *request_class, item)) return rejection;
         pg::Verb verb = pg::read_verb(s.body);
-        if (auto wrong = misfit(verb, *request_class)) return Rejection{pg::sqlstate::syntax_error, wrong};
+        if (auto wrong = misfit(verb, *request_class)) return Rejection{pg::sqlstate::kSyntaxError, wrong};
         if (request_class->keyed && s.field("k").value_or("").empty())
             return invalid("the comment names no key (k), which this class needs");
         item.verb = verb.kind == pg::Verb::Kind::lookup  ? ClientRequest::Verb::lookup
@@ -429,11 +429,11 @@
         if (ending.kind == FinalError::Kind::refused) {
             std::string after;
             if (ending.retry_after) after = std::to_string(ending.retry_after->count() / 1000);
-            w.error("ERROR", pg::sqlstate::too_many_connections, "no database host can take this now", after);
+            w.error("ERROR", pg::sqlstate::kTooManyConnections, "no database host can take this now", after);
         } else if (ending.deadline) {
-            w.error("ERROR", pg::sqlstate::query_canceled, "no answer in time; the statement may have run");
+            w.error("ERROR", pg::sqlstate::kQueryCanceled, "no answer in time; the statement may have run");
         } else {
-            w.error("ERROR", pg::sqlstate::connection_failure, "no answer; the statement may have run");
+            w.error("ERROR", pg::sqlstate::kConnectionFailure, "no answer; the statement may have run");
         }
         answered(w.ready().take());
     }
--- a/src/adapters/rest_front.cpp
+++ b/src/adapters/rest_front.cpp
@@ -101,12 +101,12 @@
             return Problem{400, "parameter", "A parameter is invalid", std::move(detail)};
         };
         page_ = target.segments.size() == 4;
-        static constexpr std::string_view known[] = {"class",  "session", "tenant", "wait_ms",
-                                                     "prefix", "limit",   "cursor"};
+        static constexpr std::string_view kParameters[] = {"class",  "session", "tenant", "wait_ms",
+                                                           "prefix", "limit",   "cursor"};
         for (std::size_t i = 0; i < target.parameters.size(); ++i) {
             const std::string& name = target.parameters[i].first;
-            auto at = std::find(std::begin(known), std::end(known), name);
-            if (at == std::end(known) || (!page_ && at - std::begin(known) >= 4))
+            auto at = std::find(std::begin(kParameters), std::end(kParameters), name);
+            if (at == std::end(kParameters) || (!page_ && at - std::begin(kParameters) >= 4))
                 return invalid("'" + name.substr(0, 64) + "' is not known");
             for (std::size_t j = 0; j < i; ++j)
                 if (target.parameters[j].first == name) return invalid("'" + name + "' is given twice");
--- a/src/adapters/session.cpp
+++ b/src/adapters/session.cpp
@@ -57,8 +57,8 @@
 }
 
 std::optional<routing::ClientHandover> Session::release() {
-    constexpr std::size_t most = 16384;  // more stays here until it is whole
-    if (state_ != State::between || connection_->unread().size() > most) return std::nullopt;
+    constexpr std::size_t kMaxUnreadHandedOver = 16384;  // bytes; a longer request is read to its end here
+    if (state_ != State::between || connection_->unread().size() > kMaxUnreadHandedOver) return std::nullopt;
     routing::ClientHandover handover{-1, wire_state(), std::string(connection_->unread()), wire_note()};
     handover.socket = connection_->release();
     if (handover.socket < 0) return std::nullopt;
--- a/src/adapters/syslog_sink.hpp
+++ b/src/adapters/syslog_sink.hpp
@@ -10,7 +10,7 @@
 namespace indigovane::adapters {
 
 // Never in the way of serving: what a collector does not take in time is dropped, the oldest first.
-class SyslogSink : private transport::Connection::Handler {
+class SyslogSink final : private transport::Connection::Handler {
   public:
     static constexpr std::size_t kQueued = 1000;  // lines
     SyslogSink(boost::asio::io_context& io, const transport::SocketAddress& collector,
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -1,6 +1,7 @@
 #include "lab/fleet.hpp"
 
 #include <algorithm>
+#include <cmath>
 #include <cstdio>
 #include <unordered_map>
 
@@ -28,7 +29,7 @@
     return Duration(std::int64_t(s * 1e6));
 }
 
-struct Silent : routing::Logger {
+struct Silent final : routing::Logger {
     void log(routing::Level, const char*, const std::string&, const Data&) override {}
 };
 
@@ -152,7 +153,8 @@
     }
     // The log's one thread shares the cores with all that is in hand, and catches up no faster than it can.
     Time applied(const Host& h) const {
-        double others = double(h.busy + h.queue.size()), cores = double(options.cores);
+        auto others = double(h.busy + h.queue.size());
+        auto cores = double(options.cores);
         double pace = std::min(1.0, cores / (others + 1)) / options.apply_use;
         Time at = h.applied + Duration(std::int64_t(double((timeline.now() - h.applied_at).count()) * pace));
         return std::min(at, timeline.now());
@@ -184,7 +186,7 @@
 
   private:
     // One try of a client. Ends with one call; what is refused may be tried again.
-    struct Try : routing::Responder {
+    struct Try final : routing::Responder {
         World* world = nullptr;
         std::uint32_t pooler = 0;
         routing::RequestId core_id{};
@@ -549,12 +551,12 @@
 
 // One service for all poolers: calls wait for their turn, and fail when they have waited for too long.
 void World::follow(Pooler& p) {
-    constexpr Duration client_timeout = 1s;
+    constexpr Duration kListCallTimeout = 1s;
     service_free_ = std::max(service_free_, timeline.now());
     Duration takes(std::int64_t(1e6 / options.list_calls)), wait = service_free_ - timeline.now();
-    bool fails = blind_ || wait > client_timeout;
+    bool fails = blind_ || wait > kListCallTimeout;
     if (!fails) service_free_ += takes;
-    timeline.after(fails ? client_timeout : wait + takes, Rank::arrival,
+    timeline.after(fails ? kListCallTimeout : wait + takes, Rank::arrival,
                    [this, number = p.number, fails, alive = std::weak_ptr<bool>(p.alive_)] {
                        if (alive.expired()) return;
                        Pooler& asker = *poolers[number];
@@ -714,9 +716,10 @@
 
 void World::break_links(const Host& h) {
     auto open = std::exchange(links[h.number], {});
-    std::vector<std::shared_ptr<FleetLink>> held;
-    for (FleetLink* l : open) held.push_back(l->shared_from_this());
-    for (auto& l : held) l->broken();
+    std::vector<std::shared_ptr<FleetLink>> alive;
+    alive.reserve(open.size());
+    for (FleetLink* link : open) alive.push_back(link->shared_from_this());
+    for (auto& link : alive) link->broken();
 }
 
 void World::kill(Host& h, bool silently) {
@@ -812,7 +815,7 @@
             break;
         case Trouble::Kind::uplink:
         case Trouble::Kind::stall: {
-            auto count = std::size_t(trouble.part * double(poolers.size()) + 0.5);
+            auto count = std::size_t(std::llround(trouble.part * double(poolers.size())));
             for (std::size_t i = 0; i < std::min(count, poolers.size()); ++i) {
                 if (trouble.kind == Trouble::Kind::stall) {
                     poolers[i]->asleep_until = timeline.now() + seconds(trouble.lasts_s);
@@ -824,7 +827,7 @@
             break;
         }
         case Trouble::Kind::restart: {
-            auto count = std::size_t(trouble.part * double(poolers.size()) + 0.5);
+            auto count = std::size_t(std::llround(trouble.part * double(poolers.size())));
             for (std::size_t i = 0; i < std::min(count, poolers.size()); ++i) {
                 // Its clients see their connections break; what they had asked is theirs to ask again.
                 for (auto& [number, t] : tries_)
@@ -918,7 +921,7 @@
 
 double Summary::served_between(double from_s, double to_s) const {
     double asked = 0, served = 0;
-    for (std::size_t i = std::size_t(from_s); i < std::min(windows.size(), std::size_t(to_s)); ++i) {
+    for (auto i = std::size_t(from_s); i < std::min(windows.size(), std::size_t(to_s)); ++i) {
         asked += windows[i].asked;
         served += windows[i].served;
     }
@@ -926,7 +929,7 @@
 }
 
 double Summary::seconds_until(double at_s, double part) const {
-    for (std::size_t i = std::size_t(at_s); i + 2 < windows.size(); ++i)
+    for (auto i = std::size_t(at_s); i + 2 < windows.size(); ++i)
         if (served_between(double(i), double(i + 1)) >= part &&
             served_between(double(i), double(i + 3)) >= part)
             return double(i) - at_s;
--- a/src/lab/random.hpp
+++ b/src/lab/random.hpp
@@ -22,7 +22,7 @@
             used_ = 0;
         }
         std::uint64_t out =
-            std::uint64_t(block_[std::size_t(2 * used_)]) << 32 | block_[std::size_t(2 * used_ + 1)];
+            std::uint64_t(block_[std::size_t(used_) * 2]) << 32 | block_[std::size_t(used_) * 2 + 1];
         ++used_;
         return out;
     }
--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -150,8 +150,8 @@
         return Next::message;
     }
     if (size) {
-        std::size_t fields = std::size_t(std::count_if(
-            head.fields.begin(), head.fields.end(), [](auto& f) { return same(f.first, "content-length"); }));
+        auto fields = std::size_t(std::count_if(head.fields.begin(), head.fields.end(),
+                                                [](auto& f) { return same(f.first, "content-length"); }));
         auto count = number(*size, 10);
         if (!count || fields != 1) return Next::bad;
         if (*count > limits_.body) return Next::body_too_large;
@@ -314,15 +314,15 @@
 }
 
 std::string percent_encode(std::string_view text) {
-    static constexpr char digits[] = "0123456789ABCDEF";
+    static constexpr char kDigits[] = "0123456789ABCDEF";
     std::string out;
     for (char c : text) {
         if (std::isalnum(std::uint8_t(c)) || std::string_view("-._~").find(c) != std::string_view::npos) {
             out += c;
         } else {
             out += '%';
-            out += digits[std::uint8_t(c) >> 4];
-            out += digits[std::uint8_t(c) & 15];
+            out += kDigits[std::uint8_t(c) >> 4];
+            out += kDigits[std::uint8_t(c) & 15];
         }
     }
     return out;
--- a/src/protocol/pg.cpp
+++ b/src/protocol/pg.cpp
@@ -417,7 +417,7 @@
     std::string out = with_deadline(sql, statement, value, std::string("Q\0\0\0\0", 5));
     out += '\0';
     auto size = std::uint32_t(out.size() - 1);
-    for (int i = 0; i < 4; ++i) out[std::size_t(1 + i)] = char(size >> (24 - 8 * i));
+    for (int i = 0; i < 4; ++i) out[std::size_t(i) + 1] = char(size >> (24 - 8 * i));
     return out;
 }
 
@@ -425,7 +425,7 @@
                           std::string out) {
     out.reserve(out.size() + sql.size() + value.size() + 16);
     if (auto d = statement.field("d")) {
-        std::size_t at = std::size_t(d->data() - sql.data());
+        auto at = std::size_t(d->data() - sql.data());
         out += sql.substr(0, at);
         out += value;
         out += sql.substr(at + d->size());
@@ -463,8 +463,9 @@
             if (next >> 6 != 2) return false;
             point = point << 6 | (next & 0x3f);
         }
-        constexpr std::uint32_t least[] = {0, 0x80, 0x800, 0x10000};
-        if (point < least[more] || point > 0x10ffff || (point >= 0xd800 && point < 0xe000)) return false;
+        constexpr std::uint32_t kLeastPoint[] = {0, 0x80, 0x800, 0x10000};
+        if (point < kLeastPoint[more] || point > 0x10ffff || (point >= 0xd800 && point < 0xe000))
+            return false;
         i += more + 1;
     }
     return true;
@@ -480,11 +481,11 @@
 }
 
 std::string hex(std::string_view bytes) {
-    static constexpr char digits[] = "0123456789abcdef";
+    static constexpr char kDigits[] = "0123456789abcdef";
     std::string out = "\\x";
     for (char c : bytes) {
-        out += digits[std::uint8_t(c) >> 4];
-        out += digits[std::uint8_t(c) & 15];
+        out += kDigits[std::uint8_t(c) >> 4];
+        out += kDigits[std::uint8_t(c) & 15];
     }
     return out;
 }
--- a/src/protocol/pg.hpp
+++ b/src/protocol/pg.hpp
@@ -16,19 +16,19 @@
 constexpr std::uint32_t kGssCode = 80877104;
 
 namespace sqlstate {
-constexpr std::string_view protocol_violation = "08P01";
-constexpr std::string_view feature_not_supported = "0A000";
-constexpr std::string_view invalid_parameter = "22023";
-constexpr std::string_view syntax_error = "42601";
-constexpr std::string_view program_limit = "54000";
-constexpr std::string_view too_many_connections = "53300";
-constexpr std::string_view cannot_connect_now = "57P03";
-constexpr std::string_view read_only = "25006";
-constexpr std::string_view snapshot_too_old = "72000";
-constexpr std::string_view connection_failure = "08006";
-constexpr std::string_view query_canceled = "57014";
-constexpr std::string_view bad_text = "22021";
-constexpr std::string_view out_of_memory = "53200";
+constexpr std::string_view kProtocolViolation = "08P01";
+constexpr std::string_view kFeatureNotSupported = "0A000";
+constexpr std::string_view kInvalidParameter = "22023";
+constexpr std::string_view kSyntaxError = "42601";
+constexpr std::string_view kProgramLimit = "54000";
+constexpr std::string_view kTooManyConnections = "53300";
+constexpr std::string_view kCannotConnectNow = "57P03";
+constexpr std::string_view kReadOnly = "25006";
+constexpr std::string_view kSnapshotTooOld = "72000";
+constexpr std::string_view kConnectionFailure = "08006";
+constexpr std::string_view kQueryCanceled = "57014";
+constexpr std::string_view kBadText = "22021";
+constexpr std::string_view kOutOfMemory = "53200";
 }  // namespace sqlstate
 
 // ---- reading -----------------------------------------------------------------------------------
--- a/src/protocol/syslog.cpp
+++ b/src/protocol/syslog.cpp
@@ -163,7 +163,7 @@
 std::string timestamp(std::int64_t unix_micros) {
     std::int64_t seconds = unix_micros / 1000000, micros = unix_micros % 1000000;
     if (micros < 0) micros += 1000000, --seconds;
-    std::time_t time = std::time_t(seconds);
+    auto time = std::time_t(seconds);
     std::tm utc{};
     gmtime_r(&time, &utc);
     char date[32], text[48];
--- a/src/statement/classifier.cpp
+++ b/src/statement/classifier.cpp
@@ -252,9 +252,9 @@
 }  // namespace
 
 const char* name(Kind kind) {
-    static constexpr const char* names[] = {"read",        "locking", "write", "session",
-                                            "transaction", "utility", "many",  "invalid"};
-    return names[std::size_t(kind)];
+    static constexpr const char* kNames[] = {"read",        "locking", "write", "session",
+                                             "transaction", "utility", "many",  "invalid"};
+    return kNames[std::size_t(kind)];
 }
 
 bool parse_kind(std::string_view text, Kind& out) {
@@ -267,8 +267,8 @@
 }
 
 const char* name(Route route) {
-    static constexpr const char* names[] = {"replica", "primary", "refuse"};
-    return names[std::size_t(route)];
+    static constexpr const char* kNames[] = {"replica", "primary", "refuse"};
+    return kNames[std::size_t(route)];
 }
 
 Route Classifier::route(Kind kind) const {
--- a/src/statement/scanner.cpp
+++ b/src/statement/scanner.cpp
@@ -51,11 +51,11 @@
 
 // Keywords behind which an expression begins, so that a sign there belongs to the number after it.
 bool is_clause(std::string_view word) {
-    static constexpr std::string_view words[] = {
+    static constexpr std::string_view kClauses[] = {
         "select", "where", "and",    "or",     "not",  "limit",     "offset", "when",  "then",    "else",
         "by",     "on",    "having", "set",    "case", "returning", "like",   "ilike", "between", "distinct",
         "all",    "as",    "fetch",  "values", "from", "default",   "using",  "any",   "escape",  "is"};
-    return std::find(std::begin(words), std::end(words), word) != std::end(words);
+    return std::find(std::begin(kClauses), std::end(kClauses), word) != std::end(kClauses);
 }
 bool is_constant(std::string_view word) {
     return word == "null" || word == "true" || word == "false";
@@ -86,10 +86,10 @@
 }
 
 std::string Shape::hex() const {
-    static constexpr char digits[] = "0123456789abcdef";
+    static constexpr char kDigits[] = "0123456789abcdef";
     std::string out;
     for (std::uint64_t half : {high, low})
-        for (int shift = 60; shift >= 0; shift -= 4) out += digits[half >> shift & 15];
+        for (int shift = 60; shift >= 0; shift -= 4) out += kDigits[half >> shift & 15];
     return out;
 }
 
--- a/src/statement/shape_cache.cpp
+++ b/src/statement/shape_cache.cpp
@@ -14,6 +14,8 @@
     return s.capacity() > 15 ? s.capacity() + 17 : 0;
 }
 
+constexpr std::size_t kSlotBytes = sizeof(void*);  // of the hash table
+
 }  // namespace
 
 ShapeCache::ShapeCache(std::size_t bytes, std::uint64_t seed)
@@ -22,9 +24,8 @@
       protected_most_(most_ / 100 * 79),
       seed_(seed),
       sketch_(most_ / 1024),
-      table_(256, nullptr) {
-    bytes_ = sketch_.bytes() + table_.size() * sizeof(Entry*);
-}
+      table_(256, nullptr),
+      bytes_(sketch_.bytes() + table_.size() * kSlotBytes) {}
 
 ShapeCache::~ShapeCache() {
     clear();
@@ -65,11 +66,11 @@
 
 // Asked for again: out of probation, into the protected part, whose oldest goes back.
 void ShapeCache::touch(Entry* e) {
-    Part part = e->part == Part::window ? Part::window : Part::protected_;
+    Part part = e->part == Part::window ? Part::window : Part::retained;
     unlink(e);
     link(e, part);
-    while (queue(Part::protected_).bytes > protected_most_) {
-        Entry* oldest = queue(Part::protected_).oldest;
+    while (queue(Part::retained).bytes > protected_most_) {
+        Entry* oldest = queue(Part::retained).oldest;
         unlink(oldest);
         link(oldest, Part::probation);
     }
@@ -91,7 +92,7 @@
 void ShapeCache::grow_table() {
     std::vector<Entry*> old(table_.size() * 2, nullptr);
     old.swap(table_);
-    bytes_ += old.size() * sizeof(Entry*);
+    bytes_ += old.size() * kSlotBytes;
     for (Entry* e : old)
         while (e) {
             Entry* next = e->chain;
@@ -111,7 +112,7 @@
     }
     if (size_ >= table_.size()) grow_table();
     void* memory = ::operator new(sizeof(Entry) + text.size());
-    Entry* e = new (memory) Entry;
+    auto* e = new (memory) Entry;
     std::memcpy(reinterpret_cast<char*>(e + 1), text.data(), text.size());
     e->profile = std::move(profile);
     e->hash = XXH3_64bits_withSeed(text.data(), text.size(), seed_);
@@ -135,7 +136,7 @@
         while (bytes_ > most_) {
             Entry* victim = queue(Part::probation).oldest;
             if (victim == candidate) victim = candidate->newer;
-            if (!victim) victim = queue(Part::protected_).oldest;
+            if (!victim) victim = queue(Part::retained).oldest;
             if (!victim) break;
             if (sketch_.estimate(candidate->hash) > sketch_.estimate(victim->hash)) {
                 ++counts_.evicted;
--- a/src/statement/shape_cache.hpp
+++ b/src/statement/shape_cache.hpp
@@ -41,7 +41,7 @@
     const Counts& counts() const { return counts_; }
 
   private:
-    enum class Part : std::uint8_t { window, probation, protected_ };
+    enum class Part : std::uint8_t { window, probation, retained };
     struct Entry {  // its text follows it in memory
         StatementProfile profile;
         std::uint64_t hash = 0;
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -30,7 +30,7 @@
 // What stands next in the kernel's buffer, without reading it.
 enum class Peek { nothing, bytes, end };
 Peek peek(int socket) {
-    char byte;
+    char byte = 0;
     ssize_t count = 0;
     do {
         count = ::recv(socket, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -165,7 +165,7 @@
 };
 
 Connection::Connection(asio::io_context& io)
-    : io_(io), strand_(asio::make_strand(io)), socket_(strand_), timer_(strand_) {}
+    : strand_(asio::make_strand(io)), socket_(strand_), timer_(strand_) {}
 
 void Connection::adopt(asio::ip::tcp::socket socket, Handler& handler, std::string_view read) {
     handler_ = &handler;
--- a/src/transport/connection.hpp
+++ b/src/transport/connection.hpp
@@ -96,7 +96,6 @@
     void await_hangup();
     void fail(const error_code& ec);
 
-    asio::io_context& io_;
     Strand strand_;
     asio::ip::tcp::socket socket_;
     asio::steady_timer timer_;
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -116,8 +116,8 @@
 }
 
 void Listener::drain() {
-    constexpr int tries = 64;  // that fail for want of descriptors or memory: what is left is reset unread
-    for (int failures = 0; acceptor_.is_open() && failures < tries;) {
+    constexpr int kMaxFailures = 64;  // for want of descriptors or memory; what is left is reset unread
+    for (int failures = 0; acceptor_.is_open() && failures < kMaxFailures;) {
         error_code ec = accept_one();
         if (ec == asio::error::would_block) return;
         if (ec) ++failures;
