--- a/bench/statement_bench.cpp
+++ b/bench/statement_bench.cpp
@@ -1,4 +1,4 @@
-// What the statement package costs: `make bench` prints the tables of docs/statement-shapes-measured.md.
+// What the statement package costs: `make bench` prints the tables of docs/capacity.md#statements-and-limits-by-cost-measured.
 #include <benchmark/benchmark.h>
 
 #include <cmath>
--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -1,4 +1,4 @@
-// What the store costs: `make bench` prints the tables of docs/store-measured.md. Files are made in
+// What the store costs: `make bench` prints the tables of docs/capacity.md#the-store-measured. Files are made in
 // $STORE_BENCH_FOLDER, or here.
 #include <benchmark/benchmark.h>
 
--- a/src/lab/fleet.cpp
+++ b/src/lab/fleet.cpp
@@ -62,8 +62,9 @@
 // later there.
 class FleetLink : public BackendConnection, public std::enable_shared_from_this<FleetLink> {
   public:
-    FleetLink(World& world, std::uint32_t pooler, Host& host, Owner& owner)
-        : world_(world), pooler_(pooler), host_(host), owner_(&owner) {}
+    FleetLink(World& world, std::uint64_t number, std::uint32_t pooler, Host& host, Owner& owner)
+        : number(number), world_(world), pooler_(pooler), host_(host), owner_(&owner) {}
+    const std::uint64_t number;  // by opening: an order that hangs on no address
     void open(Duration timeout);
     void submit(const ClientRequest& item, Duration remaining, std::optional<std::int64_t> needs) override;
     void probe() override;
@@ -83,6 +84,10 @@
     bool up_ = false, counted_ = false;
 };
 
+struct ByNumber {
+    bool operator()(const FleetLink* a, const FleetLink* b) const { return a->number < b->number; }
+};
+
 // One pooler: the real core, driven by the timeline.
 class Pooler : private routing::Driver, private routing::Backend {
   public:
@@ -133,9 +138,9 @@
     Stream traffic, work, troubles;
     std::vector<std::unique_ptr<Host>> hosts;
     Summary summary;
-    std::map<std::uint32_t, std::set<FleetLink*>> links;  // by host; poolers close theirs at their end
+    std::map<std::uint32_t, std::set<FleetLink*, ByNumber>> links;  // by host; poolers close theirs at their end
     std::vector<std::unique_ptr<Pooler>> poolers;
-    std::uint64_t works = 0;
+    std::uint64_t works = 0, opened = 0;
 
     // It never goes back.
     Time position(const Host& h) const {
@@ -453,7 +458,7 @@
 std::shared_ptr<BackendConnection> Pooler::open(const std::string& address, Duration timeout,
                                                 BackendConnection::Owner& owner) {
     auto link =
-        std::make_shared<FleetLink>(world_, number, *world_.hosts[std::size_t(std::stoul(address))], owner);
+        std::make_shared<FleetLink>(world_, ++world_.opened, number, *world_.hosts[std::size_t(std::stoul(address))], owner);
     link->open(timeout);
     return link;
 }
