--- /dev/null
+++ b/src/lab/discovery.cpp
@@ -0,0 +1,100 @@
+#include "lab/discovery.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "lab/world.hpp"
+
+namespace indigovane::lab {
+
+using namespace std::chrono_literals;
+using policy::EndpointListKind;
+using policy::EndpointState;
+using Defect = FleetOptions::Defect;
+
+bool Discovery::polled() const {
+    return world_.options.list_calls_per_second > 0;
+}
+
+routing::EndpointInfo Discovery::describe(const Host& host) const {
+    routing::EndpointInfo info;
+    info.uid = "h" + std::to_string(host.number);
+    info.address = std::to_string(host.number);
+    info.group = host.group;
+    info.zone = host.zone;
+    info.primary = host.primary;
+    info.state = host.draining ? EndpointState::draining : EndpointState::ready;
+    if (host.started()) info.boot_unix_ms = world_.clock.to_unix(*host.started()) / 1000;
+    return info;
+}
+
+std::vector<routing::EndpointInfo> Discovery::describe_all() const {
+    std::vector<routing::EndpointInfo> infos;
+    for (const auto& host : world_.hosts) infos.push_back(describe(*host));
+    return infos;
+}
+
+void Discovery::add(SimulatedPooler& pooler) {
+    pooler.core.list(polled() ? EndpointListKind::cached : EndpointListKind::full, describe_all());
+    pooler.core.on_follow_list([this, &pooler] { poll(pooler); });
+}
+
+void Discovery::notify(const Host& host) {
+    for (auto& pooler : world_.poolers) {
+        auto longest = double(world_.options.notification_delay.count());
+        Duration delay(std::int64_t(longest * world_.fault_stream.between(0.5, 1)));
+        world_.timeline.after(delay, Rank::arrival,
+                              [this, info = describe(host), pooler = pooler->number, host = host.number] {
+                                  deliver(pooler, host, info);
+                              });
+    }
+}
+
+void Discovery::deliver(std::uint32_t pooler, std::uint32_t host, const routing::EndpointInfo& info) {
+    if (polled() && (out_of_reach_ || !world_.poolers[pooler]->watches_list)) return;
+    bool draining = info.state == EndpointState::draining;
+    if (draining)
+        world_.auditor.notified_draining(pooler, host, world_.timeline.now());
+    else
+        world_.auditor.notified_ready(pooler, host);
+    if (world_.options.defect == Defect::send_after_drain && draining) return;
+    world_.poolers[pooler]->core.list(EndpointListKind::changes, {info});
+}
+
+void Discovery::deliver_whole_list(SimulatedPooler& pooler) {
+    for (const auto& host : world_.hosts) {
+        if (host->draining)
+            world_.auditor.notified_draining(pooler.number, host->number, world_.timeline.now());
+        else
+            world_.auditor.notified_ready(pooler.number, host->number);
+    }
+    pooler.core.list(EndpointListKind::full, describe_all());
+}
+
+// One service for all poolers: calls wait for their turn, and fail when they have waited for too long.
+void Discovery::poll(SimulatedPooler& pooler) {
+    constexpr Duration kListCallTimeout = 1s;
+    service_free_at_ = std::max(service_free_at_, world_.timeline.now());
+    Duration takes(std::int64_t(1e6 / world_.options.list_calls_per_second));
+    Duration wait = service_free_at_ - world_.timeline.now();
+    bool fails = out_of_reach_ || wait > kListCallTimeout;
+    if (!fails) service_free_at_ += takes;
+    world_.timeline.after(fails ? kListCallTimeout : wait + takes, Rank::arrival,
+                          [this, number = pooler.number, fails, lifetime = pooler.lifetime()] {
+                              if (lifetime.expired()) return;
+                              SimulatedPooler& caller = *world_.poolers[number];
+                              caller.watches_list = !fails && !out_of_reach_;
+                              if (caller.watches_list)
+                                  deliver_whole_list(caller);
+                              else
+                                  caller.core.list(EndpointListKind::failed, {});
+                          });
+}
+
+void Discovery::begin_outage() {
+    out_of_reach_ = true;
+    for (auto& pooler : world_.poolers)
+        if (std::exchange(pooler->watches_list, false)) pooler->core.list(EndpointListKind::failed, {});
+}
+
+}  // namespace indigovane::lab
--- /dev/null
+++ b/src/lab/world.cpp
@@ -0,0 +1,188 @@
+#include "lab/world.hpp"
+
+#include <algorithm>
+
+namespace indigovane::lab {
+
+using namespace std::chrono_literals;
+using policy::Consistency;
+using Defect = FleetOptions::Defect;
+
+namespace {
+
+// Each part of the model draws from a stream of its own (lab/random.hpp).
+enum StreamNumber : std::uint32_t { kTraffic = 1, kWork, kFaults };
+
+constexpr Duration kSocketSlack = 50ms;  // time limits are so much longer on sockets
+
+Auditor::Limits auditor_limits(const FleetOptions& options) {
+    Auditor::Limits limits;
+    limits.drain = options.drain_grace + kSocketSlack;
+    limits.staleness_bound = options.staleness_bound + kSocketSlack;
+    limits.slow_start_share = options.slow_start_share;
+    limits.overload_multiple = options.overload_multiple;
+    limits.ramp = options.ramp;
+    limits.overload_window = options.overload_window;
+    return limits;
+}
+
+policy::ClassSettings class_settings(const ClassOptions& options, Duration staleness_bound) {
+    bool write = options.consistency == Consistency::write;
+    policy::ClassSettings settings;
+    settings.consistency = options.consistency;
+    settings.idempotency = write ? policy::Idempotency::not_idempotent : policy::Idempotency::idempotent;
+    settings.latency_objective = options.latency_objective;
+    settings.deadline = options.deadline;
+    settings.bound = staleness_bound;
+    settings.priority_weight = options.priority_weight;
+    settings.late_share = options.late_share;
+    return settings;
+}
+
+}  // namespace
+
+World::World(const FleetOptions& o)
+    : options(o),
+      timeline(o.permutation),
+      clock(timeline),
+      auditor(auditor_limits(o)),
+      traffic_stream(o.seed, kTraffic),
+      work_stream(o.seed, kWork),
+      fault_stream(o.seed, kFaults),
+      network(o.zones),
+      discovery(*this),
+      clients(*this),
+      faults(*this) {}
+
+policy::Settings World::settings() const {
+    policy::Settings settings;
+    settings.fleet_size = options.poolers;
+    settings.endpoint_list_mode = options.list_calls_per_second > 0 ? policy::EndpointListMode::polled
+                                                                    : policy::EndpointListMode::pushed;
+    settings.probes = true;
+    settings.cancels = true;
+    settings.retry_after = true;
+    settings.hedging = options.hedging;
+    settings.max_retry_after = 2s;
+    settings.attempts = 10;
+    settings.tokens =
+        options.clients_carry_tokens ? policy::TokenSource::carried : policy::TokenSource::remembered;
+    settings.staleness_check =
+        options.hosts_check_staleness ? policy::StalenessCheck::refuse : policy::StalenessCheck::none;
+    settings.health_check_price = options.health_check_price;
+    settings.slow_start_share = options.slow_start_share;
+    settings.ramp = options.ramp;
+    settings.overload_multiple = options.overload_multiple;
+    settings.overload_window = options.overload_window;
+    for (const ClassOptions& request_class : options.classes)
+        settings.classes.push_back(class_settings(request_class, options.staleness_bound));
+    return settings;
+}
+
+void World::make_hosts() {
+    for (unsigned group = 0; group < options.groups; ++group)
+        for (unsigned place = 0; place < options.hosts_per_group; ++place) {
+            std::uint32_t zone = (group + place) % std::max(1U, options.zones);
+            hosts.push_back(std::make_unique<Host>(options, timeline, std::uint32_t(hosts.size()), group,
+                                                   zone, place == 0));
+        }
+}
+
+void World::start_pooler(std::unique_ptr<SimulatedPooler>& place, std::uint32_t number, std::uint64_t seed) {
+    place = std::make_unique<SimulatedPooler>(*this, number, seed);
+    if (options.sites) {
+        std::vector<std::string> names;
+        for (const ClassOptions& request_class : options.classes) names.push_back(request_class.name);
+        place->core.watch_sites(*options.sites, routing::site_classes(settings(), names),
+                                options.seed * 7 + number);
+    }
+    discovery.add(*place);
+}
+
+void World::restart_pooler(std::uint32_t number) {
+    // Its clients see their connections break; what they had sent is theirs to send again.
+    clients.disconnect_from(number);
+    poolers[number]->core.run_batch();
+    poolers[number]->end_process();
+    network.reconnect_pooler(number);
+    ended_poolers_.push_back(std::move(poolers[number]));
+    start_pooler(poolers[number], number, options.seed * 1000 + 500 + number);
+}
+
+void World::crash(Host& host, CrashMode mode) {
+    host.crash();
+    if (host.primary) schedule_election(host.group);
+    if (mode == CrashMode::connections_reset) network.break_connections(host);
+}
+
+void World::restart(Host& host) {
+    network.break_connections(host);  // of before: the machine knows nothing of them
+    host.restart();
+    auditor.host_started(host.number, timeline.now(), double(options.cores));
+    discovery.notify(host);
+}
+
+void World::schedule_election(std::uint32_t group) {
+    if (options.election_s <= 0) return;
+    timeline.after(duration_of_seconds(options.election_s), Rank::world, [this, group] { elect(group); });
+}
+
+// A group whose primary is still gone has another: the first replica that is up.
+void World::elect(std::uint32_t group) {
+    Host* primary = nullptr;
+    Host* candidate = nullptr;
+    for (auto& host : hosts) {
+        if (host->group != group) continue;
+        if (host->primary)
+            primary = host.get();
+        else if (host->up() && !candidate)
+            candidate = host.get();
+    }
+    if (!primary || primary->up() || !candidate) return;
+    primary->primary = false;
+    candidate->primary = true;
+    discovery.notify(*candidate);
+}
+
+void World::plant_defect(const std::string& request, std::uint32_t pooler, std::uint32_t host) {
+    Time now = timeline.now();
+    if (options.defect == Defect::duplicate_attempt) auditor.sent(request, pooler, host + 1, now);
+    if (options.defect != Defect::overloaded_slow_start) return;
+    auditor.host_started(host, now, double(options.cores));
+    for (int i = 0; i < 2000; ++i) auditor.work_sent(host, 50ms, now);
+}
+
+void World::schedule_cleanup() {
+    timeline.after(1s, Rank::batch, [this] {
+        clients.forget_old_attempts();
+        schedule_cleanup();
+    });
+}
+
+FleetSummary World::run() {
+    make_hosts();
+    poolers.resize(options.poolers);
+    for (std::uint32_t i = 0; i < options.poolers; ++i) start_pooler(poolers[i], i, options.seed * 1000 + i);
+    faults.schedule_all();
+    schedule_cleanup();
+    clients.schedule_arrival();
+    Duration longest_deadline{};
+    for (const ClassOptions& request_class : options.classes)
+        longest_deadline = std::max(longest_deadline, request_class.deadline);
+    Time end = at_seconds(options.seconds) + longest_deadline * 2 + 1s;
+    summary.cut_short = !timeline.run(end, options.max_events);
+    finish();
+    return std::move(summary);
+}
+
+void World::finish() {
+    if (!summary.cut_short) auditor.finish(timeline.now());
+    std::sort(summary.latency_us.begin(), summary.latency_us.end());
+    summary.breaches = auditor.breaches();
+    for (const Auditor::Breach& breach : summary.breaches)
+        summary.overloads += breach.rule.find("cold") != std::string::npos;
+    summary.checks = auditor.checks();
+    summary.events = timeline.events();
+}
+
+}  // namespace indigovane::lab
--- a/tests/lab/fleet_test.cpp
+++ b/tests/lab/fleet_test.cpp
@@ -1,7 +1,8 @@
 // The emulator: the real core in virtual time. Determinism, order at one instant, queueing theory, planted
-// defects, and that the pooler keeps its rules through troubles.
+// defects, and that the pooler keeps its rules through faults.
 #include <doctest/doctest.h>
 
+#include "lab/random.hpp"
 #include "support/breaches.hpp"
 
 namespace indigovane::lab {
@@ -49,11 +50,11 @@
 }
 
 TEST_CASE("the same options give the same figures, to the byte, and another seed gives others") {
-    for (auto kind : {Trouble::Kind::jump, Trouble::Kind::lag, Trouble::Kind::kill, Trouble::Kind::drain,
-                      Trouble::Kind::gray, Trouble::Kind::restart}) {
+    for (auto kind : {Fault::Kind::surge, Fault::Kind::replication_lag, Fault::Kind::crash,
+                      Fault::Kind::drain, Fault::Kind::slow_hosts, Fault::Kind::restart_poolers}) {
         FleetOptions o = small();
         o.seconds = 3;
-        o.troubles = {{kind, 1, 2, 2, 0.5}};
+        o.faults = {{kind, 1, 2, 2, 0.5}};
         std::string first = run(o).text();
         CHECK(run(o).text() == first);
         o.seed = 2;
@@ -67,7 +68,7 @@
     double plain = run(o).goodput();
     for (std::uint64_t permutation : {1, 2, 3}) {
         o.permutation = permutation;
-        Summary s = run(o);
+        FleetSummary s = run(o);
         CHECK(rules(s) == "");
         CHECK(s.goodput() == doctest::Approx(plain).epsilon(0.02));
     }
@@ -76,13 +77,13 @@
 TEST_CASE("the rules hold on a calm day and through each trouble") {
     for (std::uint64_t seed : {1, 2}) {
         CHECK(rules(run(small(seed))) == "");
-        for (auto kind : {Trouble::Kind::jump, Trouble::Kind::lag, Trouble::Kind::kill, Trouble::Kind::drain,
-                          Trouble::Kind::gray, Trouble::Kind::restart}) {
+        for (auto kind : {Fault::Kind::surge, Fault::Kind::replication_lag, Fault::Kind::crash,
+                          Fault::Kind::drain, Fault::Kind::slow_hosts, Fault::Kind::restart_poolers}) {
             FleetOptions o = small(seed);
             o.seconds = 6;
             o.retries = 2;
-            o.troubles = {{kind, 2, 3, kind == Trouble::Kind::lag ? 5.0 : 2.5, 0.5}};
-            Summary s = run(o);
+            o.faults = {{kind, 2, 3, kind == Fault::Kind::replication_lag ? 5.0 : 2.5, 0.5}};
+            FleetSummary s = run(o);
             CHECK_MESSAGE(rules(s) == "", int(kind));
             CHECK(s.checks > 500);
         }
@@ -95,33 +96,33 @@
         FleetOptions o = small();
         o.defect = defect;
         o.seconds = 6;
-        o.troubles = {{Trouble::Kind::drain, 1, 5, 1, 0.7}};
+        o.faults = {{Fault::Kind::drain, 1, 5, 1, 0.7}};
         return rules(run(o));
     };
     CHECK(with(D::none) == "");
-    CHECK(with(D::second_copy).find("copies") != std::string::npos);
+    CHECK(with(D::duplicate_attempt).find("copies") != std::string::npos);
     CHECK(with(D::send_after_drain).find("drain") != std::string::npos);
     CHECK(with(D::stale_read).find("stale") != std::string::npos);
     CHECK(with(D::lost_answer).find("answer") != std::string::npos);
-    CHECK(with(D::cold_flooded).find("cold") != std::string::npos);
+    CHECK(with(D::overloaded_slow_start).find("cold") != std::string::npos);
 }
 
 TEST_CASE("a scenario that overloads for ever ends, within its memory, and says so") {
     FleetOptions o = small();
     o.rate = 2000;
     o.retries = 3;
-    o.most_events = 200000;
-    Summary s = run(o);
+    o.max_events = 200000;
+    FleetSummary s = run(o);
     CHECK(s.cut_short);
     CHECK(s.goodput() < 0.9);
 }
 
 TEST_CASE("a fleet: fifty poolers before a hundred and twenty hosts keep the rules through a release") {
     FleetOptions o = usual_fleet();
-    o.poolers = 50, o.groups = 30, o.members = 4;
+    o.poolers = 50, o.groups = 30, o.hosts_per_group = 4;
     o.rate = 1500, o.seconds = 3, o.sessions = 5000;
-    o.troubles = {{Trouble::Kind::restart, 1.5, 0, 1, 0.8}};
-    Summary s = run(o);
+    o.faults = {{Fault::Kind::restart_poolers, 1.5, 0, 1, 0.8}};
+    FleetSummary s = run(o);
     CHECK(rules(s) == "");
     CHECK(s.requests > 3000);
     CHECK(s.goodput() > 0.8);
@@ -130,17 +131,17 @@
 // Sixty hosts and the same traffic before ever more poolers: a third of the hosts goes and comes back cold.
 FleetOptions large(unsigned poolers) {
     FleetOptions o = usual_fleet();
-    o.poolers = poolers, o.groups = 12, o.members = 5;
+    o.poolers = poolers, o.groups = 12, o.hosts_per_group = 5;
     o.rate = 1400, o.seconds = 4, o.sessions = 5000;
-    o.health_check_price = 0.08, o.checked = true;
-    o.troubles = {{Trouble::Kind::kill, 1, 2, 1, 0.33}};
+    o.health_check_price = 0.08, o.hosts_check_staleness = true;
+    o.faults = {{Fault::Kind::crash, 1, 2, 1, 0.33}};
     return o;
 }
 
 void costs(std::initializer_list<unsigned> fleets) {
     for (unsigned poolers : fleets) {
-        Summary s = run(large(poolers));
-        double probes = double(s.probes) / double(s.requests),
+        FleetSummary s = run(large(poolers));
+        double probes = double(s.health_checks) / double(s.requests),
                connects = double(s.connects) / double(s.requests);
         MESSAGE(poolers, " poolers: probes a request ", probes, ", connections ", connects,
                 ", worth in time ", s.goodput());
@@ -162,12 +163,11 @@
 
 TEST_CASE(
     "large fleet: rules hold through a mass kill, a lost third that returns cold, and six in ten replaced") {
-    for (auto trouble :
-         {Trouble{Trouble::Kind::restart, 1, 0, 1, 0.7}, Trouble{Trouble::Kind::kill, 1, 2, 1, 0.33},
-          Trouble{Trouble::Kind::kill, 1, 2, 1, 0.6}}) {
+    for (auto trouble : {Fault{Fault::Kind::restart_poolers, 1, 0, 1, 0.7},
+                         Fault{Fault::Kind::crash, 1, 2, 1, 0.33}, Fault{Fault::Kind::crash, 1, 2, 1, 0.6}}) {
         FleetOptions o = large(60);
-        o.troubles = {trouble, {Trouble::Kind::gray, 1, 3, 8, 0.1}};
-        Summary s = run(o);
+        o.faults = {trouble, {Fault::Kind::slow_hosts, 1, 3, 8, 0.1}};
+        FleetSummary s = run(o);
         CHECK(rules(s) == "");
         CHECK(s.goodput() > 0.4);
     }
@@ -184,18 +184,19 @@
 }
 
 TEST_CASE("stations: the rules hold on a calm day and through each trouble, and two at once") {
-    using K = Trouble::Kind;
+    using K = Fault::Kind;
     CHECK(rules(run(station())) == "");
-    for (auto kind : {K::jump, K::lag, K::kill, K::drain, K::gray, K::restart, K::blind, K::caller}) {
+    for (auto kind : {K::surge, K::replication_lag, K::crash, K::drain, K::slow_hosts, K::restart_poolers,
+                      K::discovery_outage, K::hot_client}) {
         FleetOptions o = station();
-        o.troubles = {{kind, 1, 2, kind == K::caller ? 0.3 : kind == K::gray ? 6.0 : 1.6, 0.25}};
-        Summary s = run(o);
+        o.faults = {{kind, 1, 2, kind == K::hot_client ? 0.3 : kind == K::slow_hosts ? 6.0 : 1.6, 0.25}};
+        FleetSummary s = run(o);
         CHECK_MESSAGE(rules(s) == "", int(kind));
         CHECK(s.goodput() > 0.5);
     }
-    for (auto kind : {K::drain, K::restart}) {
+    for (auto kind : {K::drain, K::restart_poolers}) {
         FleetOptions o = station();
-        o.troubles = {{K::blind, 0.5, 3, 1, 1}, {kind, 1, 2, 1, 0.25}};
+        o.faults = {{K::discovery_outage, 0.5, 3, 1, 1}, {kind, 1, 2, 1, 0.25}};
         CHECK_MESSAGE(rules(run(o)) == "", int(kind));
     }
 }
@@ -204,8 +205,8 @@
 TEST_CASE("stations: forty poolers before a list service of three calls a second all hear of a drain") {
     FleetOptions o = station();
     o.poolers = 40, o.seconds = 18, o.rate = 40;
-    o.troubles = {{Trouble::Kind::drain, 15, 3, 1, 0.25}};
-    Summary s = run(o);
+    o.faults = {{Fault::Kind::drain, 15, 3, 1, 0.25}};
+    FleetSummary s = run(o);
     CHECK(rules(s) == "");
     CHECK(s.goodput() > 0.8);
 }
@@ -216,7 +217,7 @@
     for (std::uint64_t seed : {1, 2}) {
         FleetOptions o = station(seed);
         o.rate = 460, o.seconds = 6;
-        Summary s = run(o);
+        FleetSummary s = run(o);
         CHECK(rules(s) == "");
         sum += s.goodput() / 2;
     }
--- a/tests/lab/recorded_runs_test.cpp
+++ b/tests/lab/recorded_runs_test.cpp
@@ -36,8 +36,8 @@
     options.poolers = 9;
     options.zones = 3;
     options.groups = 6;
-    options.members = 5;
-    options.checked = true;
+    options.hosts_per_group = 5;
+    options.hosts_check_staleness = true;
     options.sites.emplace();
     options.sites->enabled = true;
     return options;
@@ -48,30 +48,32 @@
 }
 
 std::vector<RecordedRun> fleet_runs() {
-    using Kind = Trouble::Kind;
+    using Kind = Fault::Kind;
     std::vector<RecordedRun> runs;
-    const std::pair<Kind, const char*> host_faults[] = {
-        {Kind::jump, "surge"},         {Kind::lag, "lag"},          {Kind::kill, "kill"},
-        {Kind::drain, "drain"},        {Kind::gray, "slow-hosts"},  {Kind::restart, "restart"},
-        {Kind::blind, "no-discovery"}, {Kind::caller, "hot-client"}};
+    const std::pair<Kind, const char*> host_faults[] = {{Kind::surge, "surge"},
+                                                        {Kind::replication_lag, "lag"},
+                                                        {Kind::crash, "kill"},
+                                                        {Kind::drain, "drain"},
+                                                        {Kind::slow_hosts, "slow-hosts"},
+                                                        {Kind::restart_poolers, "restart"},
+                                                        {Kind::discovery_outage, "no-discovery"},
+                                                        {Kind::hot_client, "hot-client"}};
     for (auto [kind, name] : host_faults) {
         FleetOptions laundry = small_fleet(usual_fleet(), 31);
-        laundry.troubles = {{kind, 1, 2, 2, 0.5}};
+        laundry.faults = {{kind, 1, 2, 2, 0.5}};
         runs.push_back(fleet_run(std::string("laundry-") + name, laundry));
         FleetOptions charging = small_fleet(station_fleet(), 32);
-        charging.troubles = laundry.troubles;
+        charging.faults = laundry.faults;
         runs.push_back(fleet_run(std::string("charging-") + name, charging));
     }
-    const std::pair<Kind, const char*> zone_faults[] = {{Kind::zone_silent, "zone-silent"},
-                                                        {Kind::zone_reset, "zone-reset"},
-                                                        {Kind::zone_cut, "zone-cut"},
-                                                        {Kind::zone_deaf, "zone-one-way"},
-                                                        {Kind::zone_flap, "zone-flap"},
-                                                        {Kind::uplink, "own-link"},
-                                                        {Kind::stall, "stall"}};
+    const std::pair<Kind, const char*> zone_faults[] = {
+        {Kind::zone_vanishes, "zone-silent"}, {Kind::zone_resets, "zone-reset"},
+        {Kind::zone_partition, "zone-cut"},   {Kind::zone_one_way, "zone-one-way"},
+        {Kind::zone_flapping, "zone-flap"},   {Kind::pooler_disconnected, "own-link"},
+        {Kind::pooler_paused, "stall"}};
     for (auto [kind, name] : zone_faults) {
         FleetOptions laundry = zoned_fleet(usual_fleet(), 33);
-        laundry.troubles = {{kind, 2, 3, 1, 0.3}};
+        laundry.faults = {{kind, 2, 3, 1, 0.3}};
         runs.push_back(fleet_run(std::string("laundry-") + name, laundry));
     }
     return runs;
--- a/tests/lab/site_loss_test.cpp
+++ b/tests/lab/site_loss_test.cpp
@@ -9,17 +9,17 @@
 namespace indigovane::lab {
 namespace {
 
-using K = Trouble::Kind;
+using K = Fault::Kind;
 
 FleetOptions zoned(unsigned poolers, std::uint64_t seed) {
     FleetOptions o = usual_fleet();
     o.poolers = poolers;
     o.zones = 3;
-    o.groups = 12, o.members = 5;
+    o.groups = 12, o.hosts_per_group = 5;
     o.rate = 1500;
     o.seconds = 24;
     o.sessions = 3000;
-    o.checked = true;
+    o.hosts_check_staleness = true;
     o.health_check_price = 0.02;
     o.retries = 2;
     o.seed = seed;
@@ -30,14 +30,14 @@
     o.sites->enabled = true;
     return o;
 }
-constexpr std::pair<K, const char*> kLosses[] = {{K::zone_silent, "silent"}, {K::zone_reset, "reset"},
-                                                 {K::zone_cut, "cut"},       {K::zone_deaf, "one-way"},
-                                                 {K::zone_flap, "flapping"}, {K::uplink, "own-link"}};
+constexpr std::pair<K, const char*> kLosses[] = {
+    {K::zone_vanishes, "silent"}, {K::zone_resets, "reset"},      {K::zone_partition, "cut"},
+    {K::zone_one_way, "one-way"}, {K::zone_flapping, "flapping"}, {K::pooler_disconnected, "own-link"}};
 
 FleetOptions little(K kind, std::uint64_t seed) {
     FleetOptions o = zoned(11, seed);
     o.groups = 6, o.rate = 450, o.seconds = 12, o.sessions = 900;
-    o.troubles = {{kind, 3, 3, 1, 0.3}};
+    o.faults = {{kind, 3, 3, 1, 0.3}};
     return o;
 }
 
@@ -47,7 +47,7 @@
     double off = 0, on = 0, connects_off = 0, connects_on = 0;
     for (auto [kind, loss] : kLosses) {
         FleetOptions o = little(kind, 5);
-        Summary without = run(o), with = run(watched(o));
+        FleetSummary without = run(o), with = run(watched(o));
         CHECK_MESSAGE(rules(with) == "", loss);
         CHECK_MESSAGE(with.served_between(3, 6) > without.served_between(3, 6) - 0.02, loss);
         off += without.served_between(3, 6), on += with.served_between(3, 6);
@@ -58,15 +58,15 @@
 }
 
 TEST_CASE("site loss: a third of the poolers stand still through it, and wake to judge nobody wrongly") {
-    FleetOptions o = watched(little(K::zone_silent, 6));
-    o.troubles.push_back({K::stall, 2.5, 4, 1, 0.34});
-    Summary s = run(o);
+    FleetOptions o = watched(little(K::zone_vanishes, 6));
+    o.faults.push_back({K::pooler_paused, 2.5, 4, 1, 0.34});
+    FleetSummary s = run(o);
     CHECK(rules(s) == "");
     CHECK(s.served_between(9, 12) > 0.9);
 }
 
 TEST_CASE("site loss: equal options give equal figures with sites watched") {
-    FleetOptions o = watched(little(K::zone_cut, 7));
+    FleetOptions o = watched(little(K::zone_partition, 7));
     o.seconds = 6;
     CHECK(run(o).text() == run(o).text());
 }
@@ -99,15 +99,15 @@
                     o.sites->budget = part != "-budget";
                     o.sites->pace = part != "-pace";
                 }
-                o.troubles = {{kind, 5, 6, 1, 0.3}};
-                Summary s = run(o);
+                o.faults = {{kind, 5, 6, 1, 0.3}};
+                FleetSummary s = run(o);
                 in += s.served_between(5, 11) / seeds;
                 after += s.served_between(11, 18) / seeds;
                 until += s.seconds_until(11, 0.95) / seeds;
                 double n = double(s.requests);
-                attempts += double(s.attempts) / n / seeds, probes += double(s.probes) / n / seeds;
+                attempts += double(s.attempts) / n / seeds, probes += double(s.health_checks) / n / seeds;
                 connects += double(s.connects) / n / seeds;
-                falls += s.falls;
+                falls += s.overloads;
                 broken += rules(s);
             }
             std::printf("%-10s %-12s %8.3f %8.3f %8.1f %8.3f %8.3f %8.3f %6llu %s\n", loss, off, in, after,
--- a/tests/support/breaches.hpp
+++ b/tests/support/breaches.hpp
@@ -8,7 +8,7 @@
 
 namespace indigovane::lab {
 
-inline std::string rules(const Summary& s) {
+inline std::string rules(const FleetSummary& s) {
     std::set<std::string> out;
     for (const auto& b : s.breaches) out.insert(b.rule);
     std::string text;
