--- a/src/adapters/pg_backend.cpp
+++ b/src/adapters/pg_backend.cpp
@@ -133,7 +133,7 @@
         bytes_ = left_ = rows_ = 0;
         begun_ = paused_ = own_error_ = false;
         connection_->limit_unread(kRowLimit + kOtherLimit);
-        connection_->read_room(2048);
+        connection_->set_read_size(2048);
         part_ = Part::columns;
         ask(std::move(message));
     }
@@ -201,7 +201,7 @@
         ++rows_;
         left_ = length - 10;
         connection_->limit_unread(kUnreadLong);
-        connection_->read_room(kUnreadLong / 2);
+        connection_->set_read_size(kUnreadLong / 2);
         owner_->on_begun(*this, result_.answer, left_);
         return nullptr;
     }
--- a/src/transport/buffer.hpp
+++ b/src/transport/buffer.hpp
@@ -10,7 +10,7 @@
 
 namespace indigovane::transport {
 
-// Grows as it needs to and is compacted in place: what is unread moves to the front when room runs out
+// Grows as it needs to and is compacted in place: what is unread moves to the front when free space runs out
 // behind it. Gives back a large block once it has been emptied, so that many idle connections stay small.
 class Buffer {
   public:
@@ -20,17 +20,17 @@
     std::uint64_t consumed() const { return consumed_; }  // bytes, since the beginning
     std::size_t capacity() const { return bytes_.size(); }
 
-    // Room for at least `room` more bytes; returned with its true length.
+    // Free space for at least `least` more bytes; returned with its true length.
     struct Span {
         char* data;
         std::size_t size;
     };
-    Span prepare(std::size_t room) {
-        if (bytes_.size() - end_ < room) compact();
-        if (bytes_.size() - end_ < room) bytes_.resize(std::max(end_ + room, bytes_.size() * 2));
+    Span prepare(std::size_t least) {
+        if (bytes_.size() - end_ < least) compact();
+        if (bytes_.size() - end_ < least) bytes_.resize(std::max(end_ + least, bytes_.size() * 2));
         return {bytes_.data() + end_, bytes_.size() - end_};
     }
-    // Room for so many unread bytes in all, and no more: what is to come is known.
+    // Space for so many unread bytes in all, and no more: what is to come is known.
     void reserve(std::size_t total) {
         compact();
         if (bytes_.size() >= total) return;
@@ -45,14 +45,14 @@
         consumed_ += count;
         if (begin_ != end_) return;
         begin_ = end_ = 0;
-        if (bytes_.size() > kKept) {
+        if (bytes_.size() > kRetainedCapacity) {
             bytes_.clear();
             bytes_.shrink_to_fit();
         }
     }
 
   private:
-    static constexpr std::size_t kKept = 16384;
+    static constexpr std::size_t kRetainedCapacity = 16384;
 
     void compact() {
         if (begin_ == 0) return;
--- a/src/transport/channel.cpp
+++ b/src/transport/channel.cpp
@@ -169,18 +169,18 @@
         reenter(this) {
             for (;;) {
                 yield listener->socket_.async_wait(asio::posix::stream_descriptor::wait_read, Accept(*this));
-                if (Descriptor taken(::accept4(listener->socket_.native_handle(), nullptr, nullptr,
-                                               SOCK_NONBLOCK | SOCK_CLOEXEC));
-                    taken)
-                    listener->taker_(std::move(taken));
+                if (Descriptor accepted(::accept4(listener->socket_.native_handle(), nullptr, nullptr,
+                                                  SOCK_NONBLOCK | SOCK_CLOEXEC));
+                    accepted)
+                    listener->on_accept_(std::move(accepted));
             }
         }
     }
 };
 
 ChannelListener::ChannelListener(asio::io_context& io, const std::string& folder, const std::string& name,
-                                 Taker taker)
-    : socket_(io), taker_(std::move(taker)) {
+                                 AcceptHandler on_accept)
+    : socket_(io), on_accept_(std::move(on_accept)) {
     Descriptor in = open_folder(folder), socket = open_socket();
     // Bound under another name first: whoever asks meanwhile finds the one that listens yet.
     std::string fresh = name + "." + std::to_string(::getpid());
--- a/src/transport/channel.hpp
+++ b/src/transport/channel.hpp
@@ -76,14 +76,15 @@
 
 class ChannelListener {
   public:
-    using Taker = std::function<void(Descriptor)>;
+    using AcceptHandler = std::function<void(Descriptor)>;
     // Takes the name over from whoever has it; throws std::runtime_error where it can't be had.
-    ChannelListener(asio::io_context& io, const std::string& folder, const std::string& name, Taker taker);
+    ChannelListener(asio::io_context& io, const std::string& folder, const std::string& name,
+                    AcceptHandler on_accept);
 
   private:
     struct Accept;
     asio::posix::stream_descriptor socket_;
-    Taker taker_;
+    AcceptHandler on_accept_;
 };
 
 }  // namespace indigovane::transport
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -19,8 +19,8 @@
 constexpr auto kLingerTime = std::chrono::milliseconds(1000);  // to write what is left; to discard
 constexpr auto kAwaitEnd = std::chrono::milliseconds(300);     // for the other side's end, after our own
 constexpr auto kHangupEvery =
-    std::chrono::milliseconds(40);               // a client that has gone is to be seen in 100 ms
-constexpr std::size_t kWriteBufferKept = 16384;  // bytes of an empty write buffer that stay allocated
+    std::chrono::milliseconds(40);                   // a client that has gone is to be seen in 100 ms
+constexpr std::size_t kRetainedWriteBuffer = 16384;  // bytes of an empty write buffer that stay allocated
 
 // An interrupted call, or one for which nothing was there yet, is made again.
 bool transient(const error_code& ec) {
@@ -47,45 +47,46 @@
     Reader(std::shared_ptr<Connection> c, bool connecting) : self(std::move(c)), connect(connecting) {}
 
     void operator()(error_code ec = {}) {
-        Connection& c = *self;
+        Connection& connection = *self;
         std::size_t count = 0;
-        if (c.state_ == State::closed) return;
+        if (connection.state_ == State::closed) return;
         reenter(this) {
             if (connect) {
-                yield c.socket_.async_connect(c.peer_, Reader(*this));
+                yield connection.socket_.async_connect(connection.peer_, Reader(*this));
                 if (ec) {
-                    c.fail(ec);
+                    connection.fail(ec);
                     return;
                 }
-                c.state_ = State::open;
-                c.socket_.set_option(asio::ip::tcp::no_delay(true), ec);
-                c.socket_.non_blocking(true, ec);
-                if (c.handler_) c.handler_->on_connected();
+                connection.state_ = State::open;
+                connection.socket_.set_option(asio::ip::tcp::no_delay(true), ec);
+                connection.socket_.non_blocking(true, ec);
+                if (connection.handler_) connection.handler_->on_connected();
             }
-            while (c.state_ == State::open && !c.close_when_written_) {
-                if (c.in_.size() >= c.limit_) {  // backpressure: resume() starts another reader
-                    c.reading_ = false;
-                    c.await_hangup();
+            while (connection.state_ == State::open && !connection.close_when_written_) {
+                if (connection.in_.size() >=
+                    connection.limit_) {  // backpressure: resume() starts another reader
+                    connection.reading_ = false;
+                    connection.await_hangup();
                     return;
                 }
-                c.reading_ = true;
-                // Waits for readiness without holding room in the buffer: the handler consumes from it, and
-                // so moves it, while a read is pending.
-                yield c.socket_.async_wait(asio::ip::tcp::socket::wait_read, Reader(*this));
-                if (c.close_when_written_) return;
+                connection.reading_ = true;
+                // Waits for readiness without reserving a part of the buffer: the handler consumes from it,
+                // and so moves it, while a read is pending.
+                yield connection.socket_.async_wait(asio::ip::tcp::socket::wait_read, Reader(*this));
+                if (connection.close_when_written_) return;
                 if (!ec) {
-                    Buffer::Span room = c.in_.prepare(c.room_);
-                    count = c.socket_.read_some(asio::buffer(room.data, room.size), ec);
+                    Buffer::Span free = connection.in_.prepare(connection.read_size_);
+                    count = connection.socket_.read_some(asio::buffer(free.data, free.size), ec);
                 }
                 if (transient(ec)) continue;
                 if (ec) {
-                    c.fail(ec);
+                    connection.fail(ec);
                     return;
                 }
-                c.in_.commit(count);
-                if (c.handler_) c.handler_->on_data(c.in_);
+                connection.in_.commit(count);
+                if (connection.handler_) connection.handler_->on_data(connection.in_);
             }
-            c.reading_ = false;
+            connection.reading_ = false;
         }
     }
 };
@@ -101,27 +102,27 @@
     explicit Writer(std::shared_ptr<Connection> c) : self(std::move(c)) {}
 
     void operator()(error_code ec = {}) {
-        Connection& c = *self;
-        if (c.state_ == State::closed) return;
+        Connection& connection = *self;
+        if (connection.state_ == State::closed) return;
         reenter(this) {
             for (;;) {
-                while (!failure && c.write_some(failure)) {
+                while (!failure && connection.write_some(failure)) {
                 }
                 if (failure == asio::error::would_block) {
                     failure = {};
                     posted = true;
-                    yield c.socket_.async_wait(asio::ip::tcp::socket::wait_write, Writer(*this));
+                    yield connection.socket_.async_wait(asio::ip::tcp::socket::wait_write, Writer(*this));
                     failure = ec;
                     continue;
                 }
                 if (posted) break;
                 posted = true;
-                yield asio::post(c.strand_, Writer(*this));
+                yield asio::post(connection.strand_, Writer(*this));
             }
-            if (failure) return c.fail(failure);
-            c.writer_busy_ = false;
-            if (c.close_when_written_) return c.half_close();
-            if (c.handler_) c.handler_->on_written();
+            if (failure) return connection.fail(failure);
+            connection.writer_busy_ = false;
+            if (connection.close_when_written_) return connection.half_close();
+            if (connection.handler_) connection.handler_->on_written();
         }
     }
 };
@@ -133,16 +134,16 @@
     explicit Discard(std::shared_ptr<Connection> c) : self(std::move(c)) {}
 
     void operator()(error_code ec = {}) {
-        Connection& c = *self;
-        if (c.state_ == State::closed) return;
+        Connection& connection = *self;
+        if (connection.state_ == State::closed) return;
         char scratch[8192];
         reenter(this) {
             while (!ec && left > 0) {
-                yield c.socket_.async_wait(asio::ip::tcp::socket::wait_read, Discard(*this));
-                if (!ec) left -= std::min(left, c.socket_.read_some(asio::buffer(scratch), ec));
+                yield connection.socket_.async_wait(asio::ip::tcp::socket::wait_read, Discard(*this));
+                if (!ec) left -= std::min(left, connection.socket_.read_some(asio::buffer(scratch), ec));
                 if (transient(ec)) ec = {};
             }
-            c.close();
+            connection.close();
         }
     }
 };
@@ -155,11 +156,11 @@
     explicit AwaitEnd(std::shared_ptr<Connection> c) : self(std::move(c)) {}
 
     void operator()(error_code ec = {}) {
-        Connection& c = *self;
-        if (c.state_ == State::closed) return;
+        Connection& connection = *self;
+        if (connection.state_ == State::closed) return;
         reenter(this) {
-            yield c.socket_.async_wait(asio::ip::tcp::socket::wait_read, AwaitEnd(*this));
-            if (ec || peek(c.socket_.native_handle()) != Peek::bytes) c.close();
+            yield connection.socket_.async_wait(asio::ip::tcp::socket::wait_read, AwaitEnd(*this));
+            if (ec || peek(connection.socket_.native_handle()) != Peek::bytes) connection.close();
         }
     }
 };
@@ -236,7 +237,7 @@
     if (written_ == writing_.size()) {
         written_ = 0;
         writing_.clear();
-        if (writing_.capacity() > kWriteBufferKept) writing_.shrink_to_fit();
+        if (writing_.capacity() > kRetainedWriteBuffer) writing_.shrink_to_fit();
     }
     return !ec;
 }
--- a/src/transport/connection.hpp
+++ b/src/transport/connection.hpp
@@ -59,7 +59,7 @@
     std::uint64_t sent() const { return sent_; }  // bytes that the kernel has taken
 
     // So many bytes are read at once, at least.
-    void read_room(std::size_t bytes) { room_ = bytes; }
+    void set_read_size(std::size_t bytes) { read_size_ = bytes; }
     // While more than this is unread the connection reads no further.
     void limit_unread(std::size_t bytes) { limit_ = bytes; }
     void resume();  // something was consumed: reading may go on
@@ -105,7 +105,7 @@
     Buffer in_;
     std::string out_, writing_;  // waiting to be written; being written
     std::size_t written_ = 0;    // of the latter
-    std::size_t limit_ = 1 << 20, room_ = 2048;
+    std::size_t limit_ = 1 << 20, read_size_ = 2048;
     std::uint64_t sent_ = 0;
     Crossing crossing_ = Crossing::unread;
     bool reading_ = false, writer_busy_ = false, close_when_written_ = false, established_ = false;
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -48,7 +48,7 @@
     error_code ec;
     asio::ip::tcp::socket socket(io_);
     acceptor_.accept(socket, ec);
-    if (!ec) taker_(std::move(socket));
+    if (!ec) on_accept_(std::move(socket));
     return concerns_one_connection(ec) ? error_code{} : ec;
 }
 
@@ -62,8 +62,12 @@
     return {};
 }
 
-Listener::Listener(asio::io_context& io, const ListenAt& where, Taker taker)
-    : io_(io), strand_(asio::make_strand(io)), acceptor_(strand_), retry_(strand_), taker_(std::move(taker)) {
+Listener::Listener(asio::io_context& io, const ListenAt& where, AcceptHandler on_accept)
+    : io_(io),
+      strand_(asio::make_strand(io)),
+      acceptor_(strand_),
+      retry_(strand_),
+      on_accept_(std::move(on_accept)) {
     const SocketAddress& at = where.at;
     if (where.inherited >= 0) {
         acceptor_.assign(at.protocol(), where.inherited);
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -1,4 +1,4 @@
-// Accepts connections, as long as whoever takes them has room.
+// Accepts connections, as long as their handler has capacity.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -19,10 +19,10 @@
 
 class Listener {
   public:
-    using Taker = std::function<void(asio::ip::tcp::socket)>;
+    using AcceptHandler = std::function<void(asio::ip::tcp::socket)>;
 
     // Throws boost::system::system_error when the address can't be had.
-    Listener(asio::io_context& io, const ListenAt& at, Taker taker);
+    Listener(asio::io_context& io, const ListenAt& at, AcceptHandler on_accept);
 
     void start();
     void pause();  // what comes meanwhile waits in the kernel's queue
@@ -43,7 +43,7 @@
     Strand strand_;
     asio::ip::tcp::acceptor acceptor_;
     asio::steady_timer retry_;
-    Taker taker_;
+    AcceptHandler on_accept_;
     bool paused_ = false, accepting_ = false;
 };
 
