--- a/src/adapters/backend_connection_base.hpp
+++ b/src/adapters/backend_connection_base.hpp
@@ -36,7 +36,7 @@
     }
 
   protected:
-    enum class State { starting, idle, asked };
+    enum class State { starting, idle, awaiting_answer };
 
     void on_closed(const transport::error_code& ec) override {
         auto self = shared_from_this();
@@ -45,7 +45,7 @@
     // What a break at this moment says of the job.
     virtual End broken() const {
         if (state_ == State::starting) return End::unreachable;
-        if (state_ == State::asked && !connection_->all_written()) return End::unwritten;
+        if (state_ == State::awaiting_answer && !connection_->all_written()) return End::unwritten;
         return End::written;
     }
     void end(End how) {
@@ -57,8 +57,8 @@
         connection_->established();
         owner_->on_ready(*this);
     }
-    void ask(std::string bytes) {
-        state_ = State::asked;
+    void send_request(std::string bytes) {
+        state_ = State::awaiting_answer;
         connection_->write(std::move(bytes));
     }
     void answer(routing::AttemptResult result) {
--- a/src/adapters/client_listener.cpp
+++ b/src/adapters/client_listener.cpp
@@ -98,7 +98,7 @@
     session->came = std::chrono::steady_clock::now();
     sessions_.emplace(session->used, session);
     session->begin(std::move(socket), read);
-    if (sessions_.size() >= most_) make_room(*session);
+    if (sessions_.size() >= most_) evict_idle_session(*session);
 }
 
 void ClientListener::touch(Session& session) {
@@ -120,7 +120,7 @@
 // that had time to ask and has not, so that clients which only connect displace each other; a newcomer last,
 // since its first request is on its way. Of its kind the one unused for longest. When every session is busy,
 // what comes waits in the kernel's queue.
-void ClientListener::make_room(const Session& newcomer) {
+void ClientListener::evict_idle_session(const Session& newcomer) {
     constexpr auto kFirstRequestTime = std::chrono::milliseconds(50);
     auto overdue_since = std::chrono::steady_clock::now() - kFirstRequestTime;
     auto kind = [&](const Session& s) { return s.served ? 1 : s.came <= overdue_since ? 0 : 2; };
@@ -168,10 +168,10 @@
 
 bool ClientListener::crowded(Session& session) {
     constexpr std::size_t kSmallSessionBytes = 16384;
-    std::size_t held = session.held() - std::min(session.held(), session.granted);
-    bytes_ += held - session.counted;
-    session.counted = held;
-    return bytes_ > bytes_most_ && held > kSmallSessionBytes;
+    std::size_t bytes = session.memory_bytes() - std::min(session.memory_bytes(), session.granted);
+    bytes_ += bytes - session.counted;
+    session.counted = bytes;
+    return bytes_ > bytes_most_ && bytes > kSmallSessionBytes;
 }
 
 void ClientListener::linger(const std::shared_ptr<transport::Connection>& connection) {
--- a/src/adapters/client_listener.hpp
+++ b/src/adapters/client_listener.hpp
@@ -56,7 +56,7 @@
     void take(boost::asio::ip::tcp::socket socket);
     void take_in(std::shared_ptr<Session> session, boost::asio::ip::tcp::socket socket,
                  std::string_view read);
-    void make_room(const Session& newcomer);
+    void evict_idle_session(const Session& newcomer);
 
     boost::asio::io_context& io_;
     transport::Listener listener_;
--- a/src/adapters/control_front.cpp
+++ b/src/adapters/control_front.cpp
@@ -26,7 +26,7 @@
         });
     }
     void on_data(transport::Buffer& in) override {
-        if (asked_) return;  // its answer is on its way
+        if (call_received_) return;  // its answer is on its way
         std::string_view text = in.view();
         std::size_t end = text.find('\n');
         if (std::min(end, text.size()) > front_.limits_.line) return finish("-ERR the line is too long");
@@ -36,7 +36,7 @@
         Operations::Reply reply = front_.answer(line);
         std::string head = reply.ok ? "+OK " : "-ERR ";
         if (!reply.later) return finish(head + reply.text);
-        asked_ = true;
+        call_received_ = true;
         reply.later([weak = weak_from_this(), head](std::string text) {
             if (auto self = weak.lock()) self->finish(head + text);
         });
@@ -63,7 +63,7 @@
     std::uint64_t number_;
     std::shared_ptr<transport::Connection> connection_;
     boost::asio::steady_timer timer_;
-    bool over_ = false, asked_ = false;
+    bool over_ = false, call_received_ = false;
 };
 
 ControlFront::ControlFront(boost::asio::io_context& io, const transport::SocketAddress& at,
--- a/src/adapters/peer_link.cpp
+++ b/src/adapters/peer_link.cpp
@@ -9,11 +9,11 @@
 using asio::ip::udp;
 
 namespace {
-constexpr int kTold = 2;  // so often: what is lost twice is found out by each for itself, as ever
+constexpr int kSendsPerPrimary = 2;  // datagrams get lost; one that is lost twice costs a health check
 }
 
-PeerLink::PeerLink(asio::io_context& io, PeerOptions options, Hear hear)
-    : options_(std::move(options)), hear_(std::move(hear)), socket_(io), timer_(io) {
+PeerLink::PeerLink(asio::io_context& io, PeerOptions options, PrimaryHandler on_primary)
+    : options_(std::move(options)), on_primary_(std::move(on_primary)), socket_(io), timer_(io) {
     socket_.open(options_.listen.protocol());
     socket_.bind(options_.listen);
     socket_.non_blocking(true);
@@ -40,25 +40,25 @@
         ++(message ? counts_.foreign : counts_.malformed);
         return;
     }
-    Heard& heard = heard_[from_];
-    if (heard.incarnation == message->incarnation && message->number <= heard.number) {
+    LastMessage& last = last_messages_[from_];
+    if (last.incarnation == message->incarnation && message->number <= last.number) {
         ++counts_.old;
         return;
     }
-    heard = {message->incarnation, message->number};
-    ++counts_.taken;
-    for (const peer::Primary& p : message->primaries) hear_(p);
+    last = {message->incarnation, message->number};
+    ++counts_.accepted;
+    for (const peer::Primary& p : message->primaries) on_primary_(p);
 }
 
 void PeerLink::tell(peer::Primary primary) {
     std::uint32_t group = primary.group;
-    news_[group] = {std::move(primary), 0, std::chrono::steady_clock::now() + options_.gather};
-    pump();
+    pending_[group] = {std::move(primary), 0, std::chrono::steady_clock::now() + options_.gather};
+    schedule_send();
 }
 
-void PeerLink::pump() {
-    if (news_.empty() || std::exchange(armed_, true)) return;
-    auto next = std::min_element(news_.begin(), news_.end(), [](const auto& a, const auto& b) {
+void PeerLink::schedule_send() {
+    if (pending_.empty() || std::exchange(armed_, true)) return;
+    auto next = std::min_element(pending_.begin(), pending_.end(), [](const auto& a, const auto& b) {
                     return a.second.next < b.second.next;
                 })->second.next;
     timer_.expires_at(next);
@@ -66,21 +66,21 @@
         if (ec) return;
         armed_ = false;
         send();
-        pump();
+        schedule_send();
     });
 }
 
 void PeerLink::send() {
     peer::Message message{options_.cluster, options_.incarnation, 0, {}};
     auto now = std::chrono::steady_clock::now();
-    for (auto it = news_.begin(); it != news_.end();) {
-        StoreEvent& news = it->second;
-        if (news.next <= now) {
-            message.primaries.push_back(news.primary);
-            news.next = now + options_.again;
-            ++news.times;
+    for (auto it = pending_.begin(); it != pending_.end();) {
+        PendingPrimary& pending = it->second;
+        if (pending.next <= now) {
+            message.primaries.push_back(pending.primary);
+            pending.next = now + options_.again;
+            ++pending.sends;
         }
-        it = news.times >= kTold ? news_.erase(it) : std::next(it);
+        it = pending.sends >= kSendsPerPrimary ? pending_.erase(it) : std::next(it);
     }
     while (!message.primaries.empty()) {
         message.number = ++number_;
--- a/src/adapters/pg_backend.cpp
+++ b/src/adapters/pg_backend.cpp
@@ -41,7 +41,7 @@
 // name=value pairs set apart by commas. Names that mean nothing here are skipped; a report that can't be read
 // as a whole tells nothing at all.
 void read_report(std::string_view text, AttemptResult& result) {
-    AttemptResult told;
+    AttemptResult reported;
     while (!text.empty()) {
         std::size_t comma = text.find(',');
         std::string_view part = text.substr(0, comma);
@@ -54,18 +54,18 @@
         if (!value) return;
         if (name == "x0") {  // seconds here, unlike all other positions
             if (std::fabs(*value) > 9e9) return;
-            told.report_position_unix_us = std::int64_t(std::floor(*value * 1e6));
+            reported.report_position_unix_us = std::int64_t(std::floor(*value * 1e6));
         }
         if (name == "x1") {
             if (*value != 0 && *value != 1) return;
-            told.report.primary = *value == 1;
+            reported.report.primary = *value == 1;
         }
-        if (name == "inflight" || name == "concurrent") told.report.in_flight = *value;
-        if (name == "queue" || name == "depth") told.report.queued = *value;
-        if (name == "util" || name == "load_share") told.report.cpu_utilization = *value;
+        if (name == "inflight" || name == "concurrent") reported.report.in_flight = *value;
+        if (name == "queue" || name == "depth") reported.report.queued = *value;
+        if (name == "util" || name == "load_share") reported.report.cpu_utilization = *value;
     }
-    result.report = told.report;
-    result.report_position_unix_us = told.report_position_unix_us;
+    result.report = reported.report;
+    result.report_position_unix_us = reported.report_position_unix_us;
 }
 
 std::string statement_of(const ClientRequest& item) {
@@ -135,7 +135,7 @@
         connection_->limit_unread(kRowLimit + kOtherLimit);
         connection_->set_read_size(2048);
         part_ = Part::columns;
-        ask(std::move(message));
+        send_request(std::move(message));
     }
 
     void on_connected() override { connection_->write(pg::Writer().startup("backend", "store").take()); }
@@ -175,7 +175,7 @@
             if (wrong) return malformed(wrong);
             if (over) at_end(in.empty());
         }
-        if (owner_ && state_ == State::asked && begun_ && !paused_) await_rest();
+        if (owner_ && state_ == State::awaiting_answer && begun_ && !paused_) await_rest();
     }
 
     void resume() override {
@@ -223,15 +223,15 @@
         timer_.expires_after(left_ > 0 ? kRestOfLong : kRestOfAnswer);
         timer_.async_wait([weak = weak_from_this(), number = ++waits_](const transport::error_code& ec) {
             auto self = std::static_pointer_cast<PgLink>(weak.lock());
-            if (self && !ec && self->owner_ && number == self->waits_ && self->state_ == State::asked &&
-                !self->paused_)
+            if (self && !ec && self->owner_ && number == self->waits_ &&
+                self->state_ == State::awaiting_answer && !self->paused_)
                 self->malformed("an answer that does not end");
         });
     }
 
     void malformed(const char* why) {
         ++waits_;
-        if (state_ != State::asked) return end(broken());
+        if (state_ != State::awaiting_answer) return end(broken());
         AttemptResult result;
         result.status = AttemptStatus::error;
         result.evidence = result_.evidence;
@@ -245,7 +245,7 @@
     // A description of rows comes once the host has begun to execute, a row or a completion once it has
     // executed. No later message takes that back, a refusal neither.
     void note_execution(char type) {
-        if (state_ != State::asked) return;
+        if (state_ != State::awaiting_answer) return;
         if (type == 'T') result_.evidence = std::max(result_.evidence, Execution::may_have_run);
         if (type == 'D' || type == 'C') result_.evidence = Execution::ran;
     }
@@ -280,7 +280,7 @@
         auto p = pg::read_parameter(body);
         if (!p) return body.substr(0, 6) == "health" ? nullptr : "a parameter that can't be read";
         auto [name, value] = *p;
-        if (state_ != State::asked) return nullptr;
+        if (state_ != State::awaiting_answer) return nullptr;
         if (name == "recovery" && (value == "off" || value == "on"))
             result_.role = value == "off" ? Role::primary : Role::replica;
         if (name == "lsn_ms") {
@@ -298,7 +298,7 @@
 
     // Of an open statement nothing is known but its messages' form: they go to the client as they are.
     bool passes_on() const {
-        return verb_ == ClientRequest::Verb::other && !probing_ && state_ == State::asked;
+        return verb_ == ClientRequest::Verb::other && !probing_ && state_ == State::awaiting_answer;
     }
     const char* pass_on(const pg::Message& m) {
         bytes_ += m.body.size() + 5;
--- a/src/adapters/pg_front.cpp
+++ b/src/adapters/pg_front.cpp
@@ -16,8 +16,8 @@
 constexpr std::size_t kUsualMessage = 160 * 1024;  // 64 KiB in bytea's text form, and what stands round it
 constexpr std::size_t kValueLimit = 4 << 20, kNameLimit = 1024;  // in bytes
 constexpr std::size_t kMessageLimit = 2 * kValueLimit + 16 * 1024;
-constexpr auto kPatienceMost = std::chrono::seconds(60);  // all that is kept for a request ends by then
-constexpr std::uint32_t kRowsLimit = 10000;               // of a page
+constexpr auto kMaxClientTimeout = std::chrono::seconds(60);  // all that is kept for a request ends by then
+constexpr std::uint32_t kRowsLimit = 10000;                   // of a page
 constexpr std::uint32_t kByteaType = 17, kTextType = 25;
 
 bool word(std::string_view text, std::string_view expected) {
@@ -174,7 +174,7 @@
             return reject({pg::sqlstate::kInvalidParameter, "a request of this id is in hand"});
         // The item keeps the statement and what was read from it.
         if (!has_capacity(sql.size() + std::min(sql.size(), kUsualMessage))) return too_much();
-        ask(std::move(item), length_);
+        submit(std::move(item), length_);
     }
 
     void too_much() {
@@ -221,7 +221,7 @@
         if (is_open(item.id))
             return reject({pg::sqlstate::kInvalidParameter, "a request of this id is in hand"});
         if (!has_capacity(2 * sql.size())) return too_much();
-        ask(std::move(item), length_);
+        submit(std::move(item), length_);
     }
 
     std::optional<Rejection> read_open(std::string_view sql, const pg::Statement& s,
@@ -277,7 +277,7 @@
             // None left is no mistake: the request is refused like any that comes too late.
             if (!wait || *wait < 0 || *wait > 3'600'000)
                 return Rejection{pg::sqlstate::kInvalidParameter, "the wait (d) is out of range"};
-            item.client_timeout = std::min<Duration>(std::chrono::milliseconds(*wait), kPatienceMost);
+            item.client_timeout = std::min<Duration>(std::chrono::milliseconds(*wait), kMaxClientTimeout);
         }
         if (auto after = s.field("after")) {
             auto position = whole<std::int64_t>(*after);
--- a/src/adapters/rest_backend.cpp
+++ b/src/adapters/rest_backend.cpp
@@ -57,37 +57,37 @@
         std::string target = "/v1/clusters/" + std::to_string(std::uint32_t(item.group)) + "/kv";
         switch (verb_) {
             case ClientRequest::Verb::lookup:
-                ask(http::write_request("GET", target + "/" + http::percent_encode(item.name), host_,
-                                        fields));
+                send_request(http::write_request("GET", target + "/" + http::percent_encode(item.name), host_,
+                                                 fields));
                 return;
             case ClientRequest::Verb::write: {
                 fields.push_back({"Content-Type", "application/octet-stream"});
                 std::string body = rest::raw_content(content_of(item), false);
                 if (body.empty()) fields.push_back({"Content-Length", "0"});
-                ask(http::write_request("PUT", target + "/" + http::percent_encode(item.name), host_, fields,
-                                        body));
+                send_request(http::write_request("PUT", target + "/" + http::percent_encode(item.name), host_,
+                                                 fields, body));
                 return;
             }
             case ClientRequest::Verb::page:
                 target +=
                     "?after=" + http::percent_encode(item.name) + "&limit=" + std::to_string(item.limit);
                 if (item.prefix) target += "&prefix=" + http::percent_encode(*item.prefix);
-                ask(http::write_request("GET", target, host_, fields));
+                send_request(http::write_request("GET", target, host_, fields));
                 return;
             case ClientRequest::Verb::other:
                 break;
         }
         // A statement that has no form in this protocol. It never ran, and no other member knows it either.
-        state_ = State::asked;
+        state_ = State::awaiting_answer;
         boost::asio::post(connection_->executor(), [weak = weak_from_this()] {
             auto self = std::static_pointer_cast<RestLink>(weak.lock());
-            if (self && self->owner_ && self->state_ == State::asked) self->answer(AttemptResult{});
+            if (self && self->owner_ && self->state_ == State::awaiting_answer) self->answer(AttemptResult{});
         });
     }
 
     void probe() override {
         probing_ = true;
-        ask(http::write_request("GET", "/health", host_, {}));
+        send_request(http::write_request("GET", "/health", host_, {}));
     }
 
   private:
@@ -102,7 +102,7 @@
     void on_closed(const transport::error_code& ec) override {
         auto self = shared_from_this();
         // A body may end with its connection.
-        if (state_ == State::asked && in_ && !in_->empty() && ec == boost::asio::error::eof &&
+        if (state_ == State::awaiting_answer && in_ && !in_->empty() && ec == boost::asio::error::eof &&
             take(*in_, true) && !owner_)
             return;
         end(broken());
@@ -114,7 +114,7 @@
         std::size_t length = 0;
         http::Next next = parser_.response(in.view(), at_end, response, length);
         if (next == http::Next::more) return false;
-        if (next != http::Next::message || state_ != State::asked) {
+        if (next != http::Next::message || state_ != State::awaiting_answer) {
             end(broken());
             return false;
         }
--- a/src/adapters/rest_front.cpp
+++ b/src/adapters/rest_front.cpp
@@ -72,7 +72,7 @@
             reply({503, "refused", "Too much is in hand", "trying again is harmless"},
                   {{"Retry-After", "1"}});
         } else {
-            ask(std::move(item));
+            submit(std::move(item));
         }
         return !over();
     }
--- a/src/adapters/session.cpp
+++ b/src/adapters/session.cpp
@@ -24,7 +24,7 @@
     watch();
 }
 
-std::size_t Session::held() const {
+std::size_t Session::memory_bytes() const {
     return connection_->unwritten() + (in_ ? in_->capacity() : 0);
 }
 
@@ -50,7 +50,7 @@
 }
 
 void Session::end_with(routing::RequestAdmission::Departure departure) {
-    if (state_ == State::asked) admission_.withdraw(request_, departure);
+    if (state_ == State::serving) admission_.withdraw(request_, departure);
     state_ = State::over;
     timer_.cancel();
     connection_->close();
@@ -125,21 +125,21 @@
 
 // Guards against answering a request that waited behind others when its client has given it up: its time
 // counts from its last byte, whenever its turn comes.
-void Session::ask(routing::ClientRequest item, std::size_t unread) {
+void Session::submit(routing::ClientRequest item, std::size_t unread) {
     auto now = std::chrono::steady_clock::now();
     auto waited =
         std::chrono::duration_cast<routing::Duration>(now - arrivals_.at(in_->consumed() + unread, now));
     item.client_timeout = std::max(routing::Duration::zero(), item.client_timeout - waited);
     client_listener_.touch(*this);
     has_begun_ = progress_ = true;
-    state_ = State::asked;
+    state_ = State::serving;
     request_ = admission_.accept(std::move(item), *this);
 }
 
 bool Session::pass_on(std::string bytes) {
     passing_on_ = true;
     connection_->write(std::move(bytes));
-    if (state_ != State::asked) return false;
+    if (state_ != State::serving) return false;
     watch();
     return connection_->unwritten() < limits_.pieces;
 }
@@ -168,7 +168,7 @@
 void Session::leave(transport::Connection::Crossing crossing) {
     if (state_ == State::over) return;
     auto self = shared_from_this();
-    if (state_ == State::asked)
+    if (state_ == State::serving)
         admission_.withdraw(request_, routing::RequestAdmission::Departure::closed_here);
     state_ = State::over;
     timer_.cancel();
--- a/src/adapters/session.hpp
+++ b/src/adapters/session.hpp
@@ -45,7 +45,7 @@
     bool served = false;                         // it has had a request
     std::size_t granted = 0;                     // bytes that the door lets it keep beyond the usual
     void try_again();                            // the door may have room for what it waits for
-    std::size_t held() const;                    // bytes that it keeps in memory, unread and unwritten
+    std::size_t memory_bytes() const;            // bytes that it keeps in memory, unread and unwritten
     std::size_t counted = 0;                     // and those that the door knows of
 
   protected:
@@ -63,7 +63,7 @@
     bool expect(std::size_t length);
     static constexpr auto kLongest = std::chrono::seconds(30);  // for one that is under way all the time
     // One request; served() or ended() follows. `unread`: of its message, bytes that are in the buffer yet.
-    void ask(routing::ClientRequest item, std::size_t unread = 0);
+    void submit(routing::ClientRequest item, std::size_t unread = 0);
     bool has_capacity(std::size_t bytes) const { return admission_.has_capacity(bytes); }
     void answered(std::string bytes);
     bool pass_on(std::string bytes);  // part of the answer; false: resume() follows, when there is room
@@ -74,13 +74,13 @@
     void leave(transport::Connection::Crossing crossing = transport::Connection::Crossing::unread);
     // Of this client's connection: the same in the process that it is handed over to.
     std::string peer() const;
-    bool asked() const { return state_ == State::asked; }
+    bool serving() const { return state_ == State::serving; }
     bool over() const { return state_ == State::over; }
     bool retiring() const;  // to be closed after this request
     bool refusing() const;  // whoever asks whether to send clients here is to be told no
 
   private:
-    enum class State { between, asked, over };
+    enum class State { between, serving, over };
 
     void on_data(transport::Buffer& in) override;
     void on_written() override;
--- a/src/adapters/syslog_sink.cpp
+++ b/src/adapters/syslog_sink.cpp
@@ -27,10 +27,10 @@
         queue_.pop_front();
         ++dropped_;
     }
-    pump();
+    send_queued();
 }
 
-void SyslogSink::pump() {
+void SyslogSink::send_queued() {
     if (!connection_->open() || !connection_->all_written()) return;
     std::string bytes;
     while (!queue_.empty() && bytes.size() < 16384) {
@@ -42,7 +42,7 @@
 
 void SyslogSink::on_connected() {
     connection_->established();
-    pump();
+    send_queued();
 }
 
 void SyslogSink::on_closed(const transport::error_code&) {
--- a/src/adapters/syslog_sink.hpp
+++ b/src/adapters/syslog_sink.hpp
@@ -22,10 +22,10 @@
 
   private:
     void connect();
-    void pump();
+    void send_queued();
     void on_connected() override;
     void on_data(transport::Buffer& in) override { in.consume(in.size()); }  // nothing is to be said back
-    void on_written() override { pump(); }
+    void on_written() override { send_queued(); }
     void on_closed(const transport::error_code& ec) override;
 
     boost::asio::io_context& io_;
--- a/tests/adapters/peer_link_test.cpp
+++ b/tests/adapters/peer_link_test.cpp
@@ -51,7 +51,7 @@
 
 TEST_CASE("peer messages: random bytes with a good sum are read or not, and never beyond their end") {
     Dice dice(5);
-    int taken = 0, dropped = 0;
+    int accepted = 0, dropped = 0;
     for (int i = 0; i < 20000; ++i) {
         std::string whole = bytes(message());
         whole.resize(whole.size() - 4);
@@ -61,11 +61,11 @@
         std::uint32_t sum = XXH32(whole.data(), whole.size(), 0);
         for (int shift = 24; shift >= 0; shift -= 8) whole.push_back(char(sum >> shift & 0xff));
         auto read = peer::read(whole);
-        ++(read ? taken : dropped);
+        ++(read ? accepted : dropped);
         if (read)
             for (const peer::Primary& p : read->primaries) CHECK(p.uid.size() <= peer::kLongestUid);
     }
-    CHECK(taken > 100);
+    CHECK(accepted > 100);
     CHECK(dropped > 100);
 }
 
@@ -86,7 +86,7 @@
     }
     std::uint64_t seen() const {
         const auto& c = link->counts();
-        return c.taken + c.malformed + c.foreign + c.old;
+        return c.accepted + c.malformed + c.foreign + c.old;
     }
     void give(const std::string& datagram, udp::socket& from) {
         std::uint64_t before = seen();
