--- a/src/adapters/pg_backend.cpp
+++ b/src/adapters/pg_backend.cpp
@@ -6,6 +6,8 @@
 #include <cmath>
 
 #include "adapters/backend_connection_base.hpp"
+#include "adapters/pg_load_report.hpp"
+#include "adapters/pg_query_text.hpp"
 #include "protocol/pg.hpp"
 
 namespace indigovane::adapters {
@@ -30,73 +32,6 @@
 constexpr auto kRestOfLong =
     std::chrono::milliseconds(5000);  // for the next piece of a long value, if it is read
 
-std::optional<double> to_number(std::string_view text) {
-    double value = 0;
-    auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-    if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value))
-        return std::nullopt;
-    return value;
-}
-
-// name=value pairs set apart by commas. Names that mean nothing here are skipped; a report that can't be read
-// as a whole tells nothing at all.
-void read_report(std::string_view text, AttemptResult& result) {
-    AttemptResult reported;
-    while (!text.empty()) {
-        std::size_t comma = text.find(',');
-        std::string_view part = text.substr(0, comma);
-        text = comma == std::string_view::npos ? std::string_view{} : text.substr(comma + 1);
-        while (!part.empty() && part.front() == ' ') part.remove_prefix(1);
-        std::size_t equals = part.find('=');
-        if (equals == std::string_view::npos) return;
-        std::string_view name = part.substr(0, equals);
-        auto value = to_number(part.substr(equals + 1));
-        if (!value) return;
-        if (name == "x0") {  // seconds here, unlike all other positions
-            if (std::fabs(*value) > 9e9) return;
-            reported.report_position_unix_us = std::int64_t(std::floor(*value * 1e6));
-        }
-        if (name == "x1") {
-            if (*value != 0 && *value != 1) return;
-            reported.report.primary = *value == 1;
-        }
-        if (name == "inflight" || name == "concurrent") reported.report.in_flight = *value;
-        if (name == "queue" || name == "depth") reported.report.queued = *value;
-        if (name == "util" || name == "load_share") reported.report.cpu_utilization = *value;
-    }
-    result.report = reported.report;
-    result.report_position_unix_us = reported.report_position_unix_us;
-}
-
-std::string statement_of(const ClientRequest& item) {
-    switch (item.verb) {
-        case ClientRequest::Verb::lookup:
-            return "SELECT content FROM kv WHERE name = " + pg::quote(item.name);
-        case ClientRequest::Verb::write:
-            return "INSERT INTO kv (name, content) VALUES (" + pg::quote(item.name) + ", " +
-                   pg::quote(item.content.value_or("")) + ") RETURNING content";
-        case ClientRequest::Verb::page:
-            return "SELECT name, content FROM kv WHERE name > " + pg::quote(item.name) +
-                   (item.prefix ? " AND starts_with(name, " + pg::quote(*item.prefix) + ")" : "") +
-                   " ORDER BY name LIMIT " + std::to_string(item.limit);
-        case ClientRequest::Verb::other:
-            break;
-    }
-    return {};
-}
-
-// The fields of the comment for an item that came in by another wire.
-std::string comment_of(const ClientRequest& item, std::string_view remaining) {
-    std::string out = "/* id=" + item.id + ",c=" + item.class_name;
-    if (!item.tenant.empty()) out += ",t=" + item.tenant;
-    out.append(",d=").append(remaining);
-    if (!item.key.empty()) out += ",k=" + item.key;
-    out += ",cluster=" + std::to_string(std::uint32_t(item.group));
-    if (item.after_unix_ms) out += ",after=" + std::to_string(*item.after_unix_ms);
-    if (item.repeat) out += ",r=1";
-    return out + " */ ";
-}
-
 // A member's answer has exactly one form for each query. Whatever differs from it is spoilt: a failed attempt
 // that may have run, which teaches nothing and ends the connection. Guards against passing on what was made
 // for no request or for another one, and against waiting for the end of what has none.
@@ -114,7 +49,7 @@
         if (verb_ == ClientRequest::Verb::other && item.bare)
             query(pg::Writer().query(item.statement).take(), false);
         else if (item.statement.empty())
-            query(pg::Writer().query(comment_of(item, text) + statement_of(item)).take(), false);
+            query(pg::Writer().query(query_text(item, left)).take(), false);
         else
             query(pg::query_with_deadline(item.statement, pg::read_statement(item.statement), text), false);
     }
@@ -292,7 +227,7 @@
                 result_.answer.position_unix_ms = ms;
             }
         }
-        if (name == "health") read_report(value, result_);
+        if (name == "health") read_load_report(value, result_);
         return nullptr;
     }
 
@@ -381,7 +316,7 @@
         if (rows_++ >= row_limit_) return "more rows than were asked for";
         bytes_ += body.size();
         if (page && bytes_ > kPageLimit) return "a page too large";
-        if (probing_) read_report(*values->front(), result_);
+        if (probing_) read_load_report(*values->front(), result_);
         result_.answer.rows.push_back(
             {page ? std::string(*values->front()) : std::string(), std::string(*values->back())});
         return nullptr;
--- a/src/adapters/pg_front.cpp
+++ b/src/adapters/pg_front.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 
+#include "adapters/pg_request.hpp"
 #include "adapters/text_values.hpp"
 #include "protocol/pg.hpp"
 
@@ -14,24 +15,9 @@
 
 constexpr std::size_t kStartupLimit = 10000;       // as PostgreSQL has it
 constexpr std::size_t kUsualMessage = 160 * 1024;  // 64 KiB in bytea's text form, and what stands round it
-constexpr std::size_t kValueLimit = 4 << 20, kNameLimit = 1024;  // in bytes
-constexpr std::size_t kMessageLimit = 2 * kValueLimit + 16 * 1024;
-constexpr auto kMaxClientTimeout = std::chrono::seconds(60);  // all that is kept for a request ends by then
-constexpr std::uint32_t kRowsLimit = 10000;                   // of a page
+constexpr std::size_t kMessageLimit = 2 * PgRequestReader::kMaxValueBytes + 16 * 1024;
 constexpr std::uint32_t kByteaType = 17, kTextType = 25;
 
-bool word(std::string_view text, std::string_view expected) {
-    return text.size() >= expected.size() &&
-           std::equal(expected.begin(), expected.end(), text.begin(),
-                      [](char a, char b) { return std::tolower(std::uint8_t(b)) == a; }) &&
-           (text.size() == expected.size() || !std::isalnum(std::uint8_t(text[expected.size()])));
-}
-
-struct Rejection {
-    std::string_view code;
-    std::string text;
-};
-
 class PgSession : public Session {
   public:
     PgSession(boost::asio::io_context& io, PgFront& client_listener, const Classes& classes,
@@ -162,19 +148,21 @@
             return reject({pg::sqlstate::kProtocolViolation, "a query ends with its only zero byte"});
         if (!pg::valid_text(sql)) return reject({pg::sqlstate::kBadText, "a query is plain UTF-8"});
         pg::Statement statement = pg::read_statement(sql);
-        if (statements_ && statements_->open() && is_open_form(statement)) return open_query(sql, statement);
+        if (statements_ && statements_->open() && PgRequestReader::is_open_form(statement))
+            return open_query(sql, statement);
         if (statement.malformed)
             return reject({pg::sqlstate::kSyntaxError, "the comment or a literal is malformed"});
         if (statement.several) return reject({pg::sqlstate::kSyntaxError, "a query holds one statement"});
         if (statement.body.empty()) return empty();
         if (statement.fields.empty() && local(statement.body)) return;
-        ClientRequest item;
-        if (auto rejection = read_item(sql, statement, item)) return reject(*rejection);
-        if (is_open(item.id))
+        ClientRequest request;
+        if (auto rejection = PgRequestReader(classes_).read_known(sql, statement, request))
+            return reject(*rejection);
+        if (is_open(request.id))
             return reject({pg::sqlstate::kInvalidParameter, "a request of this id is in hand"});
-        // The item keeps the statement and what was read from it.
+        // The request keeps the statement and what was read from it.
         if (!has_capacity(sql.size() + std::min(sql.size(), kUsualMessage))) return too_much();
-        submit(std::move(item), length_);
+        submit(std::move(request), length_);
     }
 
     void too_much() {
@@ -193,99 +181,34 @@
         write(pg::Writer().empty_query().ready().take());
     }
 
-    // Whether it is none of the forms that are known, nor empty, nor what drivers send of themselves.
-    static bool is_open_form(const pg::Statement& s) {
-        if (s.malformed || s.several) return true;
-        if (s.body.empty()) return false;
-        if (s.fields.empty())
-            for (const char* text : {"set", "reset", "discard"})
-                if (word(s.body, text)) return false;
-        return s.fields.empty() || pg::read_verb(s.body).kind == pg::Verb::Kind::other;
-    }
-
     // Any single statement. It is passed on as it is; what it does, not what its client says, decides whether
     // a replica may have it.
-    void open_query(std::string_view sql, pg::Statement& s) {
-        // A comment that is not of our form is the client's own.
-        if (!s.field("id") && !s.field("c") && !s.field("cluster")) s.fields.clear();
-        const statement::StatementProfile& j = statements_->judge(sql, now());
+    void open_query(std::string_view sql, pg::Statement& statement) {
+        PgRequestReader::drop_foreign_comment(statement);
+        const statement::StatementProfile& profile = statements_->judge(sql, now());
         if (statements_->judge().scanner().flaw() == statement::Flaw::empty) return empty();
-        if (j.route == statement::Route::refuse) {
+        if (profile.route == statement::Route::refuse) {
             using statement::Kind;
-            bool known = j.kind == Kind::session || j.kind == Kind::transaction;
+            bool known = profile.kind == Kind::session || profile.kind == Kind::transaction;
             return reject(
-                {known ? pg::sqlstate::kFeatureNotSupported : pg::sqlstate::kSyntaxError, j.reason});
+                {known ? pg::sqlstate::kFeatureNotSupported : pg::sqlstate::kSyntaxError, profile.reason});
         }
-        ClientRequest item;
-        if (auto rejection = read_open(sql, s, j, item)) return reject(*rejection);
-        if (is_open(item.id))
+        ClientRequest request;
+        if (auto rejection = read_open(sql, statement, profile, request)) return reject(*rejection);
+        if (is_open(request.id))
             return reject({pg::sqlstate::kInvalidParameter, "a request of this id is in hand"});
         if (!has_capacity(2 * sql.size())) return too_much();
-        submit(std::move(item), length_);
-    }
-
-    std::optional<Rejection> read_open(std::string_view sql, const pg::Statement& s,
-                                       const statement::StatementProfile& j, ClientRequest& item) {
-        auto invalid = [](std::string text) {
-            return Rejection{pg::sqlstate::kInvalidParameter, std::move(text)};
-        };
-        if (auto id = s.field("id")) {
-            if (id->empty() || id->size() > 64 || !plain(*id))
-                return invalid("the comment names no request (id)");
-            item.id = *id;
-        } else {
-            do item.id = front_.next_id();
-            while (is_open(item.id));
-        }
-        std::string why;
-        const ClassInfo* request_class = statements_->choose(classes_, s.field("c"), j, why);
-        if (!request_class) return invalid(why);
-        item.key = s.field("k").value_or("");
-        if (request_class->keyed && item.key.empty() && j.kind != statement::Kind::read)
-            return invalid("class '" + request_class->name +
-                           "' needs a key (k): its statements may be sent again");
-        auto group =
-            s.field("cluster") ? whole<std::uint32_t>(*s.field("cluster")) : statements_->options().group;
-        if (!group)
-            return invalid(s.field("cluster") ? "the group (cluster) is no number"
-                                              : "no group is named (cluster) or set (group)");
-        if (auto rejection = read_times(s, *request_class, item)) return rejection;
-        item.verb = ClientRequest::Verb::other;
-        item.class_name = request_class->name;
-        item.request_class = request_class->id;
-        item.group = GroupId{*group};
-        item.tenant = s.field("t").value_or(user_);
-        item.repeat = s.field("r") == "1";
-        // Whoever names no session is one by its connection: its reads see its own writes.
-        if (request_class->write || request_class->session)
-            item.session = session_number(s.field("s").value_or(std::string_view(peer_name())));
-        item.commits = request_class->write;
-        item.unreserved = j.kind == statement::Kind::read && !request_class->session;
-        item.bare = s.fields.empty();
-        item.shape_high = j.shape.high;
-        item.shape_low = j.shape.low;
-        item.cost_us = statement::estimate_cost(j);
-        item.statement = sql;
-        return std::nullopt;
+        submit(std::move(request), length_);
     }
 
-    static std::optional<Rejection> read_times(const pg::Statement& s, const ClassInfo& request_class,
-                                               ClientRequest& item) {
-        item.client_timeout = request_class.deadline;
-        if (auto d = s.field("d")) {
-            auto wait = whole<std::int64_t>(*d);
-            // None left is no mistake: the request is refused like any that comes too late.
-            if (!wait || *wait < 0 || *wait > 3'600'000)
-                return Rejection{pg::sqlstate::kInvalidParameter, "the wait (d) is out of range"};
-            item.client_timeout = std::min<Duration>(std::chrono::milliseconds(*wait), kMaxClientTimeout);
-        }
-        if (auto after = s.field("after")) {
-            auto position = whole<std::int64_t>(*after);
-            if (!position || *position < 0 || *position > 9'000'000'000'000)
-                return Rejection{pg::sqlstate::kInvalidParameter, "the position (after) is out of range"};
-            if (*position > 0) item.after_unix_ms = *position;
+    std::optional<PgRejection> read_open(std::string_view sql, const pg::Statement& statement,
+                                         const statement::StatementProfile& profile, ClientRequest& request) {
+        if (!statement.field("id")) {
+            do request.id = front_.next_id();
+            while (is_open(request.id));
         }
-        return std::nullopt;
+        PgRequestReader reader(classes_);
+        return reader.read_open(sql, statement, profile, {*statements_, user_, peer_name()}, request);
     }
 
     const std::string& peer_name() {
@@ -309,84 +232,13 @@
     // What drivers send of themselves when they connect or hand a connection back. It changes nothing here.
     bool local(std::string_view body) {
         for (auto [text, tag] : {std::pair{"set", "SET"}, {"reset", "RESET"}, {"discard", "DISCARD ALL"}})
-            if (word(body, text)) {
+            if (PgRequestReader::begins_with_word(body, text)) {
                 write(pg::Writer().complete(tag).ready().take());
                 return true;
             }
         return false;
     }
 
-    // What no member could read, or would turn away, never reaches one: it may close on it, whatever else
-    // waits there, and its errors would count against it.
-    static const char* misfit(const pg::Verb& verb, const ClassInfo& request_class) {
-        if (verb.kind == pg::Verb::Kind::other) return "no statement of this form is served";
-        if (request_class.write != (verb.kind == pg::Verb::Kind::write))
-            return "the statement does not fit its class";
-        if (verb.name.size() > kNameLimit) return "the name is too long";
-        if (verb.kind != pg::Verb::Kind::page && verb.name.empty()) return "the name is empty";
-        if (verb.kind == pg::Verb::Kind::page && (verb.limit == 0 || verb.limit > kRowsLimit))
-            return "a page has a row at least, and not so many";
-        if (std::string_view text = verb.long_content; !text.empty()) {
-            if (text.substr(0, 2) == "\\x") {
-                if (!pg::is_hex(text)) return "the value is no bytea";
-                return text.size() / 2 - 1 > kValueLimit ? "the value is too long" : nullptr;
-            }
-            if (text.find('\\') != std::string_view::npos) return "the value is no bytea";
-            return text.size() > kValueLimit ? "the value is too long" : nullptr;
-        }
-        if (!verb.content) return nullptr;
-        if (verb.content->substr(0, 2) == "\\x") {
-            auto bytes = pg::unhex(*verb.content);
-            if (!bytes) return "the value is no bytea";
-            return bytes->size() > kValueLimit ? "the value is too long" : nullptr;
-        }
-        if (verb.content->find('\\') != std::string::npos) return "the value is no bytea";
-        return verb.content->size() > kValueLimit ? "the value is too long" : nullptr;
-    }
-
-    std::optional<Rejection> read_item(std::string_view sql, const pg::Statement& s, ClientRequest& item) {
-        auto invalid = [](std::string text) {
-            return Rejection{pg::sqlstate::kInvalidParameter, std::move(text)};
-        };
-        for (std::size_t i = 0; i < s.fields.size(); ++i)
-            for (std::size_t j = 0; j < i; ++j)
-                if (s.fields[i].first == s.fields[j].first)
-                    return invalid("the comment names '" + std::string(s.fields[i].first.substr(0, 64)) +
-                                   "' twice");
-        auto id = s.field("id"), name = s.field("c"), cluster = s.field("cluster");
-        if (!id || id->empty() || id->size() > 64 || !plain(*id))
-            return invalid("the comment names no request (id)");
-        if (!name) return invalid("the comment names no class (c)");
-        const ClassInfo* request_class = classes_.find(*name);
-        if (!request_class) return invalid("class '" + std::string(name->substr(0, 64)) + "' is unknown");
-        if (!cluster) return invalid("the comment names no group (cluster)");
-        auto group = whole<std::uint32_t>(*cluster);
-        if (!group) return invalid("the group (cluster) is no number");
-        if (auto rejection = read_times(s, *request_class, item)) return rejection;
-        pg::Verb verb = pg::read_verb(s.body);
-        if (auto wrong = misfit(verb, *request_class)) return Rejection{pg::sqlstate::kSyntaxError, wrong};
-        if (request_class->keyed && s.field("k").value_or("").empty())
-            return invalid("the comment names no key (k), which this class needs");
-        item.verb = verb.kind == pg::Verb::Kind::lookup  ? ClientRequest::Verb::lookup
-                    : verb.kind == pg::Verb::Kind::write ? ClientRequest::Verb::write
-                                                         : ClientRequest::Verb::page;
-        item.name = std::move(verb.name);
-        item.content = std::move(verb.content);
-        item.prefix = std::move(verb.prefix);
-        item.limit = verb.limit;
-        item.id = *id;
-        item.tenant = s.field("t").value_or("");
-        item.key = s.field("k").value_or("");
-        item.class_name = request_class->name;
-        item.request_class = request_class->id;
-        item.group = GroupId{*group};
-        item.repeat = s.field("r") == "1";
-        if (request_class->write || request_class->session) item.session = session_number(item.name);
-        item.statement = sql;
-        item.in_pieces = true;
-        return std::nullopt;
-    }
-
     // The head of a message tells its length, so that a value which breaks off can't be taken for a whole
     // one.
     void began(const Answer& answer, std::size_t length) override {
@@ -438,12 +290,13 @@
         answered(w.ready().take());
     }
 
-    void reject(const Rejection& rejection, bool ready = true) {
+    void reject(const PgRejection& rejection, bool ready = true) {
         pg::Writer w;
-        w.error("ERROR", rejection.code, rejection.text);
+        w.error("ERROR", rejection.sqlstate, rejection.text);
         if (ready) w.ready();
         write(w.take());
-        logger_.log(Level::warning, "rejected", rejection.text, {{"sqlstate", std::string(rejection.code)}});
+        logger_.log(Level::warning, "rejected", rejection.text,
+                    {{"sqlstate", std::string(rejection.sqlstate)}});
     }
 
     bool fatal(std::string_view code, std::string_view text) {
--- /dev/null
+++ b/src/adapters/pg_request.cpp
@@ -0,0 +1,204 @@
+#include "adapters/pg_request.hpp"
+
+#include <algorithm>
+
+#include "adapters/text_values.hpp"
+
+namespace indigovane::adapters {
+
+namespace pg = protocol::pg;
+using namespace routing;
+
+namespace {
+
+constexpr std::size_t kMaxNameBytes = 1024;
+constexpr std::size_t kMaxIdBytes = 64;
+constexpr std::uint32_t kMaxRows = 10000;                       // of a page
+constexpr auto kMaxClientTimeout = std::chrono::seconds(60);    // all state of a request ends by then
+constexpr std::int64_t kMaxWaitMs = 3'600'000;                  // that a client may name
+constexpr std::int64_t kMaxPositionUnixMs = 9'000'000'000'000;  // of a carried session token
+
+PgRejection invalid(std::string text) {
+    return {pg::sqlstate::kInvalidParameter, std::move(text)};
+}
+
+bool is_valid_id(std::string_view id) {
+    return !id.empty() && id.size() <= kMaxIdBytes && plain(id);
+}
+
+std::optional<PgRejection> read_times(const pg::Statement& statement, const ClassInfo& request_class,
+                                      ClientRequest& request) {
+    request.client_timeout = request_class.deadline;
+    if (auto wait = statement.field("d")) {
+        auto milliseconds = whole<std::int64_t>(*wait);
+        // None left is no mistake: the request is refused like any that comes too late.
+        if (!milliseconds || *milliseconds < 0 || *milliseconds > kMaxWaitMs)
+            return invalid("the wait (d) is out of range");
+        request.client_timeout =
+            std::min<Duration>(std::chrono::milliseconds(*milliseconds), kMaxClientTimeout);
+    }
+    if (auto after = statement.field("after")) {
+        auto position = whole<std::int64_t>(*after);
+        if (!position || *position < 0 || *position > kMaxPositionUnixMs)
+            return invalid("the position (after) is out of range");
+        if (*position > 0) request.after_unix_ms = *position;
+    }
+    return std::nullopt;
+}
+
+std::optional<PgRejection> find_duplicate_field(const pg::Statement& statement) {
+    const auto& fields = statement.fields;
+    for (std::size_t i = 0; i < fields.size(); ++i)
+        for (std::size_t j = 0; j < i; ++j)
+            if (fields[i].first == fields[j].first)
+                return invalid("the comment names '" + std::string(fields[i].first.substr(0, 64)) +
+                               "' twice");
+    return std::nullopt;
+}
+
+// A value as a literal: bytea's hex form, or bytes without escapes.
+const char* value_error(std::string_view text) {
+    constexpr const char* kNoBytea = "the value is no bytea";
+    std::size_t bytes = text.size();
+    if (text.substr(0, 2) == "\\x") {
+        if (!pg::is_hex(text)) return kNoBytea;
+        bytes = text.size() / 2 - 1;
+    } else if (text.find('\\') != std::string_view::npos) {
+        return kNoBytea;
+    }
+    return bytes > PgRequestReader::kMaxValueBytes ? "the value is too long" : nullptr;
+}
+
+// What no endpoint could read, or would reject, never reaches one: it may close on it, whatever else waits
+// there, and its errors would count against it.
+const char* verb_error(const pg::Verb& verb, const ClassInfo& request_class) {
+    if (verb.kind == pg::Verb::Kind::other) return "no statement of this form is served";
+    if (request_class.write != (verb.kind == pg::Verb::Kind::write))
+        return "the statement does not fit its class";
+    if (verb.name.size() > kMaxNameBytes) return "the name is too long";
+    bool page = verb.kind == pg::Verb::Kind::page;
+    if (!page && verb.name.empty()) return "the name is empty";
+    if (page && (verb.limit == 0 || verb.limit > kMaxRows))
+        return "a page has a row at least, and not so many";
+    if (!verb.long_content.empty()) return value_error(verb.long_content);
+    return verb.content ? value_error(*verb.content) : nullptr;
+}
+
+ClientRequest::Verb verb_of(pg::Verb::Kind kind) {
+    switch (kind) {
+        case pg::Verb::Kind::lookup:
+            return ClientRequest::Verb::lookup;
+        case pg::Verb::Kind::write:
+            return ClientRequest::Verb::write;
+        case pg::Verb::Kind::page:
+            return ClientRequest::Verb::page;
+        case pg::Verb::Kind::other:
+            break;
+    }
+    return ClientRequest::Verb::other;
+}
+
+void set_class(const ClassInfo& request_class, std::uint32_t group, ClientRequest& request) {
+    request.class_name = request_class.name;
+    request.request_class = request_class.id;
+    request.group = GroupId{group};
+}
+
+}  // namespace
+
+bool PgRequestReader::begins_with_word(std::string_view text, std::string_view word) {
+    return text.size() >= word.size() &&
+           std::equal(word.begin(), word.end(), text.begin(),
+                      [](char a, char b) { return std::tolower(std::uint8_t(b)) == a; }) &&
+           (text.size() == word.size() || !std::isalnum(std::uint8_t(text[word.size()])));
+}
+
+bool PgRequestReader::is_open_form(const pg::Statement& statement) {
+    if (statement.malformed || statement.several) return true;
+    if (statement.body.empty()) return false;
+    if (!statement.fields.empty()) return pg::read_verb(statement.body).kind == pg::Verb::Kind::other;
+    for (const char* driver_command : {"set", "reset", "discard"})
+        if (begins_with_word(statement.body, driver_command)) return false;
+    return true;
+}
+
+void PgRequestReader::drop_foreign_comment(pg::Statement& statement) {
+    if (!statement.field("id") && !statement.field("c") && !statement.field("cluster"))
+        statement.fields.clear();
+}
+
+std::optional<PgRejection> PgRequestReader::read_known(std::string_view sql, const pg::Statement& statement,
+                                                       ClientRequest& request) const {
+    if (auto rejection = find_duplicate_field(statement)) return rejection;
+    auto id = statement.field("id");
+    auto class_name = statement.field("c");
+    auto cluster = statement.field("cluster");
+    if (!id || !is_valid_id(*id)) return invalid("the comment names no request (id)");
+    if (!class_name) return invalid("the comment names no class (c)");
+    const ClassInfo* request_class = classes_.find(*class_name);
+    if (!request_class) return invalid("class '" + std::string(class_name->substr(0, 64)) + "' is unknown");
+    if (!cluster) return invalid("the comment names no group (cluster)");
+    auto group = whole<std::uint32_t>(*cluster);
+    if (!group) return invalid("the group (cluster) is no number");
+    if (auto rejection = read_times(statement, *request_class, request)) return rejection;
+    pg::Verb verb = pg::read_verb(statement.body);
+    if (const char* error = verb_error(verb, *request_class))
+        return PgRejection{pg::sqlstate::kSyntaxError, error};
+    if (request_class->keyed && statement.field("k").value_or("").empty())
+        return invalid("the comment names no key (k), which this class needs");
+    request.verb = verb_of(verb.kind);
+    request.name = std::move(verb.name);
+    request.content = std::move(verb.content);
+    request.prefix = std::move(verb.prefix);
+    request.limit = verb.limit;
+    request.id = *id;
+    request.tenant = statement.field("t").value_or("");
+    request.key = statement.field("k").value_or("");
+    set_class(*request_class, *group, request);
+    request.repeat = statement.field("r") == "1";
+    if (request_class->write || request_class->session) request.session = session_number(request.name);
+    request.statement = sql;
+    request.in_pieces = true;
+    return std::nullopt;
+}
+
+std::optional<PgRejection> PgRequestReader::read_open(std::string_view sql, const pg::Statement& statement,
+                                                      const statement::StatementProfile& profile,
+                                                      const OpenDefaults& defaults,
+                                                      ClientRequest& request) const {
+    if (auto id = statement.field("id")) {
+        if (!is_valid_id(*id)) return invalid("the comment names no request (id)");
+        request.id = *id;
+    }
+    std::string why;
+    const ClassInfo* request_class = defaults.statements.choose(classes_, statement.field("c"), profile, why);
+    if (!request_class) return invalid(why);
+    request.key = statement.field("k").value_or("");
+    bool read = profile.kind == statement::Kind::read;
+    if (request_class->keyed && request.key.empty() && !read)
+        return invalid("class '" + request_class->name +
+                       "' needs a key (k): its statements may be sent again");
+    auto cluster = statement.field("cluster");
+    auto group = cluster ? whole<std::uint32_t>(*cluster) : defaults.statements.options().group;
+    if (!group)
+        return invalid(cluster ? "the group (cluster) is no number"
+                               : "no group is named (cluster) or set (group)");
+    if (auto rejection = read_times(statement, *request_class, request)) return rejection;
+    request.verb = ClientRequest::Verb::other;
+    set_class(*request_class, *group, request);
+    request.tenant = statement.field("t").value_or(defaults.user);
+    request.repeat = statement.field("r") == "1";
+    // Whoever names no session is one by its connection: its reads see its own writes.
+    if (request_class->write || request_class->session)
+        request.session = session_number(statement.field("s").value_or(defaults.peer_address));
+    request.commits = request_class->write;
+    request.unreserved = read && !request_class->session;
+    request.bare = statement.fields.empty();
+    request.shape_high = profile.shape.high;
+    request.shape_low = profile.shape.low;
+    request.cost_us = statement::estimate_cost(profile);
+    request.statement = sql;
+    return std::nullopt;
+}
+
+}  // namespace indigovane::adapters
--- /dev/null
+++ b/tests/adapters/pg_request_test.cpp
@@ -0,0 +1,77 @@
+// Statements of clients into requests, without a socket.
+#include "adapters/pg_request.hpp"
+
+#include <doctest/doctest.h>
+
+#include "adapters/pg_load_report.hpp"
+#include "adapters/pg_query_text.hpp"
+
+namespace indigovane::adapters {
+namespace {
+
+namespace pg = protocol::pg;
+
+const Classes& classes() {
+    static const Classes all({{"basket", routing::ClassId{0}, std::chrono::seconds(1), false, true, false},
+                              {"order", routing::ClassId{1}, std::chrono::seconds(2), true, false, true}});
+    return all;
+}
+
+std::string rejection_of(std::string_view sql) {
+    routing::ClientRequest request;
+    auto rejection = PgRequestReader(classes()).read_known(sql, pg::read_statement(sql), request);
+    return rejection ? rejection->text : "";
+}
+
+TEST_CASE("a known statement: the comment gives id, class, group and times, the statement the row") {
+    std::string_view sql =
+        "/* id=a1,c=basket,t=acme,d=480,cluster=2,after=1767225600123 */ SELECT content FROM kv WHERE name = "
+        "'x'";
+    routing::ClientRequest request;
+    CHECK(!PgRequestReader(classes()).read_known(sql, pg::read_statement(sql), request));
+    CHECK(request.id == "a1");
+    CHECK(request.verb == routing::ClientRequest::Verb::lookup);
+    CHECK(request.name == "x");
+    CHECK(request.group == routing::GroupId{2});
+    CHECK(request.client_timeout == std::chrono::milliseconds(480));
+    CHECK(request.after_unix_ms == 1767225600123);
+    CHECK(request.session.has_value());
+}
+
+TEST_CASE("a known statement that lacks what its class needs is rejected with the reason") {
+    CHECK(rejection_of("/* c=basket,cluster=2 */ SELECT content FROM kv WHERE name = 'x'") ==
+          "the comment names no request (id)");
+    CHECK(rejection_of("/* id=a,c=basket,cluster=two */ SELECT content FROM kv WHERE name = 'x'") ==
+          "the group (cluster) is no number");
+    CHECK(rejection_of("/* id=a,id=b,c=basket,cluster=2 */ SELECT content FROM kv WHERE name = 'x'") ==
+          "the comment names 'id' twice");
+    CHECK(rejection_of("/* id=a,c=order,cluster=2 */ INSERT INTO kv (name, content) VALUES ('x', 'y') "
+                       "RETURNING content") == "the comment names no key (k), which this class needs");
+    CHECK(rejection_of("/* id=a,c=order,cluster=2,k=1 */ SELECT content FROM kv WHERE name = 'x'") ==
+          "the statement does not fit its class");
+}
+
+TEST_CASE("a request of another wire is written as the statement that it stands for") {
+    routing::ClientRequest request;
+    request.verb = routing::ClientRequest::Verb::page;
+    request.id = "p1";
+    request.class_name = "basket";
+    request.group = routing::GroupId{3};
+    request.name = "a'b";
+    request.limit = 5;
+    CHECK(query_text(request, 250) ==
+          "/* id=p1,c=basket,d=250,cluster=3 */ SELECT name, content FROM kv WHERE "
+          "name > 'a''b' ORDER BY name LIMIT 5");
+}
+
+TEST_CASE("a load report that can't be read as a whole changes nothing") {
+    routing::AttemptResult result;
+    read_load_report("inflight=7, util=0.61,other=1", result);
+    CHECK(result.report.in_flight == 7);
+    CHECK(result.report.cpu_utilization == 0.61);
+    read_load_report("inflight=9,util", result);
+    CHECK(result.report.in_flight == 7);
+}
+
+}  // namespace
+}  // namespace indigovane::adapters
