--- a/tests/support/decision_recording.hpp
+++ b/tests/support/decision_recording.hpp
@@ -70,6 +70,11 @@
         }
     }
 
+    struct Input {
+        policy::Time at;
+        policy::Event event;
+    };
+    std::vector<Input> inputs;          // all events, to be replayed
     std::string text;                   // every event and action, a line each
     std::vector<std::uint64_t> hashes;  // of each thousand events and their actions
 
@@ -354,6 +359,7 @@
     void feed(const policy::Event& event) {
         policy::Actions actions;
         policy_.handle(now_, event, actions);
+        inputs.push_back({now_, event});
         line("@ %lld", count(now_.time_since_epoch()));
         for (const policy::Action& action : actions)
             std::visit([this](const auto& a) { carry_out(a); }, action);
