--- a/bench/statement_bench.cpp
+++ b/bench/statement_bench.cpp
@@ -191,7 +191,7 @@
                                  false,
                                  now + std::chrono::seconds(100)},
                                 now);
-        if (v.word == limits::Word::go) running.push_back(id);
+        if (v.word == limits::Admission::go) running.push_back(id);
     };
     for (int i = 0; i < 100; ++i) ask();
     for (auto _ : state) {
@@ -204,7 +204,7 @@
         due.clear();
         limiter.release(now, due);
         for (auto& v : due)
-            if (v.word == limits::Word::go) running.push_back(v.id);
+            if (v.word == limits::Admission::go) running.push_back(v.id);
     }
 }
 
--- a/src/statement/scanner.hpp
+++ b/src/statement/scanner.hpp
@@ -3,22 +3,16 @@
 // chapter 4.1 "Lexical Structure", of version 15; standard_conforming_strings is on).
 #pragma once
 
+#include <algorithm>
 #include <cstdint>
+#include <cstring>
 #include <string>
 #include <string_view>
 #include <vector>
 
-namespace indigovane::statement {
+#include "statement/canonical_text.hpp"
 
-// The bytes that stand for literals in a canonical text. They can't come from outside a quoted identifier:
-// control characters belong to no token.
-enum Placeholder : char {
-    kText = 1,    // 'x', E'x', U&'x', N'x', $$x$$
-    kWhole = 2,   // a number that fits 32 bits, as the grammar tells them apart
-    kNumber = 3,  // any other number
-    kBits = 4,    // B'1', X'f'
-    kAny = 5,     // an element of IN (), ARRAY[] or VALUES (): each kind may stand there
-};
+namespace indigovane::statement {
 
 enum class Flaw : std::uint8_t {
     none,
@@ -37,17 +31,6 @@
     bool operator==(const Span&) const = default;
 };
 
-struct Shape {  // XXH3-128 of the canonical text, all kinds of literal made alike
-    std::uint64_t high = 0, low = 0;
-    bool operator==(const Shape&) const = default;
-    auto operator<=>(const Shape&) const = default;
-    std::string hex() const;  // 32 digits
-    static bool parse(std::string_view hex, Shape& out);
-};
-struct ShapeHash {
-    std::size_t operator()(const Shape& s) const { return std::size_t(s.low); }
-};
-
 // Scans one statement after the other; its buffers are kept between them, so that a scan allocates nothing
 // once they have grown. Not to be shared between threads.
 class Scanner {
@@ -78,9 +61,18 @@
         std::size_t begin = 0;                       // the element now
         bool has_previous = false;
     };
+    void reset(std::string_view sql);
+    bool scan_token(const char* in, std::size_t size);
+    bool word_or_prefixed_literal(std::size_t from, char c, char next);
+    bool punctuation(std::size_t from, char c, char next);
+    bool quoted_identifier(std::size_t from);
+    bool skip_quoted_identifier(std::size_t open, std::size_t from);
+    void dots_or_colons(std::size_t from);
+    void begin_next_statement();
+    void close_row_list();
     void put(std::string_view token);
     void put(char c);
-    char* room(std::size_t bytes);  // where the next token goes
+    char* reserve(std::size_t bytes);  // where the next token goes
     void literal(Placeholder kind, std::size_t from);
     void word(std::size_t from);
     bool number(std::size_t from);
@@ -126,11 +118,31 @@
     bool signed_ = false, several_ = false, ended_ = false;
 };
 
-// Of a canonical text.
-Shape shape_of(std::string_view canonical);
-// The canonical text as a statement that can be parsed: a literal in each placeholder's stead.
-std::string parsable(std::string_view canonical);
-// For people: placeholders as ?.
-std::string printable(std::string_view canonical, std::size_t most = 512);
+// Short and called for each token: inline.
+inline char* Scanner::reserve(std::size_t bytes) {
+    if (size_ + bytes > text_.size())
+        text_.resize(std::max<std::size_t>({1024, text_.size() * 2, size_ + bytes}));
+    return text_.data() + size_;
+}
+
+inline void Scanner::put(char c) {
+    char* to = reserve(2);
+    to[0] = ' ';
+    to[1] = c;
+    size_ += 2;
+}
+
+inline void Scanner::put(std::string_view token) {
+    char* to = reserve(token.size() + 1);
+    *to++ = ' ';
+    std::memcpy(to, token.data(), token.size());
+    size_ += token.size() + 1;
+}
+
+// Directly in a list, where every kind of literal may stand.
+inline bool Scanner::direct_element() const {
+    if (deep_ > 0 || lists_.empty() || (before_ != Before::opener && before_ != Before::comma)) return false;
+    return lists_.back().kind == List::Kind::elements || lists_.back().kind == List::Kind::row;
+}
 
 }  // namespace indigovane::statement
