--- a/bench/site_bench.cpp
+++ b/bench/site_bench.cpp
@@ -1,5 +1,5 @@
-// What watching sites costs: a request's share of it, and a look at everything. 120 hosts, 3 sites, 30
-// groups.
+// Cost of the loss of a site: of each request, of an evaluation, of a plan, and memory by host. 120 hosts, 3
+// sites, 30 groups.
 #include <benchmark/benchmark.h>
 #include <malloc.h>
 
@@ -9,78 +9,82 @@
 
 using namespace indigovane::site;
 
-struct Rig {
+struct Fixture {
     std::uint64_t drawn = 1;
     std::vector<Host> hosts;
     SiteManager manager;
     Time now = Time(seconds(100));
-    explicit Rig(unsigned count, bool shed = false)
+    explicit Fixture(unsigned count, bool shed = false)
         : manager(settings(shed), {300, true, {{{}, "read", false, 0, 0, 1}, {{}, "write", true, 0, 0, 6}}},
                   [this] { return draw(); }) {
         for (std::uint32_t i = 0; i < count; ++i)
             hosts.push_back({HostId{i}, SiteId{i % 3}, GroupId{i / 4}, true, i % 4 == 0, std::nullopt, 1});
-        manager.hosts(hosts, now);
+        manager.set_hosts(hosts, now);
     }
     static Settings settings(bool shed) {
         Settings s;
-        s.enabled = true, s.shed = shed;
+        s.enabled = true;
+        s.shed_by_plan = shed;
         return s;
     }
     double draw() {
         drawn = drawn * 6364136223846793005u + 1442695040888963407u;
         return double(drawn >> 11) * 0x1.0p-53;
     }
-    void request(bool silent_site) {
+    void request(bool unresponsive_site) {
         now += microseconds(100);
         HostId host{std::uint32_t(draw() * double(hosts.size()))};
         GroupId group = hosts[std::size_t(host)].group;
         benchmark::DoNotOptimize(manager.admit({group, 0, "laundry", draw()}, now));
-        manager.sent(host, now);
-        manager.over(host);
-        bool mute = silent_site && std::uint32_t(host) % 3 == 1;
-        manager.sign(host, mute ? ContactResult::mute : ContactResult::answer, now - milliseconds(300), now);
-        if (!mute) manager.took(group, 0, milliseconds(20));
+        manager.record_sent(host, now);
+        manager.record_ended(host);
+        bool unanswered = unresponsive_site && std::uint32_t(host) % 3 == 1;
+        manager.record_contact(host, unanswered ? ContactResult::unanswered : ContactResult::answered,
+                               now - milliseconds(300), now);
+        if (!unanswered) manager.record_latency(group, 0, milliseconds(20));
     }
     using microseconds = std::chrono::microseconds;
 };
 
-void request_in_peace(benchmark::State& state) {
-    Rig rig(120);
-    for (auto _ : state) rig.request(false);
+void request_without_loss(benchmark::State& state) {
+    Fixture fixture(120);
+    for (auto _ : state) fixture.request(false);
 }
-void request_in_a_loss(benchmark::State& state) {
-    Rig rig(120, true);
+void request_during_loss(benchmark::State& state) {
+    Fixture fixture(120, true);
     for (int i = 0; i < 20000; ++i) {
-        rig.request(true);
-        if (rig.manager.next() && *rig.manager.next() <= rig.now) rig.manager.tick(rig.now);
+        fixture.request(true);
+        if (fixture.manager.next_evaluation() && *fixture.manager.next_evaluation() <= fixture.now)
+            fixture.manager.evaluate(fixture.now);
     }
-    for (auto _ : state) rig.request(true);
+    for (auto _ : state) fixture.request(true);
 }
-void look(benchmark::State& state) {
-    Rig rig(unsigned(state.range(0)));
-    for (int i = 0; i < 20000; ++i) rig.request(false);
+void evaluate(benchmark::State& state) {
+    Fixture fixture(unsigned(state.range(0)));
+    for (int i = 0; i < 20000; ++i) fixture.request(false);
     for (auto _ : state) {
-        rig.now += milliseconds(50);
-        benchmark::DoNotOptimize(rig.manager.tick(rig.now));
+        fixture.now += milliseconds(50);
+        benchmark::DoNotOptimize(fixture.manager.evaluate(fixture.now));
     }
 }
 void plan(benchmark::State& state) {
-    Rig rig(120);
-    for (int i = 0; i < 20000; ++i) rig.request(false);
-    for (auto _ : state) benchmark::DoNotOptimize(make_plan(rig.manager.plan_input({SiteId{1}}, rig.now)));
+    Fixture fixture(120);
+    for (int i = 0; i < 20000; ++i) fixture.request(false);
+    for (auto _ : state)
+        benchmark::DoNotOptimize(make_plan(fixture.manager.plan_input({SiteId{1}}, fixture.now)));
 }
 void memory(benchmark::State& state) {
     for (auto _ : state) {
         auto before = mallinfo2().uordblks;
-        Rig rig(unsigned(state.range(0)));
-        for (int i = 0; i < 20000; ++i) rig.request(false);
+        Fixture fixture(unsigned(state.range(0)));
+        for (int i = 0; i < 20000; ++i) fixture.request(false);
         state.counters["bytes_a_host"] = double(mallinfo2().uordblks - before) / double(state.range(0));
     }
 }
 
-BENCHMARK(request_in_peace);
-BENCHMARK(request_in_a_loss);
-BENCHMARK(look)->Arg(120)->Arg(500);
+BENCHMARK(request_without_loss);
+BENCHMARK(request_during_loss);
+BENCHMARK(evaluate)->Arg(120)->Arg(500);
 BENCHMARK(plan);
 BENCHMARK(memory)->Arg(120)->Arg(500)->Iterations(1);
 
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -295,7 +295,7 @@
 }
 
 void take_sites(SiteConfig sites, const std::string& path, Config& config) {
-    for (const std::string& name : sites.settings.last)
+    for (const std::string& name : sites.settings.protected_classes)
         if (!config.classes.find(name))
             throw ConfigError(path + ": last: the platform's settings have no class '" + name + "'");
     config.sites = std::move(sites);
--- a/src/program/site_command.cpp
+++ b/src/program/site_command.cpp
@@ -46,10 +46,10 @@
             in.demand.push_back(std::move(each));
         }
     }
-    in.last = sites.settings.last;
-    in.shares = sites.settings.shares;
-    in.ceiling = sites.settings.ceiling;
-    in.floor = sites.settings.floor;
+    in.protected_classes = sites.settings.protected_classes;
+    in.tenant_shares = sites.settings.tenant_shares;
+    in.max_utilization = sites.settings.max_utilization;
+    in.min_class_share = sites.settings.min_class_share;
     return in;
 }
 
--- a/src/program/site_config.cpp
+++ b/src/program/site_config.cpp
@@ -40,53 +40,53 @@
 
 void read_sites(TomlReader& reader, TomlReader::Table& t, site::Settings& s) {
     s.enabled = true;
-    for (auto [key, out] : {std::pair{"quiet", &s.quiet},
-                            {"fresh", &s.fresh},
-                            {"stall", &s.stall},
-                            {"lapse", &s.lapse},
-                            {"hold", &s.hold},
-                            {"hold_most", &s.hold_most},
-                            {"flap_memory", &s.flap_memory},
-                            {"ramp", &s.ramp},
-                            {"ramp_most", &s.ramp_most},
-                            {"ramp_unsure", &s.ramp_unsure},
-                            {"ramp_warm", &s.ramp_warm},
-                            {"probe_every", &s.probe_every},
-                            {"starve", &s.starve},
+    for (auto [key, out] : {std::pair{"quiet", &s.unresponsive_after},
+                            {"fresh", &s.evidence_window},
+                            {"stall", &s.process_pause_threshold},
+                            {"lapse", &s.unconfirmed_loss_timeout},
+                            {"hold", &s.min_exclusion},
+                            {"hold_most", &s.max_exclusion},
+                            {"flap_memory", &s.relapse_window},
+                            {"ramp", &s.restart_ramp},
+                            {"ramp_most", &s.max_ramp},
+                            {"ramp_unsure", &s.default_ramp},
+                            {"ramp_warm", &s.warm_ramp},
+                            {"probe_every", &s.probe_interval},
+                            {"starve", &s.starvation_interval},
                             {"retry_after", &s.retry_after}})
         t.duration(key, *out);
-    for (auto [key, out] : {std::pair{"doubt", &s.doubt},
-                            {"witness", &s.witness},
-                            {"trickle", &s.trickle},
-                            {"ceiling", &s.ceiling},
-                            {"floor", &s.floor}})
+    for (auto [key, out] : {std::pair{"doubt", &s.degraded_share},
+                            {"witness", &s.lost_share},
+                            {"trickle", &s.initial_share},
+                            {"ceiling", &s.max_utilization},
+                            {"floor", &s.min_class_share}})
         share(t, key, *out);
     for (auto [key, out] : {std::pair{"hold_out", &s.exclude},
                             {"rescue", &s.abandon_unresponsive},
-                            {"ramp_probes", &s.ramp_probes},
-                            {"shed", &s.shed},
-                            {"budget", &s.budget},
-                            {"pace", &s.pace},
-                            {"doubt_self", &s.doubt_self},
-                            {"by_tenant", &s.by_tenant},
-                            {"by_age", &s.by_age}})
+                            {"ramp_probes", &s.probe_before_readmission},
+                            {"shed", &s.shed_by_plan},
+                            {"budget", &s.limit_retries},
+                            {"pace", &s.pace_recovery},
+                            {"doubt_self", &s.detect_own_faults},
+                            {"by_tenant", &s.tenant_fairness},
+                            {"by_age", &s.shed_late_first}})
         t.value<bool>(key, *out, "true or false");
-    t.size<unsigned>("least", s.least, 1, 1000);
-    t.size<unsigned>("back", s.back, 1, 1000);
-    t.size<unsigned>("confirm", s.confirm, 0, 1000);
-    positive(t, "probes_per_host", s.probes_per_host);
-    positive(t, "repeat_income", s.repeat_income);
-    positive(t, "repeat_most", s.repeat_most);
-    s.last = t.names("last");
-    s.shares = weights(reader, t, "shares");
+    t.size<unsigned>("least", s.min_unresponsive_hosts, 1, 1000);
+    t.size<unsigned>("back", s.min_recovered_hosts, 1, 1000);
+    t.size<unsigned>("confirm", s.confirmation_probes, 0, 1000);
+    positive(t, "probes_per_host", s.probes_per_host_per_second);
+    positive(t, "repeat_income", s.retry_budget_ratio);
+    positive(t, "repeat_most", s.max_retry_budget);
+    s.protected_classes = t.names("last");
+    s.tenant_shares = weights(reader, t, "shares");
     auto ordered = [&](bool fits, const char* what) {
         if (!fits) reader.wrong(t.raw().source(), what);
     };
     // What contradicts itself would switch on and off by itself.
-    ordered(s.quiet < s.fresh, "quiet: shorter than 'fresh'");
-    ordered(s.hold <= s.hold_most, "hold: at most 'hold_most'");
-    ordered(s.ramp <= s.ramp_most, "ramp: at most 'ramp_most'");
-    ordered(s.ceiling > 0, "ceiling: above 0%");
+    ordered(s.unresponsive_after < s.evidence_window, "quiet: shorter than 'fresh'");
+    ordered(s.min_exclusion <= s.max_exclusion, "hold: at most 'hold_most'");
+    ordered(s.restart_ramp <= s.max_ramp, "ramp: at most 'ramp_most'");
+    ordered(s.max_utilization > 0, "ceiling: above 0%");
 }
 
 }  // namespace
--- a/src/program/site_config.hpp
+++ b/src/program/site_config.hpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "program/units.hpp"
-#include "site/plan.hpp"
+#include "site/settings.hpp"
 
 namespace indigovane::program {
 
--- a/src/program/site_text.cpp
+++ b/src/program/site_text.cpp
@@ -55,18 +55,18 @@
         j["group"] = std::uint32_t(id);
         j["primary_lost"] = g.primary_lost;
         j["moved"] = rounded(g.moved);
-        j["refused"] = rounded(g.refused);
+        j["refused"] = rounded(g.shed);
         j["strain"] = rounded(g.load_ratio);
         o["groups"].push_back(std::move(j));
     }
     o["refused"] = ordered_json::array();
-    for (const site::Share& s : plan.shares) {
-        if (s.admit >= 1) continue;
+    for (const site::AdmittedShare& s : plan.shares) {
+        if (s.admitted >= 1) continue;
         ordered_json j;
         j["rank"] = s.rank;
         j["class"] = s.request_class;
         j["group"] = std::uint32_t(s.group);
-        j["let_in"] = rounded(s.admit);
+        j["let_in"] = rounded(s.admitted);
         for (const auto& [tenant, part] : s.tenants) j["tenants"][tenant] = rounded(part);
         o["refused"].push_back(std::move(j));
     }
@@ -93,14 +93,14 @@
     out += "group  primary            work moved  work refused  a replica's load\n";
     for (const auto& [id, g] : plan.groups)
         out += line("%-6u %-18s %10.2f  %12.2f  %10.2f times\n", std::uint32_t(id),
-                    g.primary_lost ? "lost: waits" : "stays", g.moved, g.refused, g.load_ratio);
+                    g.primary_lost ? "lost: waits" : "stays", g.moved, g.shed, g.load_ratio);
     out += "\nrefused, in this order\nrank   class                group  let in\n";
     bool any = false;
-    for (const site::Share& s : plan.shares) {
-        if (s.admit >= 1) continue;
+    for (const site::AdmittedShare& s : plan.shares) {
+        if (s.admitted >= 1) continue;
         any = true;
         out += line("%-6u %-20s %5u  %5.1f%%\n", s.rank, s.request_class.c_str(), std::uint32_t(s.group),
-                    s.admit * 100);
+                    s.admitted * 100);
         for (const auto& [tenant, part] : s.tenants)
             out += line("         tenant %-24s %5.1f%%\n", tenant.c_str(), part * 100);
     }
@@ -118,26 +118,26 @@
 ordered_json status_json(const site::SiteManager& manager, const std::vector<std::string>& zones,
                          site::Time now) {
     ordered_json o;
-    o["own_link_down"] = manager.verdicts().uplink_down();
-    o["hosts_out"] = manager.site_excluded();
-    o["refused"] = manager.refused();
-    o["repeats_held_back"] = manager.repeats_held_back();
+    o["own_link_down"] = manager.health().uplink_down();
+    o["hosts_out"] = manager.excluded_hosts();
+    o["refused"] = manager.rejected();
+    o["repeats_held_back"] = manager.retries_denied();
     o["sites"] = ordered_json::array();
     for (site::SiteId id : manager.evidence().sites()) {
-        const site::SiteHealth& v = manager.verdicts().of(id);
-        site::SiteEvidence e =
-            manager.evidence().of(id, now, manager.settings().fresh, manager.response_timeout());
+        const site::SiteHealth& v = manager.health().of_site(id);
+        site::SiteEvidence e = manager.evidence().of_site(id, now, manager.settings().evidence_window,
+                                                          manager.response_timeout());
         ordered_json j;
         j["zone"] = zone_name(zones, id);
-        j["is"] = site::name(v.standing);
+        j["is"] = site::state_name(v.state);
         j["for_s"] = v.since == site::Time{} ? ordered_json(nullptr) : age(v.since, now);
         j["hosts"] = e.hosts;
         j["answering"] = e.answering;
-        j["silent"] = e.mute;
-        j["refusing"] = e.broken;
-        j["answered_s"] = age(e.answered, now);
-        j["silent_s"] = age(e.mute_since, now);
-        j["falls"] = v.falls;
+        j["silent"] = e.unresponsive;
+        j["refusing"] = e.resetting;
+        j["answered_s"] = age(e.last_answer, now);
+        j["silent_s"] = age(e.unresponsive_since, now);
+        j["falls"] = v.losses;
         o["sites"].push_back(std::move(j));
     }
     return o;
--- a/src/routing/site_controller.cpp
+++ b/src/routing/site_controller.cpp
@@ -56,60 +56,61 @@
         case AttemptStatus::rejected:
         case AttemptStatus::miss:
         case AttemptStatus::stale:
-            sign = site::ContactResult::answer;
+            sign = site::ContactResult::answered;
             break;
         case AttemptStatus::timeout:
-            sign = site::ContactResult::mute;
+            sign = site::ContactResult::unanswered;
             break;
         case AttemptStatus::unreachable:
-            sign = took < connect_timeout / 2 && !probe ? site::ContactResult::broken
-                                                        : site::ContactResult::mute;
+            sign = took < connect_timeout / 2 && !probe ? site::ContactResult::reset
+                                                        : site::ContactResult::unanswered;
             break;
         case AttemptStatus::reset:
-            sign = site::ContactResult::broken;
+            sign = site::ContactResult::reset;
             break;
         case AttemptStatus::cancelled:
-            if (took >= manager_.settings().quiet) sign = site::ContactResult::mute;
+            if (took >= manager_.settings().unresponsive_after) sign = site::ContactResult::unanswered;
             break;
         case AttemptStatus::not_started:
             break;
     }
-    manager_.over(host(endpoint));
-    if (sign) manager_.sign(host(endpoint), *sign, time(sent), time(now));
+    manager_.record_ended(host(endpoint));
+    if (sign) manager_.record_contact(host(endpoint), *sign, time(sent), time(now));
 }
 
 void SiteController::sent(EndpointId endpoint, Time now) {
-    manager_.sent(host(endpoint), time(now));
+    manager_.record_sent(host(endpoint), time(now));
 }
 
 void SiteController::begun(EndpointId endpoint, Time now) {
-    manager_.sign(host(endpoint), site::ContactResult::answer, time(now), time(now));
+    manager_.record_contact(host(endpoint), site::ContactResult::answered, time(now), time(now));
 }
 
 void SiteController::heard(EndpointId endpoint, std::optional<policy::Role> role,
                            const policy::LoadReport& report) {
-    if (role == policy::Role::primary || report.primary == true) manager_.primary(host(endpoint));
+    if (role == policy::Role::primary || report.primary == true) manager_.record_primary(host(endpoint));
     if (report.cpu_utilization)
-        manager_.busy(host(endpoint), *report.cpu_utilization);
+        manager_.record_utilization(host(endpoint), *report.cpu_utilization);
     else if (report.in_flight)
-        manager_.busy(host(endpoint), std::min(1.0, *report.in_flight / kHeldBusy));
+        manager_.record_utilization(host(endpoint), std::min(1.0, *report.in_flight / kHeldBusy));
 }
 
 void SiteController::took(const ClientRequest& item, Duration latency) {
-    manager_.took(site::GroupId{std::uint32_t(item.group)}, std::size_t(item.request_class), latency);
+    manager_.record_latency(site::GroupId{std::uint32_t(item.group)}, std::size_t(item.request_class),
+                            latency);
 }
 
 std::optional<Time> SiteController::next() const {
-    auto next = manager_.next();
+    auto next = manager_.next_evaluation();
     return next ? std::optional(time(*next)) : std::nullopt;
 }
 
 std::vector<SiteController::Use> SiteController::look(Time now, Logger& logger) {
     std::vector<Use> uses;
     auto endpoint = [](site::HostId h) { return EndpointId(std::uint32_t(h)); };
-    for (const site::SiteAction& effect : manager_.tick(time(now))) {
+    for (const site::SiteAction& effect : manager_.evaluate(time(now))) {
         if (auto* out = std::get_if<site::ExcludeHost>(&effect)) {
-            uses.push_back({Use::What::exclude, endpoint(out->host), std::nullopt, out->silent});
+            uses.push_back({Use::What::exclude, endpoint(out->host), std::nullopt, out->unresponsive});
         } else if (auto* in = std::get_if<site::ReadmitHost>(&effect)) {
             uses.push_back({Use::What::let_in, endpoint(in->host),
                             in->started ? std::optional(time(*in->started)) : std::nullopt});
@@ -118,17 +119,17 @@
         } else {
             const site::SiteTransition& n = std::get<site::SiteTransition>(effect);
             const site::SiteEvidence& e = n.change.evidence;
-            logger.log(Level::notice, "site", n.change.why,
+            logger.log(Level::notice, "site", n.change.reason,
                        {{"zone", std::to_string(std::uint32_t(n.change.site))},
-                        {"was", site::name(n.change.before)},
-                        {"is", site::name(n.change.now)},
+                        {"was", site::state_name(n.change.before)},
+                        {"is", site::state_name(n.change.after)},
                         {"hosts", std::to_string(e.hosts)},
                         {"answering", std::to_string(e.answering)},
-                        {"silent", std::to_string(e.mute)},
-                        {"refusing", std::to_string(e.broken)},
-                        {"hold_s", decimal(n.hold_s)},
-                        {"ramp_s", decimal(n.ramp_s)},
-                        {"falls", std::to_string(n.falls)}});
+                        {"silent", std::to_string(e.unresponsive)},
+                        {"refusing", std::to_string(e.resetting)},
+                        {"hold_s", decimal(n.exclusion_seconds)},
+                        {"ramp_s", decimal(n.ramp_seconds)},
+                        {"falls", std::to_string(n.losses)}});
         }
     }
     return uses;
--- a/src/routing/site_controller.hpp
+++ b/src/routing/site_controller.hpp
@@ -20,11 +20,11 @@
     static Time time(site::Time t) { return Time(t.time_since_epoch()); }
 
     void set(const site::Settings& settings, site::FleetContext around) {
-        manager_.set(settings, std::move(around));
+        manager_.update_settings(settings, std::move(around));
     }
     bool admit(const ClientRequest& item, Time now);
     bool may_retry() { return manager_.may_retry(); }
-    void hosts(const std::vector<site::Host>& hosts, Time now) { manager_.hosts(hosts, time(now)); }
+    void hosts(const std::vector<site::Host>& hosts, Time now) { manager_.set_hosts(hosts, time(now)); }
     void ended(EndpointId endpoint, bool probe, Time sent, policy::AttemptStatus status,
                Duration connect_timeout, Time now);
     void sent(EndpointId endpoint, Time now);
--- a/src/site/site_health.cpp
+++ b/src/site/site_health.cpp
@@ -2,160 +2,197 @@
 
 #include <algorithm>
 #include <cmath>
-#include <utility>
 
 namespace indigovane::site {
 
 namespace {
-bool given_up(SiteState s) {
-    return s == SiteState::lost || s == SiteState::cut_off;
-}
-Duration doubled(Duration first, Duration most, unsigned falls) {
-    Duration d = first;
-    for (unsigned i = 1; i < falls && d < most; ++i) d *= 2;
-    return std::min(d, most);
+// Doubled with each loss after the first.
+Duration exponential_backoff(Duration initial, Duration max, unsigned losses) {
+    Duration duration = initial;
+    for (unsigned i = 1; i < losses && duration < max; ++i) duration *= 2;
+    return std::min(duration, max);
 }
 }  // namespace
 
-// Enough different hosts without an answer, and none from any of the site for a while. What was answered
-// before the silence began is no witness against it: most of a site's hosts have not been asked since. That
-// the silent work was sent `quiet` ago matters as much as when it ended: a shorter pause of the network ends
-// nothing.
-bool SiteHealthTracker::silent(const SiteEvidence& e, Time now) const {
-    unsigned wanted =
-        std::max(std::min(e.hosts, set_.least), unsigned(std::ceil(set_.witness * double(e.known))));
-    if (e.hosts == 0 || e.run < std::max(1u, wanted)) return false;
-    return now - e.answered.value_or(*e.mute_since) >= set_.quiet;
-}
-
-bool SiteHealthTracker::doubtful(const SiteEvidence& e) const {
-    return e.hosts > 0 && e.mute >= std::min(e.hosts, set_.least) && e.silent_share() >= set_.doubt;
-}
-
-Change SiteHealthTracker::enter(SiteId site, SiteState standing, Time now, const SiteEvidence& evidence,
-                                const char* why) {
-    SiteHealth& v = sites_[site];
-    Change change{site, v.standing, standing, evidence, why};
-    if (given_up(standing) && !given_up(v.standing)) {
-        if (v.fell && now - *v.fell > set_.flap_memory) v.falls = 0;
-        ++v.falls;
-        v.fell = now;
-        v.look_at = now + doubled(set_.hold, set_.hold_most, v.falls);
-        v.confirmed = now;
-        v.restarted = standing == SiteState::lost && evidence.broken * 2 > evidence.mute;
-        v.warm = standing == SiteState::cut_off;
+bool is_lost(SiteState state) {
+    return state == SiteState::lost || state == SiteState::partitioned;
+}
+
+bool is_excluded(SiteState state) {
+    return is_lost(state) || state == SiteState::drained;
+}
+
+// Answers from before the loss do not count against it: most of a site's hosts have been sent nothing since.
+// That the unanswered work was sent `unresponsive_after` ago matters as much as when it ended: a shorter
+// pause of the network loses no site.
+bool SiteHealthTracker::is_unresponsive(const SiteEvidence& evidence, Time now) const {
+    auto of_those_in_use = unsigned(std::ceil(settings_.lost_share * double(evidence.in_use)));
+    unsigned required = std::max(std::min(evidence.hosts, settings_.min_unresponsive_hosts), of_those_in_use);
+    if (evidence.hosts == 0 || evidence.newly_unresponsive < std::max(1u, required)) return false;
+    return now - evidence.last_answer.value_or(*evidence.unresponsive_since) >= settings_.unresponsive_after;
+}
+
+bool SiteHealthTracker::is_degraded(const SiteEvidence& evidence) const {
+    return evidence.hosts > 0 &&
+           evidence.unresponsive >= std::min(evidence.hosts, settings_.min_unresponsive_hosts) &&
+           evidence.unresponsive_share() >= settings_.degraded_share;
+}
+
+void SiteHealthTracker::begin_loss(SiteHealth& health, SiteState state, Time now,
+                                   const SiteEvidence& evidence) const {
+    if (health.last_loss && now - *health.last_loss > settings_.relapse_window) health.losses = 0;
+    ++health.losses;
+    health.last_loss = now;
+    health.excluded_until =
+        now + exponential_backoff(settings_.min_exclusion, settings_.max_exclusion, health.losses);
+    health.last_confirmed = now;
+    health.restarted = state == SiteState::lost && evidence.resetting * 2 > evidence.unresponsive;
+    health.warm = state == SiteState::partitioned;
+}
+
+StateChange SiteHealthTracker::enter(SiteId site, SiteState state, Time now, const SiteEvidence& evidence,
+                                     const char* reason) {
+    SiteHealth& health = sites_[site];
+    StateChange change{site, health.state, state, evidence, reason};
+    if (is_lost(state) && !is_lost(health.state)) {
+        begin_loss(health, state, now, evidence);
         answers_.erase(site);
     }
-    if (standing == SiteState::returning) {
-        Duration first = v.restarted ? set_.ramp : v.warm ? set_.ramp_warm : set_.ramp_unsure;
-        v.ramp = doubled(first, set_.ramp_most, std::max(1u, v.falls));
+    if (state == SiteState::recovering) {
+        Duration initial = health.restarted ? settings_.restart_ramp
+                           : health.warm    ? settings_.warm_ramp
+                                            : settings_.default_ramp;
+        health.ramp = exponential_backoff(initial, settings_.max_ramp, health.losses);
     }
-    v.standing = standing;
-    v.since = now;
-    v.evidence = evidence;
+    health.state = state;
+    health.since = now;
+    health.evidence = evidence;
     return change;
 }
 
-std::vector<Change> SiteHealthTracker::look(const Evidence& evidence, Time now, Duration response_timeout) {
-    std::vector<Change> changes;
-    std::map<SiteId, SiteEvidence> seen;
-    unsigned hosts_silent = 0, hosts_answering = 0;
-    bool anything = false, unasked = false;
-    for (SiteId s : evidence.sites()) {
-        SiteEvidence e = evidence.of(s, now, set_.fresh, response_timeout);
-        bool gone = silent(e, now) || given_up(sites_[s].standing);
-        (gone ? hosts_silent : hosts_answering) += e.hosts;
-        // A site of which nothing was asked lately says nothing for or against this pooler's own link. That
-        // it answered before the silence does not either.
-        if (!gone && e.answered && now - *e.answered < set_.quiet) anything = true;
-        if (!gone && e.mute == 0) unasked = true;
-        seen[s] = e;
-    }
-    std::erase_if(sites_, [&](const auto& s) { return !seen.count(s.first); });
-    std::erase_if(answers_, [&](const auto& s) { return !seen.count(s.first); });
-
-    // Guards against a pooler that has lost its own link: with nobody to be heard, nobody is lost. Where a
-    // site has nothing to answer it is open which of the two it is, and what speaks for a loss is kept: a
-    // pooler with a few requests a second has such moments all the time.
-    bool all_silent =
-        set_.doubt_self && !anything && hosts_silent > 0 && (uplink_down_ || !unasked) &&
-        std::any_of(seen.begin(), seen.end(), [&](const auto& s) { return silent(s.second, now); });
-    // What was silent while the link was down says nothing of anybody once it is back.
-    if (std::exchange(uplink_down_, all_silent) && !all_silent) {
-        uplink_back_ = true;
-        return changes;
+SiteHealthTracker::Survey SiteHealthTracker::survey(const ContactEvidence& evidence, Time now,
+                                                    Duration response_timeout) {
+    Survey survey;
+    for (SiteId site : evidence.sites()) {
+        SiteEvidence sum = evidence.of_site(site, now, settings_.evidence_window, response_timeout);
+        bool lost = is_unresponsive(sum, now) || is_lost(sites_[site].state);
+        (lost ? survey.unresponsive_hosts : survey.answering_hosts) += sum.hosts;
+        // An answer from before the others became unresponsive says nothing about this pooler's own link.
+        if (!lost && sum.last_answer && now - *sum.last_answer < settings_.unresponsive_after)
+            survey.any_answer = true;
+        if (!lost && sum.unresponsive == 0) survey.any_unused = true;
+        survey.sites[site] = sum;
     }
+    return survey;
+}
 
-    for (auto& [s, e] : seen) {
-        SiteHealth& v = sites_[s];
-        if (v.standing == SiteState::drained) continue;
-        if (given_up(v.standing)) {
-            if (e.mute_at) v.confirmed = std::max(v.confirmed, *e.mute_at);
-            auto& back = answers_[s];
-            std::erase_if(back, [&](const auto& a) { return now - a.second > set_.fresh + set_.hold; });
-            unsigned wanted = std::max(1u, std::min(set_.back, e.hosts));
-            if (now >= v.look_at && back.size() >= wanted)
-                changes.push_back(enter(s, SiteState::returning, now, e, "hosts answer again"));
-            else if (now >= v.look_at && now - v.confirmed > set_.lapse)
-                changes.push_back(enter(s, SiteState::returning, now, e, "the verdict has lapsed"));
-            continue;
-        }
-        if (silent(e, now) && anything) {
-            // Most hosts answer: it is that site. Most are silent: it may as well be this pooler's side.
-            bool mine = hosts_silent > hosts_answering;
-            changes.push_back(enter(s, mine ? SiteState::cut_off : SiteState::lost, now, e,
-                                    mine                    ? "silent, as most hosts are to this pooler"
-                                    : e.broken > e.mute / 2 ? "its hosts refuse or reset"
-                                                            : "its hosts are silent"));
-            continue;
-        }
-        if (v.standing == SiteState::returning) continue;  // until home(), or until it is silent again
-        bool doubt = doubtful(e) && !uplink_down_;
-        if (doubt && v.standing == SiteState::reachable)
-            changes.push_back(enter(s, SiteState::doubtful, now, e, "several of its hosts are silent"));
-        // Hysteresis: doubt ends where silent ones are few, not where they are a little fewer.
-        else if (v.standing == SiteState::doubtful && e.silent_share() < set_.doubt / 2)
-            changes.push_back(enter(s, SiteState::reachable, now, e, "its hosts answer"));
+// With no site answering, none is lost. Where a site has had nothing to answer it is open which of the two it
+// is, and the evidence is retained: a pooler with a few requests a second has such moments all the time.
+bool SiteHealthTracker::is_uplink_down(const Survey& survey, Time now) const {
+    if (!settings_.detect_own_faults || survey.any_answer || survey.unresponsive_hosts == 0) return false;
+    if (!uplink_down_ && survey.any_unused) return false;
+    return std::any_of(survey.sites.begin(), survey.sites.end(),
+                       [&](const auto& site) { return is_unresponsive(site.second, now); });
+}
+
+std::vector<StateChange> SiteHealthTracker::evaluate(const ContactEvidence& evidence, Time now,
+                                                     Duration response_timeout) {
+    Survey current = survey(evidence, now, response_timeout);
+    std::erase_if(sites_, [&](const auto& site) { return !current.sites.count(site.first); });
+    std::erase_if(answers_, [&](const auto& site) { return !current.sites.count(site.first); });
+
+    bool was_down = std::exchange(uplink_down_, is_uplink_down(current, now));
+    // What was unanswered while the link was down says nothing about any site: the caller discards it first.
+    if (was_down && !uplink_down_) {
+        uplink_recovered_ = true;
+        return {};
+    }
+    std::vector<StateChange> changes;
+    for (const auto& [site, sum] : current.sites) {
+        SiteState state = sites_[site].state;
+        if (state == SiteState::drained) continue;
+        auto change =
+            is_lost(state) ? evaluate_lost(site, sum, now) : evaluate_present(site, sum, current, now);
+        if (change) changes.push_back(*change);
     }
     return changes;
 }
 
-void SiteHealthTracker::answered(SiteId site, HostId host, Time now) {
+std::optional<StateChange> SiteHealthTracker::evaluate_lost(SiteId site, const SiteEvidence& evidence,
+                                                            Time now) {
+    SiteHealth& health = sites_[site];
+    if (evidence.last_unanswered)
+        health.last_confirmed = std::max(health.last_confirmed, *evidence.last_unanswered);
+    auto& answers = answers_[site];
+    std::erase_if(answers, [&](const auto& answer) {
+        return now - answer.second > settings_.evidence_window + settings_.min_exclusion;
+    });
+    if (now < health.excluded_until) return std::nullopt;
+    unsigned required = std::max(1u, std::min(settings_.min_recovered_hosts, evidence.hosts));
+    if (answers.size() >= required)
+        return enter(site, SiteState::recovering, now, evidence, "hosts answer again");
+    if (now - health.last_confirmed > settings_.unconfirmed_loss_timeout)
+        return enter(site, SiteState::recovering, now, evidence, "the verdict has lapsed");
+    return std::nullopt;
+}
+
+std::optional<StateChange> SiteHealthTracker::evaluate_present(SiteId site, const SiteEvidence& evidence,
+                                                               const Survey& survey, Time now) {
+    if (is_unresponsive(evidence, now) && survey.any_answer) {
+        // Most hosts answer: it is that site. Most are unresponsive: it may as well be this pooler's side.
+        if (survey.unresponsive_hosts > survey.answering_hosts)
+            return enter(site, SiteState::partitioned, now, evidence,
+                         "silent, as most hosts are to this pooler");
+        bool resets = evidence.resetting > evidence.unresponsive / 2;
+        return enter(site, SiteState::lost, now, evidence,
+                     resets ? "its hosts refuse or reset" : "its hosts are silent");
+    }
+    SiteState state = sites_[site].state;
+    if (state == SiteState::recovering) return std::nullopt;  // ends by complete_recovery() or a relapse
+    if (state == SiteState::reachable && is_degraded(evidence) && !uplink_down_)
+        return enter(site, SiteState::degraded, now, evidence, "several of its hosts are silent");
+    // Hysteresis: it ends where unresponsive hosts are few, not where they are a little fewer.
+    if (state == SiteState::degraded && evidence.unresponsive_share() < settings_.degraded_share / 2)
+        return enter(site, SiteState::reachable, now, evidence, "its hosts answer");
+    return std::nullopt;
+}
+
+void SiteHealthTracker::record_answer(SiteId site, HostId host, Time now) {
     auto it = sites_.find(site);
-    if (it != sites_.end() && given_up(it->second.standing)) answers_[site][host] = now;
+    if (it != sites_.end() && is_lost(it->second.state)) answers_[site][host] = now;
 }
 
-std::optional<Change> SiteHealthTracker::home(SiteId site, Time now) {
+std::optional<StateChange> SiteHealthTracker::complete_recovery(SiteId site, Time now) {
     auto it = sites_.find(site);
-    if (it == sites_.end() || it->second.standing != SiteState::returning) return std::nullopt;
+    if (it == sites_.end() || it->second.state != SiteState::recovering) return std::nullopt;
     return enter(site, SiteState::reachable, now, {}, "all of its hosts are in use");
 }
 
-std::optional<Change> SiteHealthTracker::drain(SiteId site, bool on, Time now) {
-    SiteHealth& v = sites_[site];
-    if (on == (v.standing == SiteState::drained)) return std::nullopt;
-    if (!on && !v.ordered) return std::nullopt;
-    v.ordered = on;
-    v.warm = true;
-    v.restarted = false;
-    return enter(site, on ? SiteState::drained : SiteState::returning, now, {},
-                 on ? "operators sent its load away" : "operators let it back");
+std::optional<StateChange> SiteHealthTracker::drain(SiteId site, bool drained, Time now) {
+    SiteHealth& health = sites_[site];
+    if (drained == (health.state == SiteState::drained)) return std::nullopt;
+    if (!drained && !health.drain_ordered) return std::nullopt;
+    health.drain_ordered = drained;
+    health.warm = true;
+    health.restarted = false;
+    if (drained) return enter(site, SiteState::drained, now, {}, "operators sent its load away");
+    return enter(site, SiteState::recovering, now, {}, "operators let it back");
 }
 
-const SiteHealth& SiteHealthTracker::of(SiteId site) const {
-    static const SiteHealth none;
+const SiteHealth& SiteHealthTracker::of_site(SiteId site) const {
+    static const SiteHealth unknown;
     auto it = sites_.find(site);
-    return it == sites_.end() ? none : it->second;
+    return it == sites_.end() ? unknown : it->second;
 }
 
-bool SiteHealthTracker::heard(SiteId site) const {
+bool SiteHealthTracker::answered_since_loss(SiteId site) const {
     auto it = answers_.find(site);
     return it != answers_.end() && !it->second.empty();
 }
 
-bool SiteHealthTracker::any_trouble() const {
+bool SiteHealthTracker::any_fault() const {
     return std::any_of(sites_.begin(), sites_.end(),
-                       [](const auto& s) { return s.second.standing != SiteState::reachable; });
+                       [](const auto& site) { return site.second.state != SiteState::reachable; });
 }
 
 }  // namespace indigovane::site
--- a/src/site/site_manager.cpp
+++ b/src/site/site_manager.cpp
@@ -6,334 +6,304 @@
 namespace indigovane::site {
 
 namespace {
-constexpr Duration kLook = milliseconds(50);  // while anything is silent, or a site is not as it should be
-constexpr double kUsualGain = 0.02;           // weight of an answer in the usual answer time
-constexpr Duration kIdle = seconds(1);        // else: evidence ages, rates decay
+constexpr Duration kFaultInterval = milliseconds(50);  // between evaluations while anything is unresponsive
+constexpr Duration kIdleInterval = seconds(1);         // else: evidence ages, rates decay
+constexpr double kLatencyGain = 0.02;                  // weight of an answer in the usual latency
+
+bool same_classes(const std::vector<Demand>& a, const std::vector<Demand>& b) {
+    return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](const Demand& x, const Demand& y) {
+        return x.request_class == y.request_class && x.priority_weight == y.priority_weight &&
+               x.primary == y.primary;
+    });
+}
 }  // namespace
 
-SiteManager::SiteManager(const Settings& settings, FleetContext around, std::function<double()> draw)
-    : set_(settings),
-      around_(std::move(around)),
+SiteManager::SiteManager(const Settings& settings, FleetContext context, std::function<double()> draw)
+    : settings_(settings),
+      context_(std::move(context)),
       draw_(std::move(draw)),
-      verdicts_(settings),
-      shedder_(settings, around_.classes),
+      health_(settings),
+      prober_(settings, draw_),
+      shedder_(settings, context_.classes),
       retry_budget_(settings) {}
 
-void SiteManager::set(const Settings& settings, FleetContext around) {
-    bool same = std::equal(around.classes.begin(), around.classes.end(), around_.classes.begin(),
-                           around_.classes.end(), [](const Demand& a, const Demand& b) {
-                               return a.request_class == b.request_class &&
-                                      a.priority_weight == b.priority_weight && a.primary == b.primary;
-                           });
-    set_ = settings;
-    around_ = std::move(around);
-    verdicts_.set(settings);
-    shedder_.set(settings);
-    retry_budget_.set(settings);
-    if (!same) shedder_.classes(around_.classes);
-    plan_due_ = true;
+void SiteManager::update_settings(const Settings& settings, FleetContext context) {
+    bool same = same_classes(context.classes, context_.classes);
+    settings_ = settings;
+    context_ = std::move(context);
+    health_.update_settings(settings);
+    prober_.update_settings(settings);
+    shedder_.update_settings(settings);
+    retry_budget_.update_settings(settings);
+    if (!same) shedder_.replace_classes(context_.classes);
+    plan_outdated_ = true;
 }
 
-bool SiteManager::away(SiteId site) const {
-    SiteState s = verdicts_.of(site).standing;
-    return s == SiteState::lost || s == SiteState::cut_off || s == SiteState::drained;
-}
-
-void SiteManager::hosts(const std::vector<Host>& hosts, Time now) {
-    std::map<HostId, std::optional<Time>> before;
-    for (const Host& h : evidence_.all()) before[h.id] = h.started;
-    evidence_.hosts(hosts);
+void SiteManager::set_hosts(const std::vector<Host>& hosts, Time now) {
+    std::map<HostId, std::optional<Time>> started_before;
+    for (const Host& host : evidence_.hosts()) started_before[host.id] = host.started;
+    evidence_.set_hosts(hosts);
     std::set<HostId> listed;
-    for (const Host& h : hosts) {
-        listed.insert(h.id);
-        auto old = before.find(h.id);
-        bool anew = old != before.end() && h.started && old->second != h.started;
-        if (!away(h.site)) continue;
-        // A start since the loss is a sign of life from somebody who knows: discovery.
-        if (anew && *h.started > verdicts_.of(h.site).since) {
-            if (mostly_started(h.site)) verdicts_.restarted(h.site);
-            verdicts_.answered(h.site, h.id, now);
-        }
-        // One that is new to a site which is away stays out until it returns; the list is told by others, and
-        // they may have told of it before its site was lost.
-        if (set_.exclude && old == before.end() && out_.insert(h.id).second)
-            effects_.push_back(ExcludeHost{h.id});
+    for (const Host& host : hosts) {
+        listed.insert(host.id);
+        auto before = started_before.find(host.id);
+        bool known = before != started_before.end();
+        update_listed_host(host, known, known ? before->second : std::nullopt, now);
     }
     for (auto& [site, ramp] : ramps_)
-        for (const auto& [id, started] : before)
-            if (!listed.count(id)) ramp.gone(id);
-    std::erase_if(out_, [&](HostId id) { return !listed.count(id); });
-    std::erase_if(primaries_, [&](const auto& p) { return !listed.count(p.second); });
-    plan_due_ = true;
-    next_ = now;
+        for (const auto& [id, started] : started_before)
+            if (!listed.count(id)) ramp.remove(id);
+    std::erase_if(excluded_, [&](HostId id) { return !listed.count(id); });
+    std::erase_if(primaries_, [&](const auto& primary) { return !listed.count(primary.second); });
+    plan_outdated_ = true;
+    next_evaluation_ = now;
 }
 
-// Guards a site that was only cut off: on a bad day one of its hosts starts anew meanwhile, and all others
-// would come back as slowly as if they were cold too. Of the one that is, the list itself tells.
-bool SiteManager::mostly_started(SiteId site) const {
-    Time since = verdicts_.of(site).since;
-    unsigned all = 0, started = 0;
-    for (const Host& h : evidence_.all()) {
-        if (h.site != site || !h.ready) continue;
-        ++all;
-        started += h.started && *h.started > since;
+void SiteManager::update_listed_host(const Host& host, bool known, std::optional<Time> started_before,
+                                     Time now) {
+    if (!is_site_excluded(host.site)) return;
+    bool restarted = known && host.started && started_before != host.started;
+    // A start since the loss, as told by discovery, is as good as an answer.
+    if (restarted && *host.started > health_.of_site(host.site).since) {
+        if (mostly_restarted(host.site)) health_.mark_restarted(host.site);
+        health_.record_answer(host.site, host.id, now);
     }
-    return started * 2 >= all;
+    // The list may describe a host from before its site was lost: a new one stays excluded until recovery.
+    if (settings_.exclude && !known && excluded_.insert(host.id).second)
+        actions_.push_back(ExcludeHost{host.id});
 }
 
-void SiteManager::primary(HostId host) {
-    if (const Host* h = evidence_.host(host)) primaries_[h->group] = host;
+// A partitioned site may have a host that happens to start anew meanwhile: the others need no slow start for
+// it, and of that one the list itself tells.
+bool SiteManager::mostly_restarted(SiteId site) const {
+    Time since = health_.of_site(site).since;
+    unsigned ready = 0;
+    unsigned restarted = 0;
+    for (const Host& host : evidence_.hosts()) {
+        if (host.site != site || !host.ready) continue;
+        ++ready;
+        restarted += host.started && *host.started > since;
+    }
+    return restarted * 2 >= ready;
 }
 
-void SiteManager::sign(HostId id, ContactResult sign, Time sent, Time now) {
-    evidence_.sign(id, sign, sent, now);
-    const Host* h = evidence_.host(id);
-    if (!h) return;
-    if (sign == ContactResult::answer) {
-        if (away(h->site)) verdicts_.answered(h->site, id, now);
-        if (auto ramp = ramps_.find(h->site); ramp != ramps_.end()) ramp->second.answered(id);
-    } else if (!next_ || *next_ > now + kLook) {
-        next_ = now + kLook;
-    }
+void SiteManager::record_primary(HostId id) {
+    if (const Host* host = evidence_.find_host(id)) primaries_[host->group] = id;
+}
+
+void SiteManager::record_contact(HostId id, ContactResult result, Time sent, Time now) {
+    evidence_.record_contact(id, result, sent, now);
+    const Host* host = evidence_.find_host(id);
+    if (!host) return;
+    if (result != ContactResult::answered) return schedule_evaluation(now + kFaultInterval);
+    if (is_site_excluded(host->site)) health_.record_answer(host->site, id, now);
+    if (auto ramp = ramps_.find(host->site); ramp != ramps_.end()) ramp->second.record_answer(id);
 }
 
-void SiteManager::sent(HostId host, Time now) {
-    evidence_.sent(host, now);
-    Duration soon = set_.confirm > 0 ? set_.quiet / 2 : set_.quiet;
-    if (!next_ || *next_ > now + soon) next_ = now + soon;
+void SiteManager::record_sent(HostId host, Time now) {
+    evidence_.record_sent(host, now);
+    bool confirms = settings_.confirmation_probes > 0;
+    schedule_evaluation(now + (confirms ? settings_.unresponsive_after / 2 : settings_.unresponsive_after));
 }
 
-void SiteManager::took(GroupId group, std::size_t request_class, Duration latency) {
-    shedder_.took(group, request_class, latency);
-    usual_ += kUsualGain * (double(latency.count()) - usual_);
+void SiteManager::schedule_evaluation(Time at) {
+    if (!next_evaluation_ || *next_evaluation_ > at) next_evaluation_ = at;
+}
+
+void SiteManager::record_latency(GroupId group, std::size_t request_class, Duration latency) {
+    shedder_.record_latency(group, request_class, latency);
+    usual_latency_us_ += kLatencyGain * (double(latency.count()) - usual_latency_us_);
 }
 
 Duration SiteManager::response_timeout() const {
-    return std::max(set_.quiet, Duration(std::int64_t(usual_ * set_.response_timeout)));
+    Duration of_usual(std::int64_t(usual_latency_us_ * settings_.response_timeout_multiple));
+    return std::max(settings_.unresponsive_after, of_usual);
 }
 
-bool SiteManager::admit(Shedder::Arrival arrival, Time now) {
-    if (!next_) next_ = now + kIdle;
-    retry_budget_.earned();
-    return shedder_.admit(arrival, now) || !set_.shed;
+bool SiteManager::admit(const RequestArrival& arrival, Time now) {
+    if (!next_evaluation_) next_evaluation_ = now + kIdleInterval;
+    retry_budget_.earn();
+    return shedder_.admit(arrival, now) || !settings_.shed_by_plan;
 }
 
 bool SiteManager::may_retry() {
-    if (!set_.budget || !in_trouble()) return true;
+    if (!settings_.limit_retries || !health_.any_fault()) return true;
     if (retry_budget_.spend()) return true;
-    ++held_back_;
+    ++retries_denied_;
     return false;
 }
 
-bool SiteManager::drain(SiteId site, bool on, Time now) {
-    auto sites = evidence_.sites();
+bool SiteManager::drain(SiteId site, bool drained, Time now) {
+    std::vector<SiteId> sites = evidence_.sites();
     if (std::find(sites.begin(), sites.end(), site) == sites.end()) return false;
-    auto change = verdicts_.drain(site, on, now);
+    auto change = health_.drain(site, drained, now);
     if (!change) return false;
-    ordered_.push_back(*change);
-    next_ = now;
+    operator_changes_.push_back(*change);
+    next_evaluation_ = now;
     return true;
 }
 
-SiteActions SiteManager::tick(Time now) {
-    // Called much later than asked for: this process was stopped, or its machine. What it did not hear
-    // meanwhile is no evidence, and nobody is judged before new signs have come.
-    if (set_.doubt_self && next_ && now - *next_ > set_.stall) evidence_.woke(now);
-    for (const Change& c : std::exchange(ordered_, {})) apply(c, now);
-    for (const Change& c : verdicts_.look(evidence_, now, response_timeout())) apply(c, now);
-    if (verdicts_.uplink_is_back()) evidence_.woke(now);
-    if (set_.confirm > 0 && around_.probes) confirm(now);
-    for (const auto& [site, v] : verdicts_.all())
-        if (v.standing == SiteState::lost || v.standing == SiteState::cut_off) probe_lost(site, v, now);
+SiteActions SiteManager::evaluate(Time now) {
+    // Called much later than asked for: this process was paused, or its machine. What it did not receive
+    // meanwhile is no evidence: no site is judged before new evidence has arrived.
+    bool paused = next_evaluation_ && now - *next_evaluation_ > settings_.process_pause_threshold;
+    if (settings_.detect_own_faults && paused) evidence_.discard_unanswered(now);
+    for (const StateChange& change : std::exchange(operator_changes_, {})) apply(change, now);
+    for (const StateChange& change : health_.evaluate(evidence_, now, response_timeout())) apply(change, now);
+    if (health_.take_uplink_recovered()) evidence_.discard_unanswered(now);
+    send_probes(now);
+    advance_ramps(now);
+    if (std::exchange(plan_outdated_, false)) update_plan(now);
+    bool fault = health_.any_fault() || !ramps_.empty() || any_unresponsive_host(now);
+    next_evaluation_ = now + (fault ? kFaultInterval : kIdleInterval);
+    return std::exchange(actions_, {});
+}
+
+bool SiteManager::any_unresponsive_host(Time now) const {
+    std::vector<SiteId> sites = evidence_.sites();
+    return std::any_of(sites.begin(), sites.end(), [&](SiteId site) {
+        return evidence_.of_site(site, now, settings_.evidence_window, response_timeout()).unresponsive > 0;
+    });
+}
+
+ProbeScheduler::View SiteManager::probe_view() const {
+    return {evidence_, health_, excluded_, context_.poolers, response_timeout()};
+}
+
+void SiteManager::send_probes(Time now) {
+    if (settings_.confirmation_probes > 0 && context_.probes)
+        for (HostId host : prober_.confirmation_probes(probe_view(), now))
+            actions_.push_back(ProbeHost{host});
+    for (const auto& [site, health] : health_.sites()) {
+        if (!is_lost(health.state)) continue;
+        if (context_.probes) {
+            if (auto host = prober_.recovery_probe(probe_view(), site, now))
+                actions_.push_back(ProbeHost{*host});
+        } else if (auto host = prober_.recovery_trial(probe_view(), site, now)) {
+            // A request has to find out: one host is readmitted, and the one before it excluded again.
+            exclude_site(site, now);
+            readmit(*host, false, now);
+        }
+    }
+}
+
+void SiteManager::advance_ramps(Time now) {
     for (auto it = ramps_.begin(); it != ramps_.end();) {
-        auto due = it->second.due(now, set_.probe_every);
-        for (HostId id : due.probe) effects_.push_back(ProbeHost{id});
-        bool cold = verdicts_.of(it->first).restarted;
-        for (HostId id : due.let_in) let_in(id, cold, now);
-        if (!it->second.over()) {
+        auto due = it->second.take_due(now, settings_.probe_interval);
+        for (HostId host : due.probe) actions_.push_back(ProbeHost{host});
+        bool restarted = health_.of_site(it->first).restarted;
+        for (HostId host : due.readmit) readmit(host, restarted, now);
+        if (!it->second.finished()) {
             ++it;
             continue;
         }
         SiteId site = it->first;
         it = ramps_.erase(it);
-        if (auto change = verdicts_.home(site, now)) apply(*change, now);
+        if (auto change = health_.complete_recovery(site, now)) apply(*change, now);
     }
-    if (std::exchange(plan_due_, false)) plan(now);
-    bool busy = in_trouble() || !ramps_.empty();
-    for (SiteId s : evidence_.sites())
-        busy = busy || evidence_.of(s, now, set_.fresh, response_timeout()).mute > 0;
-    next_ = now + (busy ? kLook : kIdle);
-    return std::exchange(effects_, {});
 }
 
-void SiteManager::apply(const Change& change, Time now) {
-    const SiteHealth& v = verdicts_.of(change.site);
-    SiteTransition note{change, 0, 0, v.falls};
-    if (change.now == SiteState::lost || change.now == SiteState::cut_off)
-        note.hold_s = double((v.look_at - now).count()) / 1e6;
-    if (change.now == SiteState::returning) note.ramp_s = double(v.ramp.count()) / 1e6;
-    effects_.push_back(note);
+void SiteManager::apply(const StateChange& change, Time now) {
+    const SiteHealth& health = health_.of_site(change.site);
+    SiteTransition transition{change, 0, 0, health.losses};
+    if (is_lost(change.after)) transition.exclusion_seconds = to_seconds(health.excluded_until - now);
+    if (change.after == SiteState::recovering) transition.ramp_seconds = to_seconds(health.ramp);
+    actions_.push_back(transition);
     ramps_.erase(change.site);
-    plan_due_ = true;
-    switch (change.now) {
-        case SiteState::doubtful:
-            break;  // hosts are judged one by one, by the module; repeats go by their budget from here on
+    plan_outdated_ = true;
+    switch (change.after) {
+        case SiteState::degraded:
+            break;  // the routing policy judges host by host; retries are limited by their budget from here
+                    // on
         case SiteState::lost:
-        case SiteState::cut_off:
+        case SiteState::partitioned:
         case SiteState::drained:
-            hold_site(change.site, now);
+            exclude_site(change.site, now);
             break;
-        case SiteState::returning: {
-            std::vector<Host> out;
-            std::map<GroupId, unsigned> all, away_now;
-            for (const Host& h : evidence_.all()) {
-                if (!h.ready) continue;
-                ++all[h.group];
-                away_now[h.group] += out_.count(h.id) > 0;
-                if (h.site == change.site && out_.count(h.id)) out.push_back(h);
-            }
-            auto load_ratio = [&](GroupId g) {
-                unsigned left = all[g] - away_now[g];
-                return left == 0 ? double(all[g]) + 1 : double(all[g]) / left;
-            };
-            // Evidence of before would end the return at once.
-            evidence_.forget(change.site, now);
-            Duration length = set_.pace ? v.ramp : Duration::zero();
-            ramps_[change.site].begin(out, load_ratio, length, set_.trickle,
-                                      around_.probes && set_.ramp_probes, draw_, now);
+        case SiteState::recovering:
+            start_recovery(change.site, now);
             break;
-        }
         case SiteState::reachable:
-            for (const Host& h : evidence_.all())
-                if (h.site == change.site && out_.count(h.id)) let_in(h.id, false, now);
+            readmit_site(change.site, now);
             break;
     }
 }
 
-void SiteManager::hold_site(SiteId site, Time now) {
-    if (!set_.exclude) return;
-    bool ordered = verdicts_.of(site).standing == SiteState::drained;
-    for (const Host& h : evidence_.all()) {
-        if (h.site != site || out_.count(h.id)) continue;
-        const HostEvidence* e = evidence_.of(h.id);
-        bool heard = e && e->answered && !e->mute_since && now - *e->answered < set_.quiet;
-        if (!ordered && heard) continue;
-        out_.insert(h.id);
-        effects_.push_back(ExcludeHost{h.id, !ordered && set_.abandon_unresponsive});
+void SiteManager::exclude_site(SiteId site, Time now) {
+    if (!settings_.exclude) return;
+    bool drained = health_.of_site(site).state == SiteState::drained;
+    for (const Host& host : evidence_.hosts()) {
+        if (host.site != site || excluded_.count(host.id)) continue;
+        const HostEvidence* evidence = evidence_.of_host(host.id);
+        bool answers = evidence && evidence->last_answer && !evidence->unanswered_since &&
+                       now - *evidence->last_answer < settings_.unresponsive_after;
+        if (!drained && answers) continue;
+        excluded_.insert(host.id);
+        actions_.push_back(ExcludeHost{host.id, !drained && settings_.abandon_unresponsive});
     }
 }
 
-void SiteManager::let_in(HostId host, bool cold, Time now) {
-    if (out_.erase(host) == 0) return;
-    plan_due_ = true;
-    // A machine that has lost its process may be back before the list says so.
-    effects_.push_back(ReadmitHost{host, cold && set_.pace ? std::optional(now) : std::nullopt});
-}
-
-// Each pooler asks as often as all of them together may ask each host.
-Duration SiteManager::probe_interval(SiteId site) const {
-    double hosts = std::max(1u, verdicts_.of(site).evidence.hosts);
-    Duration fair(std::int64_t(1e6 * double(around_.fleet) / (hosts * set_.probes_per_host)));
-    return std::max(set_.probe_every, fair);
-}
-
-std::vector<HostId> SiteManager::ready_hosts(SiteId site) const {
-    std::vector<HostId> some;
-    for (const Host& h : evidence_.all())
-        if (h.site == site && h.ready) some.push_back(h.id);
-    return some;
-}
-
-// The first step of suspicion: a host is silent, and nothing has come from its site since. A pooler with a
-// few requests a second would need seconds to ask enough others by chance; it asks some at once. What answers
-// clears the site. All poolers together ask no host more often than `probes_per_host`, the first time apart.
-void SiteManager::confirm(Time now) {
-    // Not sooner: on a calm day one answer in a hundred is slow, and a pooler with a few requests a second to
-    // a site hears nothing else from it meanwhile. At half of this time, 300 poolers made half of all probes
-    // so.
-    Duration early = response_timeout();
-    for (SiteId site : evidence_.sites()) {
-        SiteState is = verdicts_.of(site).standing;
-        if (is != SiteState::reachable && is != SiteState::doubtful) continue;
-        SiteEvidence e = evidence_.of(site, now, set_.fresh, early);
-        if (e.run == 0 || (e.answered && (*e.answered >= *e.mute_since || now - *e.answered < early)))
-            continue;
-        Duration every(std::int64_t(1e6 * double(around_.fleet) * set_.confirm /
-                                    (std::max(1u, e.hosts) * set_.probes_per_host)));
-        auto [at, first] = confirmed_.try_emplace(site, now);
-        if (!first && now - at->second < std::max(set_.fresh, every)) continue;
-        at->second = now;
-        std::vector<HostId> others = ready_hosts(site);
-        std::erase_if(others, [&](HostId id) {
-            const HostEvidence* h = evidence_.of(id);
-            return out_.count(id) || (h && (h->out > 0 || h->mute_since));
-        });
-        for (unsigned n = 0; n < set_.confirm && !others.empty(); ++n) probe_one(others);
-        // And one of each other site that has not spoken lately: are they to be heard at all?
-        for (SiteId other : evidence_.sites()) {
-            if (other == site || away(other)) continue;
-            auto answered = evidence_.of(other, now, set_.fresh, early).answered;
-            if (answered && now - *answered < set_.quiet / 2) continue;
-            std::vector<HostId> some = ready_hosts(other);
-            std::erase_if(some, [&](HostId id) { return out_.count(id) > 0; });
-            if (!some.empty()) probe_one(some);
-        }
+void SiteManager::start_recovery(SiteId site, Time now) {
+    std::vector<Host> returning;
+    std::map<GroupId, unsigned> ready;
+    std::map<GroupId, unsigned> excluded;
+    for (const Host& host : evidence_.hosts()) {
+        if (!host.ready) continue;
+        bool is_excluded = excluded_.count(host.id) > 0;
+        ++ready[host.group];
+        excluded[host.group] += is_excluded;
+        if (host.site == site && is_excluded) returning.push_back(host);
     }
+    auto load_ratio = [&](GroupId group) {
+        unsigned in_use = ready[group] - excluded[group];
+        return in_use == 0 ? double(ready[group]) + 1 : double(ready[group]) / in_use;
+    };
+    // Evidence from before would end the recovery at once.
+    evidence_.forget_site(site, now);
+    RecoveryRamp::Parameters parameters;
+    parameters.length = settings_.pace_recovery ? health_.of_site(site).ramp : Duration::zero();
+    parameters.initial_share = settings_.initial_share;
+    parameters.probes = context_.probes && settings_.probe_before_readmission;
+    ramps_[site].start(returning, load_ratio, parameters, draw_, now);
 }
 
-void SiteManager::probe_one(std::vector<HostId>& of) {
-    auto pick = of.begin() + std::ptrdiff_t(draw_() * double(of.size()));
-    effects_.push_back(ProbeHost{*pick});
-    of.erase(pick);
+void SiteManager::readmit_site(SiteId site, Time now) {
+    for (const Host& host : evidence_.hosts())
+        if (host.site == site && excluded_.count(host.id)) readmit(host.id, false, now);
 }
 
-void SiteManager::probe_lost(SiteId site, const SiteHealth& v, Time now) {
-    // Just before its hold is over, so that what answers is known by then.
-    if (now + set_.quiet < v.look_at) return;
-
-    Duration every = probe_interval(site);
-    auto [at, first] = probed_.try_emplace(site, Asked{now - every, now});
-    // One that has answered is followed up at once, whatever was drawn before: the second answer decides.
-    Time due =
-        verdicts_.heard(site) ? std::min(at->second.due, at->second.last + set_.probe_every) : at->second.due;
-    if (now < due) return;
-    std::vector<HostId> some = ready_hosts(site);
-    if (some.empty()) return;
-    // Jitter: the next one is due between half of the interval and one and a half from now.
-    at->second = {now, now + Duration(std::int64_t(double(every.count()) * (0.5 + draw_())))};
-    if (around_.probes) {
-        auto [turn, fresh] = turn_.try_emplace(site, std::size_t(draw_() * double(some.size())));
-        effects_.push_back(ProbeHost{some[turn->second++ % some.size()]});
-    } else {
-        // Without probes a request has to find out: one host is let in, and held out again if it is silent.
-        hold_site(site, now);
-        HostId trial = some[std::size_t(draw_() * double(some.size())) % some.size()];
-        let_in(trial, false, now);
-    }
+void SiteManager::readmit(HostId host, bool slow_start, Time now) {
+    if (excluded_.erase(host) == 0) return;
+    plan_outdated_ = true;
+    // A machine that has lost its process may be back before the list says so.
+    bool from_now = slow_start && settings_.pace_recovery;
+    actions_.push_back(ReadmitHost{host, from_now ? std::optional(now) : std::nullopt});
 }
 
-std::vector<Host> SiteManager::with_roles() const {
-    std::vector<Host> hosts = evidence_.all();
-    for (Host& h : hosts)
-        if (auto p = primaries_.find(h.group); p != primaries_.end()) h.primary = p->second == h.id;
+std::vector<Host> SiteManager::hosts_with_roles() const {
+    std::vector<Host> hosts = evidence_.hosts();
+    for (Host& host : hosts)
+        if (auto primary = primaries_.find(host.group); primary != primaries_.end())
+            host.primary = primary->second == host.id;
     return hosts;
 }
 
 PlanInput SiteManager::plan_input(const std::set<SiteId>& lost, Time now) const {
-    PlanInput in = shedder_.input(with_roles(), now);
-    in.lost = lost;
-    return in;
+    PlanInput input = shedder_.plan_input(hosts_with_roles(), now);
+    input.lost = lost;
+    return input;
 }
 
-void SiteManager::plan(Time now) {
-    std::set<HostId> out;
-    // Hosts that only this pooler misses are carried by all others as before, and so are its own that are
-    // left: what it knows of their load says nothing of what they can do for it.
-    for (HostId id : out_)
-        if (const Host* h = evidence_.host(id);
-            set_.shed && h && verdicts_.of(h->site).standing != SiteState::cut_off)
-            out.insert(id);
-    shedder_.plan(with_roles(), out, now);
+// Hosts that only this pooler can't reach carry all others' load as before, and so do the ones it has left:
+// what it knows of their load says nothing about what they can do for it.
+void SiteManager::update_plan(Time now) {
+    std::set<HostId> lost;
+    for (HostId id : excluded_) {
+        const Host* host = evidence_.find_host(id);
+        bool partitioned = host && health_.of_site(host->site).state == SiteState::partitioned;
+        if (settings_.shed_by_plan && host && !partitioned) lost.insert(id);
+    }
+    shedder_.update_plan(hosts_with_roles(), lost, now);
 }
 
 }  // namespace indigovane::site
--- a/src/site/site_manager.hpp
+++ b/src/site/site_manager.hpp
@@ -1,5 +1,10 @@
-// One pooler's mind about sites: what it is told goes in, what is to be done comes out. It picks no host for
-// any request: it says which hosts are out of use for now, and the module chooses among the others.
+// Site manager: one pooler's decisions about sites. What it sees of hosts goes in as events, what is to be
+// done comes out as actions. It picks no host for any request: it says which hosts get no new work for now,
+// and the routing policy chooses among the others.
+//
+// It wires the parts and holds the set of excluded hosts: contact_evidence (facts), site_health (states),
+// probe_scheduler, recovery_ramp (readmission), load_shedder with failover_plan and tenant_admission,
+// retry_budget. Source: docs/site-loss.md.
 #pragma once
 
 #include <functional>
@@ -7,111 +12,113 @@
 #include <set>
 #include <variant>
 
-#include "site/ramp.hpp"
-#include "site/shed.hpp"
+#include "site/load_shedder.hpp"
+#include "site/probe_scheduler.hpp"
+#include "site/recovery_ramp.hpp"
+#include "site/retry_budget.hpp"
 #include "site/site_health.hpp"
 
 namespace indigovane::site {
 
-struct ExcludeHost {  // nothing new goes there
+struct ExcludeHost {  // no new work goes there
     HostId host{};
-    bool silent = false;  // nothing is to be expected of what is out there
+    bool unresponsive = false;  // nothing is to be expected of work in flight there
 };
 struct ReadmitHost {
     HostId host{};
-    std::optional<Time> started;  // it counts as cold since then; none: as the list says
+    std::optional<Time> started;  // slow start from then on; none: as the endpoint list says
 };
-struct ProbeHost {
+struct ProbeHost {  // a health check is to be sent
     HostId host{};
 };
-struct SiteTransition {  // a change of phase, for the log
-    Change change;
-    double hold_s = 0, ramp_s = 0;
-    unsigned falls = 0;
+struct SiteTransition {  // a change of state, for the log
+    StateChange change;
+    double exclusion_seconds = 0;
+    double ramp_seconds = 0;
+    unsigned losses = 0;
 };
 using SiteAction = std::variant<ExcludeHost, ReadmitHost, ProbeHost, SiteTransition>;
 using SiteActions = std::vector<SiteAction>;
 
 // What the platform's settings permit and say.
 struct FleetContext {
-    unsigned fleet = 1;
-    bool probes = false;
-    std::vector<Demand> classes;  // by class id: name, worth, whether the primary is needed
+    unsigned poolers = 1;         // in the fleet
+    bool probes = false;          // health checks may be sent
+    std::vector<Demand> classes;  // by class index: name, priority weight, whether the primary is needed
 };
 
+// Times never go back. One thread.
 class SiteManager {
   public:
     // `draw`: uniform in [0, 1).
-    SiteManager(const Settings& settings, FleetContext around, std::function<double()> draw);
+    SiteManager(const Settings& settings, FleetContext context, std::function<double()> draw);
+    void update_settings(const Settings& settings, FleetContext context);
 
-    // Events. Times never go back.
-    void hosts(const std::vector<Host>& hosts, Time now);
-    void primary(HostId host);         // was seen to act as its group's primary
-    void sent(HostId host, Time now);  // an attempt or a probe; over() follows
-    void over(HostId host) { evidence_.over(host); }
-    void sign(HostId host, ContactResult sign, Time sent, Time now);
-    void busy(HostId host, double share) { shedder_.busy(host, share); }
-    void took(GroupId group, std::size_t request_class, Duration latency);
-    Duration response_timeout() const;  // with work that is out
-    // False: the request is to be refused at once.
-    bool admit(Shedder::Arrival arrival, Time now);
-    // A further attempt of a read that is about to be sent. False: it may not.
-    bool may_retry();
-    // Looks at everything. To be called when next() says, and may be called at any time.
-    SiteActions tick(Time now);
-    std::optional<Time> next() const { return next_; }
+    // Events.
+    void set_hosts(const std::vector<Host>& hosts, Time now);  // the full endpoint list
+    void record_primary(HostId host);                          // was seen to act as its group's primary
+    void record_sent(HostId host, Time now);  // an attempt or a probe; record_ended() follows
+    void record_ended(HostId host) { evidence_.record_ended(host); }
+    void record_contact(HostId host, ContactResult result, Time sent, Time now);
+    void record_utilization(HostId host, double utilization) {
+        shedder_.record_utilization(host, utilization);
+    }
+    void record_latency(GroupId group, std::size_t request_class, Duration latency);
 
-    // Operators. False: no such site, or it is as asked already.
-    bool drain(SiteId site, bool on, Time now);
-    void set(const Settings& settings, FleetContext around);
+    // False: the request is to be rejected at once.
+    bool admit(const RequestArrival& arrival, Time now);
+    // Before a further attempt of a read is sent. False: the retry budget is spent.
+    bool may_retry();
+    // By operators. False: no such site, or it is in the state asked for already.
+    bool drain(SiteId site, bool drained, Time now);
 
-    const SiteHealthTracker& verdicts() const { return verdicts_; }
-    const Evidence& evidence() const { return evidence_; }
+    // Evaluates everything. To be called when next_evaluation() says, and may be called at any time.
+    SiteActions evaluate(Time now);
+    std::optional<Time> next_evaluation() const { return next_evaluation_; }
 
+    const SiteHealthTracker& health() const { return health_; }
+    const ContactEvidence& evidence() const { return evidence_; }
+    const Settings& settings() const { return settings_; }
+    Duration response_timeout() const;  // work in flight for longer counts as unanswered
     PlanInput plan_input(const std::set<SiteId>& lost, Time now) const;
-
-    std::size_t site_excluded() const { return out_.size(); }
-    std::uint64_t refused() const { return shedder_.refused(); }
-    std::uint64_t repeats_held_back() const { return held_back_; }
-    const Settings& settings() const { return set_; }
+    std::size_t excluded_hosts() const { return excluded_.size(); }
+    std::uint64_t rejected() const { return shedder_.rejected(); }
+    std::uint64_t retries_denied() const { return retries_denied_; }
 
   private:
-    void apply(const Change& change, Time now);
-    void hold_site(SiteId site, Time now);
-    void let_in(HostId host, bool cold, Time now);
-    void plan(Time now);
-    void probe_lost(SiteId site, const SiteHealth& verdict, Time now);
-    void confirm(Time now);
-    void probe_one(std::vector<HostId>& of);  // by chance, and takes it out
-    Duration probe_interval(SiteId site) const;
-    std::vector<HostId> ready_hosts(SiteId site) const;
-    std::vector<Host> with_roles() const;
-    bool away(SiteId site) const;
-    bool mostly_started(SiteId site) const;
-    bool in_trouble() const { return verdicts_.any_trouble(); }
+    bool is_site_excluded(SiteId site) const { return is_excluded(health_.of_site(site).state); }
+    void schedule_evaluation(Time at);  // unless one is due sooner
+    void update_listed_host(const Host& host, bool known, std::optional<Time> started_before, Time now);
+    void apply(const StateChange& change, Time now);
+    void exclude_site(SiteId site, Time now);
+    void start_recovery(SiteId site, Time now);
+    void readmit_site(SiteId site, Time now);
+    void readmit(HostId host, bool slow_start, Time now);
+    void send_probes(Time now);
+    void advance_ramps(Time now);
+    void update_plan(Time now);
+    bool any_unresponsive_host(Time now) const;
+    ProbeScheduler::View probe_view() const;
+    std::vector<Host> hosts_with_roles() const;
+    bool mostly_restarted(SiteId site) const;
 
-    Settings set_;
-    FleetContext around_;
+    Settings settings_;
+    FleetContext context_;
     std::function<double()> draw_;
-    Evidence evidence_;
-    SiteHealthTracker verdicts_;
-    Shedder shedder_;
-    RetryBudget retry_budget_;
-    std::map<SiteId, Ramp> ramps_;
-    struct Asked {
-        Time last, due;  // the next one
-    };
-    std::map<SiteId, Asked> probed_;  // given up ones
-    std::map<SiteId, Time> confirmed_;
-    std::set<HostId> out_;                 // held out
-    std::map<GroupId, HostId> primaries_;  // seen to act as such
-    std::map<SiteId, std::size_t> turn_;   // whose turn it is to be probed
-    SiteActions effects_;
-    std::vector<Change> ordered_;  // by operators, not noted yet
-    std::optional<Time> next_;
-    std::uint64_t held_back_ = 0;
-    double usual_ = 0;  // answer time, us, averaged
-    bool plan_due_ = false;
+    ContactEvidence evidence_;
+    SiteHealthTracker health_;
+    ProbeScheduler prober_;
+    LoadShedder shedder_;
+    SiteRetryBudget retry_budget_;
+    std::map<SiteId, RecoveryRamp> ramps_;  // of recovering sites
+    std::set<HostId> excluded_;
+    std::map<GroupId, HostId> primaries_;        // seen to act as such
+    SiteActions actions_;                        // of the evaluation under way
+    std::vector<StateChange> operator_changes_;  // applied by the next evaluation
+    std::optional<Time> next_evaluation_;
+    std::uint64_t retries_denied_ = 0;
+    double usual_latency_us_ = 0;  // averaged
+    bool plan_outdated_ = false;
 };
 
 }  // namespace indigovane::site
--- a/tests/lab/site_loss_test.cpp
+++ b/tests/lab/site_loss_test.cpp
@@ -93,11 +93,11 @@
                 if (part != "none") {
                     o = watched(o);
                     o.sites->exclude = part != "-hold_out";
-                    if (part == "-confirm") o.sites->confirm = 0;
+                    if (part == "-confirm") o.sites->confirmation_probes = 0;
                     o.sites->abandon_unresponsive = part != "-rescue";
-                    o.sites->shed = part == "+shed";
-                    o.sites->budget = part != "-budget";
-                    o.sites->pace = part != "-pace";
+                    o.sites->shed_by_plan = part == "+shed";
+                    o.sites->limit_retries = part != "-budget";
+                    o.sites->pace_recovery = part != "-pace";
                 }
                 o.troubles = {{kind, 5, 6, 1, 0.3}};
                 Summary s = run(o);
