--- /dev/null
+++ b/tests/site/recovery_ramp_test.cpp
@@ -0,0 +1,65 @@
+// Recovery ramp: when the hosts of a site are readmitted.
+#include "site/recovery_ramp.hpp"
+
+#include <doctest/doctest.h>
+
+namespace indigovane::site {
+namespace {
+
+constexpr Time kStart{seconds(100)};
+constexpr Duration kProbeInterval = milliseconds(250);
+
+std::vector<Host> hosts_of_groups(std::initializer_list<std::uint32_t> groups) {
+    std::vector<Host> hosts;
+    for (std::uint32_t group : groups) {
+        Host host;
+        host.id = HostId{std::uint32_t(hosts.size())};
+        host.group = GroupId{group};
+        hosts.push_back(host);
+    }
+    return hosts;
+}
+
+double equal_load(GroupId /*group*/) {
+    return 1;
+}
+
+TEST_CASE(
+    "recovery ramp: a draw below the initial share readmits at once, others at their part of the length") {
+    RecoveryRamp ramp;
+    double draws[] = {0.01, 0.5};
+    int drawn = 0;
+    ramp.start(
+        hosts_of_groups({0, 0}), equal_load, {seconds(4), 0.05, false}, [&] { return draws[drawn++]; },
+        kStart);
+
+    CHECK(ramp.take_due(kStart, kProbeInterval).readmit == std::vector{HostId{0}});
+    CHECK(ramp.take_due(kStart + milliseconds(1999), kProbeInterval).readmit.empty());
+    CHECK(ramp.take_due(kStart + seconds(2), kProbeInterval).readmit == std::vector{HostId{1}});
+    CHECK(ramp.finished());
+}
+
+TEST_CASE("recovery ramp: hosts of the groups with the highest load ratio come first") {
+    RecoveryRamp ramp;
+    auto load_ratio = [](GroupId group) { return group == GroupId{1} ? 2.0 : 1.0; };
+    ramp.start(
+        hosts_of_groups({0, 1}), load_ratio, {seconds(4), 0, false}, [] { return 0.0; }, kStart);
+
+    CHECK(ramp.take_due(kStart, kProbeInterval).readmit == std::vector{HostId{1}});
+    CHECK(ramp.take_due(kStart + seconds(1), kProbeInterval).readmit == std::vector{HostId{0}});
+}
+
+TEST_CASE("recovery ramp: with probes a host is readmitted after an answer, and probed once an interval") {
+    RecoveryRamp ramp;
+    ramp.start(
+        hosts_of_groups({0}), equal_load, {seconds(4), 0, true}, [] { return 0.0; }, kStart);
+
+    CHECK(ramp.take_due(kStart, kProbeInterval).probe == std::vector{HostId{0}});
+    CHECK(ramp.take_due(kStart + kProbeInterval / 2, kProbeInterval).probe.empty());
+    CHECK(ramp.take_due(kStart + kProbeInterval, kProbeInterval).probe == std::vector{HostId{0}});
+    ramp.record_answer(HostId{0});
+    CHECK(ramp.take_due(kStart + kProbeInterval, kProbeInterval).readmit == std::vector{HostId{0}});
+}
+
+}  // namespace
+}  // namespace indigovane::site
