--- a/src/lab/quorum_simulation.cpp
+++ b/src/lab/quorum_simulation.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <cstdio>
 #include <memory>
+#include <utility>
 
 namespace indigovane::lab {
 
@@ -11,239 +12,291 @@
 using namespace ownership;
 namespace own = ownership;
 
-constexpr Duration kLook = std::chrono::milliseconds(10);  // how often the witness looks at who may act
-constexpr double kSettled = 10;                            // seconds until all duties should have an owner
+constexpr Duration kObservationInterval = std::chrono::milliseconds(10);
+constexpr double kSettlingTimeS = 10;  // until all leases should have an owner
+constexpr double kMaxLatenessS = 60;
+constexpr std::int64_t kMinTimerUs = 1000;
+
+// Streams of random numbers, one a part of the model.
+enum StreamPart : std::uint32_t { network_part = 1, fault_part = 2, clock_part = 3, node_part = 4 };
+
+Duration to_duration(double seconds) {
+    return Duration(std::int64_t(seconds * 1e6));
+}
 
 class QuorumSimulation {
   public:
-    explicit QuorumSimulation(const QuorumOptions& o)
-        : o_(o), network_(o.seed, 1), troubles_(o.seed, 2), clocks_(o.seed, 3), fence_(o.settings.fence) {
-        for (unsigned v = 0; v < o_.voters; ++v) o_.settings.voters.push_back(NodeId(v));
-        for (unsigned d = 0; d < o_.duties; ++d)
-            duties_.push_back(duty_id("probe/host-" + std::to_string(d)));
-        for (unsigned n = 0; n < o_.nodes; ++n) all_.push_back(NodeId(n));
-        nodes_.resize(o_.nodes);
-        for (unsigned n = 0; n < o_.nodes; ++n) {
-            nodes_[n].rate = 1 + o_.settings.drift * clocks_.between(-1, 1);
-            nodes_[n].draws = std::make_unique<Stream>(o_.seed, 4, n);
+    explicit QuorumSimulation(const QuorumOptions& options)
+        : options_(options),
+          network_random_(options.seed, network_part),
+          fault_random_(options.seed, fault_part),
+          clock_random_(options.seed, clock_part),
+          fence_(options.settings.fencing) {
+        for (unsigned v = 0; v < options_.voters; ++v) options_.settings.voters.push_back(NodeId(v));
+        for (unsigned i = 0; i < options_.leases; ++i)
+            leases_.push_back(lease_id("probe/host-" + std::to_string(i)));
+        for (unsigned n = 0; n < options_.nodes; ++n) members_.push_back(NodeId(n));
+        nodes_.resize(options_.nodes);
+        for (unsigned n = 0; n < options_.nodes; ++n) {
+            nodes_[n].clock_rate = 1 + options_.settings.max_clock_drift * clock_random_.between(-1, 1);
+            nodes_[n].random = std::make_unique<Stream>(options_.seed, node_part, n);
             start(n);
         }
     }
 
-    QuorumSummary go() {
-        every(kLook, [this] { look(); });
-        every(seconds_of(o_.act_every_s), [this] { act(); });
-        if (o_.end_every_s > 0) every(seconds_of(o_.end_every_s), [this] { end(troubles_.below(o_.nodes)); });
-        if (o_.stall_every_s > 0)
-            every(seconds_of(o_.stall_every_s), [this] { stall(troubles_.below(o_.nodes)); });
-        line_.run(Time(seconds_of(o_.seconds)));
-        std::sort(sum_.vacant_s.begin(), sum_.vacant_s.end());
-        sum_.owned_share = looks_ > 0 ? owned_ / looks_ : 0;
-        return sum_;
+    QuorumSummary run() {
+        schedule_every(kObservationInterval, [this] { observe_owners(); });
+        schedule_every(to_duration(options_.act_interval_s), [this] { act_all(); });
+        if (options_.crash_interval_s > 0)
+            schedule_every(to_duration(options_.crash_interval_s),
+                           [this] { crash(fault_random_.below(options_.nodes)); });
+        if (options_.pause_interval_s > 0)
+            schedule_every(to_duration(options_.pause_interval_s),
+                           [this] { pause(fault_random_.below(options_.nodes)); });
+        timeline_.run(Time(to_duration(options_.duration_s)));
+        std::sort(summary_.vacancies_s.begin(), summary_.vacancies_s.end());
+        summary_.owned_share = observations_ > 0 ? owned_observations_ / observations_ : 0;
+        return summary_;
     }
 
   private:
     struct Node {
         std::unique_ptr<LeaseNode> lease_node;
-        std::unique_ptr<Stream> draws;
-        std::vector<Promise> disk;
-        double rate = 1;
+        std::unique_ptr<Stream> random;
+        std::vector<GrantRecord> store;
+        double clock_rate = 1;  // of its own clock to virtual time
         std::uint64_t incarnation = 0;
-        bool up = false, stalled = false;
-        std::vector<std::function<void()>> held;  // what came while it stood still
-        std::uint64_t alarm = 0;
+        bool running = false;
+        bool paused = false;
+        std::vector<std::function<void()>> received_while_paused;
+        std::uint64_t timer = 0;  // the latest set; earlier ones are void
     };
-    struct Grant {  // of a duty, as the witness has it
-        int owner = -1;
+    struct ObservedOwner {
+        int node = -1;  // -1: none
         std::uint64_t incarnation = 0;
-        double lost_at = -1;
+        double lost_at_s = -1;  // -1: not lost
     };
 
-    static Duration seconds_of(double s) { return Duration(std::int64_t(s * 1e6)); }
-    double now_s() const { return double(line_.now().time_since_epoch().count()) / 1e6; }
-    void every(Duration step, std::function<void()> then) {
-        line_.after(step, Rank::timer, [this, step, then] {
-            then();
-            every(step, then);
+    double now_s() const { return double(timeline_.now().time_since_epoch().count()) / 1e6; }
+    void schedule_every(Duration interval, const std::function<void()>& action) {
+        timeline_.after(interval, Rank::timer, [this, interval, action] {
+            action();
+            schedule_every(interval, action);
         });
     }
-    // A node's own clock: its rate, and a beginning of its own.
+    // A node's own clock: its rate, and an epoch of its own.
     own::Time clock(unsigned n) const {
-        return own::Time(
-            own::seconds(1000 * (n + 1)) +
-            own::Duration(std::int64_t(double(line_.now().time_since_epoch().count()) * nodes_[n].rate)));
+        auto elapsed = double(timeline_.now().time_since_epoch().count()) * nodes_[n].clock_rate;
+        return own::Time(own::seconds(1000 * (n + 1)) + own::Duration(std::int64_t(elapsed)));
     }
-    Participant party(unsigned n) const { return {NodeId(n), nodes_[n].incarnation}; }
+    Participant participant(unsigned n) const { return {NodeId(n), nodes_[n].incarnation}; }
 
     void start(unsigned n) {
         Node& node = nodes_[n];
-        node.up = true, node.stalled = false;
+        node.running = true;
+        node.paused = false;
         ++node.incarnation;
-        node.held.clear();
-        Stream* draws = node.draws.get();
+        node.received_while_paused.clear();
+        Stream* random = node.random.get();
         node.lease_node = std::make_unique<LeaseNode>(
-            party(n), o_.settings, node.disk, [draws] { return draws->uniform(); }, clock(n));
-        take(n, node.lease_node->members(all_, clock(n)));
-        take(n, node.lease_node->duties(duties_, clock(n)));
+            participant(n), options_.settings, node.store, [random] { return random->uniform(); }, clock(n));
+        carry_out(n, node.lease_node->set_members(members_, clock(n)));
+        carry_out(n, node.lease_node->set_leases(leases_, clock(n)));
     }
-    void end(std::size_t n) {
+
+    void crash(std::size_t n) {
         Node& node = nodes_[n];
-        if (!node.up || node.stalled) return;
-        node.up = false;
-        lose(int(n), node.incarnation);
-        if (!o_.disks) node.disk.clear();
-        line_.after(seconds_of(o_.away_s), Rank::world, [this, n] { start(unsigned(n)); });
+        if (!node.running || node.paused) return;
+        node.running = false;
+        record_owner_lost(int(n), node.incarnation);
+        if (!options_.persistent) node.store.clear();
+        timeline_.after(to_duration(options_.outage_s), Rank::world, [this, n] { start(unsigned(n)); });
     }
-    void stall(std::size_t n) {
+
+    void pause(std::size_t n) {
         Node& node = nodes_[n];
-        if (!node.up || node.stalled) return;
-        node.stalled = true;
-        lose(int(n), node.incarnation);
-        line_.after(seconds_of(o_.away_s), Rank::world, [this, n] {
-            Node& woken = nodes_[n];
-            woken.stalled = false;
-            // It goes on where it was: an act that it was about to do, if it doesn't look first.
-            for (DutyId d : duties_) act(unsigned(n), d);
-            for (auto& then : std::exchange(woken.held, {})) then();
-            tick(unsigned(n));
-        });
+        if (!node.running || node.paused) return;
+        node.paused = true;
+        record_owner_lost(int(n), node.incarnation);
+        timeline_.after(to_duration(options_.outage_s), Rank::world, [this, n] { resume(unsigned(n)); });
+    }
+
+    // It goes on where it was: with an act that it was about to do, unless it checks its lease first.
+    void resume(unsigned n) {
+        nodes_[n].paused = false;
+        for (LeaseId lease : leases_) act(n, lease);
+        for (auto& receive : std::exchange(nodes_[n].received_while_paused, {})) receive();
+        advance(n);
     }
-    void lose(int n, std::uint64_t incarnation) {
-        for (auto& [duty, h] : grants_)
-            if (h.owner == n && h.incarnation == incarnation) h.lost_at = now_s(), h.owner = -1;
+
+    void record_owner_lost(int n, std::uint64_t incarnation) {
+        for (auto& [lease, owner] : owners_) {
+            if (owner.node != n || owner.incarnation != incarnation) continue;
+            owner.lost_at_s = now_s();
+            owner.node = -1;
+        }
     }
 
-    void take(unsigned n, NodeOutput work) {
+    void carry_out(unsigned n, const NodeOutput& output) {
         Node& node = nodes_[n];
-        for (const Promise& p : work.keep) {
-            std::erase_if(node.disk, [&](const Promise& q) { return q.duty == p.duty; });
-            node.disk.push_back(p);
+        for (const GrantRecord& record : output.persist) {
+            std::erase_if(node.store,
+                          [&](const GrantRecord& stored) { return stored.lease == record.lease; });
+            node.store.push_back(record);
         }
-        for (const ClaimTransition& t : work.turns) turned(n, t);
-        for (const OutgoingMessage& s : work.send) {
-            auto to = unsigned(s.to);
-            if (to == n) {
-                line_.after(Duration(0), Rank::arrival, [this, n, s, incarnation = node.incarnation] {
-                    if (nodes_[n].incarnation == incarnation) receive(n, s);
-                });
-                continue;
-            }
-            ++sum_.messages;
-            if (network_.uniform() < o_.loss) continue;
-            carry(to, s);
-            if (network_.uniform() < o_.doubled) carry(to, s);
+        for (const ClaimTransition& transition : output.transitions) observe_transition(n, transition);
+        for (const OutgoingMessage& message : output.send) send(n, message);
+        set_timer(n);
+    }
+
+    void send(unsigned from, const OutgoingMessage& message) {
+        auto to = unsigned(message.to);
+        if (to == from) {
+            std::uint64_t incarnation = nodes_[from].incarnation;
+            timeline_.after(Duration(0), Rank::arrival, [this, from, message, incarnation] {
+                if (nodes_[from].incarnation == incarnation) receive(from, message);
+            });
+            return;
         }
-        arm(n);
+        ++summary_.messages;
+        if (network_random_.uniform() < options_.loss_share) return;
+        deliver(to, message);
+        if (network_random_.uniform() < options_.duplication_share) deliver(to, message);
     }
-    void carry(unsigned to, const OutgoingMessage& s) {
-        double wait = network_.between(double(o_.fastest.count()), double(o_.slowest.count()));
-        if (network_.uniform() < o_.late) wait += network_.between(0, 60e6);
-        line_.after(Duration(std::int64_t(wait)), Rank::arrival, [this, to, s] { receive(to, s); });
+
+    void deliver(unsigned to, const OutgoingMessage& message) {
+        double delay_us =
+            network_random_.between(double(options_.min_delay.count()), double(options_.max_delay.count()));
+        if (network_random_.uniform() < options_.late_share)
+            delay_us += network_random_.between(0, kMaxLatenessS * 1e6);
+        timeline_.after(Duration(std::int64_t(delay_us)), Rank::arrival,
+                        [this, to, message] { receive(to, message); });
     }
-    void receive(unsigned n, const OutgoingMessage& s) {
+
+    void receive(unsigned n, const OutgoingMessage& received) {
         Node& node = nodes_[n];
-        if (!node.up) return;
-        if (node.stalled) {
-            node.held.push_back([this, n, s] { receive(n, s); });
+        if (!node.running) return;
+        if (node.paused) {
+            node.received_while_paused.push_back([this, n, received] { receive(n, received); });
             return;
         }
-        take(n, std::visit([&](const auto& m) { return node.lease_node->receive(m, clock(n)); }, s.message));
+        carry_out(n,
+                  std::visit([&](const auto& message) { return node.lease_node->receive(message, clock(n)); },
+                             received.message));
     }
-    void arm(unsigned n) {
+
+    void set_timer(unsigned n) {
         Node& node = nodes_[n];
-        auto next = node.lease_node->next();
-        if (!next) return;
-        std::uint64_t alarm = ++node.alarm;
-        auto wait = Duration(
-            std::max<std::int64_t>(1000, std::int64_t(double((*next - clock(n)).count()) / node.rate)));
-        line_.after(wait, Rank::timer, [this, n, alarm] {
-            if (nodes_[n].alarm == alarm) tick(n);
+        auto due = node.lease_node->next_due();
+        if (!due) return;
+        std::uint64_t timer = ++node.timer;
+        auto delay_us = std::int64_t(double((*due - clock(n)).count()) / node.clock_rate);
+        timeline_.after(Duration(std::max(kMinTimerUs, delay_us)), Rank::timer, [this, n, timer] {
+            if (nodes_[n].timer == timer) advance(n);
         });
     }
-    void tick(unsigned n) {
+
+    void advance(unsigned n) {
         Node& node = nodes_[n];
-        if (node.up && !node.stalled) take(n, node.lease_node->tick(clock(n)));
-    }
-
-    void turned(unsigned n, const ClaimTransition& t) {
-        Grant& h = grants_[t.duty];
-        bool mine = h.owner == int(n) && h.incarnation == nodes_[n].incarnation;
-        if (t.now == ClaimState::owner) {
-            ++sum_.owners;
-            if (h.owner >= 0 && !mine) ++sum_.false_takeovers;
-            if (h.lost_at >= 0) sum_.vacant_s.push_back(now_s() - h.lost_at);
-            h = {int(n), nodes_[n].incarnation, -1};
-        } else if (mine && t.before == ClaimState::owner) {
-            // Its lease ran out although it was well: somebody who comes then takes over for nothing.
-            h.lost_at = now_s();
+        if (node.running && !node.paused) carry_out(n, node.lease_node->advance(clock(n)));
+    }
+
+    void observe_transition(unsigned n, const ClaimTransition& transition) {
+        ObservedOwner& owner = owners_[transition.lease];
+        bool is_owner = owner.node == int(n) && owner.incarnation == nodes_[n].incarnation;
+        if (transition.after == ClaimState::owner) {
+            ++summary_.acquisitions;
+            if (owner.node >= 0 && !is_owner) ++summary_.false_takeovers;
+            if (owner.lost_at_s >= 0) summary_.vacancies_s.push_back(now_s() - owner.lost_at_s);
+            owner = {int(n), nodes_[n].incarnation, -1};
+        } else if (is_owner && transition.before == ClaimState::owner) {
+            // Its lease has expired although it is well: whoever comes next is a false takeover.
+            owner.lost_at_s = now_s();
         }
     }
-    void act(unsigned n, DutyId duty) {
+
+    void act_all() {
+        for (unsigned n = 0; n < options_.nodes; ++n)
+            for (LeaseId lease : leases_) act(n, lease);
+    }
+
+    void act(unsigned n, LeaseId lease) {
         Node& node = nodes_[n];
-        if (!node.up || node.stalled) return;
-        auto term = node.lease_node->may_act(duty, clock(n));
-        if (!term) return;
-        ++sum_.acts;
-        Duration wait(std::int64_t(network_.between(double(o_.fastest.count()), double(o_.slowest.count()))));
-        if (network_.uniform() < o_.late) wait += seconds_of(network_.between(0, 60));
-        line_.after(wait, Rank::arrival, [this, duty, act = Seen{*term, party(n)}] { arrived(duty, act); });
-    }
-    void act() {
-        for (unsigned n = 0; n < o_.nodes; ++n)
-            for (DutyId d : duties_) act(n, d);
-    }
-    void arrived(DutyId duty, const Seen& act) {
-        if (!fence_.accept(duty, act.term, act.owner)) {
-            ++sum_.refused;
+        if (!node.running || node.paused) return;
+        auto token = node.lease_node->fencing_token(lease, clock(n));
+        if (!token) return;
+        ++summary_.acts;
+        Duration delay(std::int64_t(
+            network_random_.between(double(options_.min_delay.count()), double(options_.max_delay.count()))));
+        if (network_random_.uniform() < options_.late_share)
+            delay += to_duration(network_random_.between(0, kMaxLatenessS));
+        timeline_.after(delay, Rank::arrival, [this, lease, token = *token] { receive_act(lease, token); });
+    }
+
+    void receive_act(LeaseId lease, const FencingToken& token) {
+        if (!fence_.accept(lease, token)) {
+            ++summary_.rejected_acts;
             return;
         }
-        Seen& last = last_[duty];
-        sum_.acts_out_of_order += act.term < last.term || (act.term == last.term && act.owner != last.owner);
-        last = act;
-    }
-    void look() {
-        for (DutyId d : duties_) {
-            int owning = 0;
-            for (unsigned n = 0; n < o_.nodes; ++n)
-                owning += nodes_[n].up && nodes_[n].lease_node->may_act(d, clock(n)).has_value();
-            sum_.two_owners += owning > 1;
-            if (now_s() > kSettled) looks_ += 1, owned_ += owning > 0;
+        FencingToken& last = last_acts_[lease];
+        bool older = token.term < last.term;
+        bool contested = token.term == last.term && token.owner != last.owner;
+        summary_.acts_out_of_order += older || contested;
+        last = token;
+    }
+
+    void observe_owners() {
+        for (LeaseId lease : leases_) {
+            int owners = 0;
+            for (unsigned n = 0; n < options_.nodes; ++n) {
+                const Node& node = nodes_[n];
+                owners += node.running && node.lease_node->fencing_token(lease, clock(n)).has_value();
+            }
+            summary_.concurrent_owners += owners > 1;
+            if (now_s() <= kSettlingTimeS) continue;
+            observations_ += 1;
+            owned_observations_ += owners > 0;
         }
     }
 
-    QuorumOptions o_;
-    Stream network_, troubles_, clocks_;
-    Timeline line_;
-    std::vector<DutyId> duties_;
-    std::vector<NodeId> all_;
+    QuorumOptions options_;
+    Stream network_random_;
+    Stream fault_random_;
+    Stream clock_random_;
+    Timeline timeline_;
+    std::vector<LeaseId> leases_;
+    std::vector<NodeId> members_;
     std::vector<Node> nodes_;
-    std::map<DutyId, Grant> grants_;
+    std::map<LeaseId, ObservedOwner> owners_;
     Fence fence_;
-    std::map<DutyId, Seen> last_;
-    double looks_ = 0, owned_ = 0;
-    QuorumSummary sum_;
+    std::map<LeaseId, FencingToken> last_acts_;
+    double observations_ = 0;
+    double owned_observations_ = 0;
+    QuorumSummary summary_;
 };
 
 }  // namespace
 
-double QuorumSummary::vacant(double quantile) const {
-    if (vacant_s.empty()) return 0;
-    return vacant_s[std::min(vacant_s.size() - 1, std::size_t(quantile * double(vacant_s.size())))];
+double QuorumSummary::vacancy_s(double quantile) const {
+    if (vacancies_s.empty()) return 0;
+    auto index = std::size_t(quantile * double(vacancies_s.size()));
+    return vacancies_s[std::min(vacancies_s.size() - 1, index)];
 }
 
 std::string QuorumSummary::text() const {
     char line[256];
     std::snprintf(line, sizeof line, "%.4f %.3f %.3f %zu %llu %llu %llu %llu %llu %llu %llu", owned_share,
-                  vacant(0.5), vacant(0.99), vacant_s.size(), static_cast<unsigned long long>(owners),
+                  vacancy_s(0.5), vacancy_s(0.99), vacancies_s.size(),
+                  static_cast<unsigned long long>(acquisitions),
                   static_cast<unsigned long long>(false_takeovers), static_cast<unsigned long long>(messages),
-                  static_cast<unsigned long long>(acts), static_cast<unsigned long long>(refused),
-                  static_cast<unsigned long long>(two_owners),
+                  static_cast<unsigned long long>(acts), static_cast<unsigned long long>(rejected_acts),
+                  static_cast<unsigned long long>(concurrent_owners),
                   static_cast<unsigned long long>(acts_out_of_order));
     return line;
 }
 
 QuorumSummary run(const QuorumOptions& options) {
-    return QuorumSimulation(options).go();
+    return QuorumSimulation(options).run();
 }
 
 }  // namespace indigovane::lab
--- a/src/lab/quorum_simulation.hpp
+++ b/src/lab/quorum_simulation.hpp
@@ -1,6 +1,8 @@
-// The emulator of ownership: the real stewards of a fleet in virtual time, a network that delays, doubles and
-// loses, clocks that go at different rates, nodes that end or stand still. A witness at each duty keeps what
-// its fence let through.
+// Simulation of ownership: the real lease nodes of a fleet in virtual time, on a network that delays,
+// duplicates and loses datagrams, with clocks at different rates and nodes that crash or pause. An observer
+// behind each lease's fence checks the guarantee of docs/ownership.md.
+//
+// Deterministic: equal options give equal summaries.
 #pragma once
 
 #include <map>
@@ -15,29 +17,40 @@
 namespace indigovane::lab {
 
 struct QuorumOptions {
-    unsigned nodes = 10, voters = 5, duties = 20;
+    unsigned nodes = 10;
+    unsigned voters = 5;  // the first of the nodes
+    unsigned leases = 20;
     ownership::Settings settings;
-    double seconds = 60;
-    double loss = 0, doubled = 0;  // of datagrams
-    Duration fastest = std::chrono::microseconds(1300), slowest = std::chrono::milliseconds(23);
-    double late = 0;  // so many come up to a minute late
-    double act_every_s = 0.25;
-    // One node at a time, by chance, ends (and is back, with another life, after 5 s) or stands still that
-    // long.
-    double end_every_s = 0, stall_every_s = 0, away_s = 5;
-    bool disks = true;
+    double duration_s = 60;
+    double loss_share = 0;         // of datagrams
+    double duplication_share = 0;  // of datagrams
+    double late_share = 0;         // of datagrams and acts: up to a minute late
+    Duration min_delay = std::chrono::microseconds(1300);
+    Duration max_delay = std::chrono::milliseconds(23);
+    double act_interval_s = 0.25;
+    // A node chosen at random crashes (and restarts with another incarnation) or pauses; 0: never.
+    double crash_interval_s = 0;
+    double pause_interval_s = 0;
+    double outage_s = 5;     // of either
+    bool persistent = true;  // stores outlast a crash
     std::uint64_t seed = 1;
 };
 
 struct QuorumSummary {
-    std::vector<double> vacant_s;       // each time that a duty lost its owner; sorted
-    std::uint64_t owners = 0;           // turns to owner
-    std::uint64_t false_takeovers = 0;  // of these, while the one before was well and had not given it back
-    std::uint64_t messages = 0, refused = 0, acts = 0;
-    std::uint64_t two_owners = 0, acts_out_of_order = 0;  // breaches of the guarantee
-    double owned_share = 0;                               // of all duties' time, after the first 10 s
-    double vacant(double quantile) const;
-    std::string text() const;
+    std::vector<double> vacancies_s;    // each time that a lease had lost its owner; ascending
+    std::uint64_t acquisitions = 0;     // changes to owner
+    std::uint64_t false_takeovers = 0;  // of these, while the previous owner was well and had not released it
+    std::uint64_t messages = 0;
+    std::uint64_t acts = 0;
+    std::uint64_t rejected_acts = 0;  // by the fence
+    // Breaches of the guarantee.
+    std::uint64_t concurrent_owners = 0;
+    std::uint64_t acts_out_of_order = 0;
+
+    double owned_share = 0;  // of all leases' time, after the first 10 s
+
+    double vacancy_s(double quantile) const;  // 0 without any
+    std::string text() const;                 // one line, all figures
 };
 
 QuorumSummary run(const QuorumOptions& options);
--- a/src/ownership/fence.hpp
+++ b/src/ownership/fence.hpp
@@ -1,5 +1,6 @@
-// At whoever is acted upon: of each duty the newest term that has acted, and who. What is older is refused,
-// whatever its sender believes. This, and not the lease, is what keeps a late act from doing harm.
+// Fence, at whoever is acted upon: of each lease the newest fencing token that has acted. What is older is
+// rejected, whatever its sender believes. This, and not the lease, keeps a late act from doing harm.
+// Setting: fencing. Source: docs/ownership.md; Chubby's sequencers (types.hpp).
 #pragma once
 
 #include <map>
@@ -8,36 +9,35 @@
 
 namespace indigovane::ownership {
 
-struct Seen {
-    Term term = 0;
-    Participant owner{};
-    auto operator<=>(const Seen&) const = default;
-};
-
+// Invariants: a lease's term never shrinks; within a term only one participant's acts are accepted.
 class Fence {
   public:
     explicit Fence(bool enabled = true) : enabled_(enabled) {}
 
-    // Whether an act of this owner in this term counts. The same term from another party does not: voters
-    // that have all lost their memory can give a term out again, and whoever acted first in it keeps it.
-    bool accept(DutyId duty, Term term, const Participant& owner) {
-        if (term == 0 || (seen_.size() >= kMostDuties && !seen_.count(duty))) return false;
-        Seen& seen = seen_[duty];
-        if (enabled_ && (term < seen.term || (term == seen.term && owner != seen.owner))) return false;
-        seen = {term, owner};
+    // Whether an act with this token counts; remembers it if so. The same term from another participant is
+    // rejected: voters that have all lost their memory can grant a term again, and whoever acted first in it
+    // keeps it.
+    bool accept(LeaseId lease, const FencingToken& token) {
+        if (token.term == 0) return false;
+        if (highest_.size() >= kMaxLeases && !highest_.count(lease)) return false;
+        FencingToken& highest = highest_[lease];
+        bool stale = token.term < highest.term;
+        bool contested = token.term == highest.term && token.owner != highest.owner;
+        if (enabled_ && (stale || contested)) return false;
+        highest = token;
         return true;
     }
-    Seen highest(DutyId duty) const {
-        auto it = seen_.find(duty);
-        return it == seen_.end() ? Seen{} : it->second;
+    FencingToken highest(LeaseId lease) const {
+        auto it = highest_.find(lease);
+        return it == highest_.end() ? FencingToken{} : it->second;
     }
-    // From before a restart, where there is a disk.
-    void restore(DutyId duty, Seen seen) { seen_[duty] = seen; }
-    const std::map<DutyId, Seen>& all() const { return seen_; }
+    // From before a restart, where there is a store.
+    void restore(LeaseId lease, const FencingToken& token) { highest_[lease] = token; }
+    const std::map<LeaseId, FencingToken>& tokens() const { return highest_; }
 
   private:
     bool enabled_;
-    std::map<DutyId, Seen> seen_;
+    std::map<LeaseId, FencingToken> highest_;
 };
 
 }  // namespace indigovane::ownership
--- a/src/ownership/lease_node.cpp
+++ b/src/ownership/lease_node.cpp
@@ -1,104 +1,117 @@
 #include "ownership/lease_node.hpp"
 
 #include <algorithm>
+#include <utility>
 
 namespace indigovane::ownership {
 
-LeaseNode::LeaseNode(const Participant& self, const Settings& settings, const std::vector<Promise>& kept,
-                     std::function<double()> draw, Time started, std::size_t candidates)
+namespace {
+bool contains(const std::vector<NodeId>& nodes, NodeId node) {
+    return std::find(nodes.begin(), nodes.end(), node) != nodes.end();
+}
+}  // namespace
+
+LeaseNode::LeaseNode(const Participant& self, const Settings& settings,
+                     const std::vector<GrantRecord>& stored, std::function<double()> draw, Time started,
+                     std::size_t standby_count)
     : self_(self),
-      set_(settings),
+      settings_(settings),
       claims_(self, settings, std::move(draw)),
-      voter_(self.node, settings, kept, started),
-      votes_(std::find(settings.voters.begin(), settings.voters.end(), self.node) != settings.voters.end()),
-      candidates_(candidates) {}
-
-NodeOutput LeaseNode::duties(const std::vector<DutyId>& duties, Time now) {
-    NodeOutput work;
-    std::set<DutyId> all(duties.begin(), duties.end());
-    for (DutyId gone : duties_)
-        if (!all.count(gone)) take(claims_.leave(gone, now), work);
-    duties_ = std::move(all);
-    for (DutyId duty : duties_) place(duty, now, work);
-    return work;
+      voter_(self.node, settings, stored, started),
+      is_voter_(contains(settings.voters, self.node)),
+      standby_count_(standby_count) {}
+
+NodeOutput LeaseNode::set_leases(const std::vector<LeaseId>& leases, Time now) {
+    NodeOutput output;
+    std::set<LeaseId> listed(leases.begin(), leases.end());
+    for (LeaseId lease : leases_)
+        if (!listed.count(lease)) add(claims_.withdraw(lease, now), output);
+    leases_ = std::move(listed);
+    for (LeaseId lease : leases_) update_standby(lease, now, output);
+    return output;
 }
 
-NodeOutput LeaseNode::members(std::vector<NodeId> alive, Time now) {
-    NodeOutput work;
+NodeOutput LeaseNode::set_members(std::vector<NodeId> alive, Time now) {
+    NodeOutput output;
     std::sort(alive.begin(), alive.end());
-    if (alive == alive_) return work;
+    if (alive == alive_) return output;
     alive_ = std::move(alive);
-    for (DutyId duty : duties_) place(duty, now, work);
-    return work;
+    for (LeaseId lease : leases_) update_standby(lease, now, output);
+    return output;
+}
+
+void LeaseNode::update_standby(LeaseId lease, Time now, NodeOutput& output) {
+    std::vector<NodeId> order = standby_order(lease, alive_, standby_count_);
+    auto self = std::find(order.begin(), order.end(), self_.node);
+    if (self != order.end())
+        claims_.stand_by(lease, unsigned(self - order.begin()), now);
+    else if (!claims_.fencing_token(lease, now))
+        add(claims_.withdraw(lease, now), output);
 }
 
-void LeaseNode::place(DutyId duty, Time now, NodeOutput& work) {
-    auto first = candidates(duty, alive_, candidates_);
-    auto me = std::find(first.begin(), first.end(), self_.node);
-    if (me != first.end())
-        claims_.stand(duty, unsigned(me - first.begin()), now);
-    else if (!claims_.may_act(duty, now))
-        take(claims_.leave(duty, now), work);
+// All voters, itself among them if it is one: its own vote, too, counts only once it is stored. An owner's
+// release goes to the standby nodes as well, so that they need not wait for the lease to expire.
+std::vector<NodeId> LeaseNode::recipients(const Message& message) const {
+    std::vector<NodeId> nodes = settings_.voters;
+    const auto* release = std::get_if<LeaseRelease>(&message);
+    if (!release || !release->was_owner) return nodes;
+    for (NodeId node : standby_order(release->lease, alive_, standby_count_))
+        if (!contains(nodes, node)) nodes.push_back(node);
+    return nodes;
 }
 
-// To all voters, itself among them if it is one: that way its own vote, too, counts only once it is kept.
-// What is released is told to those that stand for it as well, so that they need not wait for a lapse.
-void LeaseNode::take(const ClaimOutput& out, NodeOutput& work) {
-    work.turns.insert(work.turns.end(), out.turns.begin(), out.turns.end());
-    for (const Message& m : out.messages) {
-        std::vector<NodeId> to = set_.voters;
-        if (auto* release = std::get_if<LeaseRelease>(&m); release && release->owned)
-            for (NodeId n : candidates(release->duty, alive_, candidates_))
-                if (std::find(to.begin(), to.end(), n) == to.end()) to.push_back(n);
-        for (NodeId n : to) std::visit([&](const auto& what) { work.send.push_back({n, what}); }, m);
-    }
+void LeaseNode::add(const ClaimOutput& claimed, NodeOutput& output) const {
+    output.transitions.insert(output.transitions.end(), claimed.transitions.begin(),
+                              claimed.transitions.end());
+    for (const Message& message : claimed.messages)
+        for (NodeId node : recipients(message)) output.send.push_back({node, message});
 }
 
-NodeOutput LeaseNode::receive(const LeaseRequest& ask, Time now) {
-    NodeOutput work;
-    if (!votes_) return work;
-    Voter::Reply reply = voter_.ask(ask, now);
-    if (reply.keep) work.keep.push_back(*reply.keep);
-    work.send.push_back({ask.from.node, reply.answer});
-    return work;
+NodeOutput LeaseNode::receive(const LeaseRequest& request, Time now) {
+    NodeOutput output;
+    if (!is_voter_) return output;
+    Voter::Vote vote = voter_.vote(request, now);
+    if (vote.persist) output.persist.push_back(*vote.persist);
+    output.send.push_back({request.from.node, vote.reply});
+    return output;
 }
 
-NodeOutput LeaseNode::receive(const LeaseReply& answer, Time now) {
-    NodeOutput work;
-    take(claims_.answer(answer, now), work);
-    return work;
+NodeOutput LeaseNode::receive(const LeaseReply& reply, Time now) {
+    NodeOutput output;
+    add(claims_.receive(reply, now), output);
+    return output;
 }
 
 NodeOutput LeaseNode::receive(const LeaseRelease& release, Time now) {
-    NodeOutput work;
-    if (auto keep = votes_ ? voter_.release(release) : std::nullopt) work.keep.push_back(*keep);
-    if (release.owned) claims_.released(release.duty, release.term, now);
-    return work;
+    NodeOutput output;
+    if (auto record = is_voter_ ? voter_.release(release) : std::nullopt) output.persist.push_back(*record);
+    if (release.was_owner) claims_.record_release(release.lease, release.term, now);
+    return output;
 }
 
-NodeOutput LeaseNode::refused(DutyId duty, Term highest, Time now) {
-    NodeOutput work;
-    take(claims_.refused(duty, highest, now), work);
-    return work;
+NodeOutput LeaseNode::record_rejection(LeaseId lease, Term highest_term, Time now) {
+    NodeOutput output;
+    add(claims_.record_rejection(lease, highest_term, now), output);
+    return output;
 }
 
-NodeOutput LeaseNode::move(DutyId duty, Time now) {
-    NodeOutput work;
-    take(claims_.move(duty, now), work);
-    return work;
+NodeOutput LeaseNode::hand_over(LeaseId lease, Time now) {
+    NodeOutput output;
+    add(claims_.hand_over(lease, now), output);
+    return output;
 }
 
-NodeOutput LeaseNode::leave(Time now) {
-    NodeOutput work;
-    for (DutyId duty : duties_) take(claims_.leave(duty, now), work);
-    duties_.clear();
-    return work;
+NodeOutput LeaseNode::shut_down(Time now) {
+    NodeOutput output;
+    for (LeaseId lease : leases_) add(claims_.withdraw(lease, now), output);
+    leases_.clear();
+    return output;
 }
 
-NodeOutput LeaseNode::tick(Time now) {
-    NodeOutput work;
-    take(claims_.tick(now), work);
-    return work;
+NodeOutput LeaseNode::advance(Time now) {
+    NodeOutput output;
+    add(claims_.advance(now), output);
+    return output;
 }
 
 }  // namespace indigovane::ownership
--- a/src/ownership/voter.cpp
+++ b/src/ownership/voter.cpp
@@ -4,42 +4,62 @@
 
 namespace indigovane::ownership {
 
-Voter::Voter(NodeId self, const Settings& settings, const std::vector<Promise>& kept, Time started)
-    : self_(self), set_(settings), awake_(settings.sit_out ? started + settings.lease : started) {
-    for (const Promise& p : kept) grants_[p.duty] = {p, started};
+namespace {
+LeaseReply denial(NodeId voter, const LeaseRequest& request) {
+    LeaseReply reply;
+    reply.lease = request.lease;
+    reply.term = request.term;
+    reply.from = voter;
+    reply.to = request.from;
+    reply.round = request.round;
+    return reply;
 }
+}  // namespace
 
-Voter::Reply Voter::ask(const LeaseRequest& a, Time now) {
-    // Guards its memory against a peer that asks for ever new duties.
-    if (grants_.size() >= kMostDuties && !grants_.count(a.duty))
-        return {std::nullopt, {a.duty, a.term, self_, a.from, a.round, false, 0, set_.lease}};
-    Grant& h = grants_[a.duty];
-    LeaseReply answer{a.duty, a.term, self_, a.from, a.round, false, h.promise.term, {}};
-    bool same = a.term == h.promise.term && a.from == h.promise.holder && !h.promise.released;
-    // Its own earlier grant does not bar a party that asks again in a new term: it has given up the old one.
-    bool free = h.promise.term == 0 || h.promise.released || now >= h.until || a.from == h.promise.holder;
-    bool newer = a.term > h.promise.term;
-    if (sits_out(now)) {
-        answer.left = awake_ - now;
-    } else if (same || (newer && free)) {
-        h.promise = {a.duty, a.term, a.from, false};
-        h.until = now + set_.lease;
-        answer.granted = true;
-        answer.highest = a.term;
-        return {same ? std::nullopt : std::optional(h.promise), answer};
-    } else if (!free) {
-        answer.left = h.until - now;
+Voter::Voter(NodeId self, const Settings& settings, const std::vector<GrantRecord>& stored, Time started)
+    : self_(self),
+      settings_(settings),
+      grants_from_(settings.wait_after_start ? started + settings.lease_duration : started) {
+    for (const GrantRecord& record : stored) grants_[record.lease] = {record, started};
+}
+
+Voter::Vote Voter::vote(const LeaseRequest& request, Time now) {
+    LeaseReply reply = denial(self_, request);
+    // Bounds its memory against a peer that requests ever new leases.
+    if (grants_.size() >= kMaxLeases && !grants_.count(request.lease)) {
+        reply.denied_for = settings_.lease_duration;
+        return {std::nullopt, reply};
+    }
+    Grant& grant = grants_[request.lease];
+    GrantRecord& record = grant.record;
+    reply.highest_term = record.term;
+    if (waits_after_start(now)) {
+        reply.denied_for = grants_from_ - now;
+        return {std::nullopt, reply};
+    }
+    bool renewal = request.term == record.term && request.from == record.holder && !record.released;
+    // Its own earlier grant does not bar a participant that requests a new term: it has given up the old one.
+    bool available =
+        record.term == 0 || record.released || now >= grant.expires || request.from == record.holder;
+    bool newer = request.term > record.term;
+    if (!renewal && !(newer && available)) {
+        if (!available) reply.denied_for = grant.expires - now;
+        return {std::nullopt, reply};
     }
-    return {std::nullopt, answer};
+    record = {request.lease, request.term, request.from, false};
+    grant.expires = now + settings_.lease_duration;
+    reply.granted = true;
+    reply.highest_term = request.term;
+    return {renewal ? std::nullopt : std::optional(record), reply};
 }
 
-std::optional<Promise> Voter::release(const LeaseRelease& r) {
-    auto it = grants_.find(r.duty);
+std::optional<GrantRecord> Voter::release(const LeaseRelease& release) {
+    auto it = grants_.find(release.lease);
     if (it == grants_.end()) return std::nullopt;
-    Promise& p = it->second.promise;
-    if (p.term != r.term || p.holder != r.from || p.released) return std::nullopt;
-    p.released = true;
-    return p;
+    GrantRecord& record = it->second.record;
+    if (record.term != release.term || record.holder != release.from || record.released) return std::nullopt;
+    record.released = true;
+    return record;
 }
 
 }  // namespace indigovane::ownership
--- a/src/ownership/voter.hpp
+++ b/src/ownership/voter.hpp
@@ -1,51 +1,58 @@
-// One voter: whom it has promised each duty to, and until when. What it must not forget goes out with the
-// answer that rests on it; whoever carries messages stores the one before it sends the other.
+// Voter: to whom it has granted each lease, and until when. What it must not forget is returned with the
+// reply that rests on it; the caller stores the one before it sends the other. Settings: lease_duration,
+// wait_after_start. Source: docs/ownership.md.
 #pragma once
 
 #include <map>
 #include <optional>
+#include <vector>
 
-#include "ownership/types.hpp"
+#include "ownership/messages.hpp"
+#include "ownership/settings.hpp"
 
 namespace indigovane::ownership {
 
-// What outlasts the process. The time of a promise does not: steady clocks begin anew.
-struct Promise {
-    DutyId duty{};
+// What outlasts the process. The time of a grant does not: steady clocks begin anew.
+struct GrantRecord {
+    LeaseId lease{};
     Term term = 0;
     Participant holder{};
     bool released = false;  // nothing is granted in this term any more
-    bool operator==(const Promise&) const = default;
+    bool operator==(const GrantRecord&) const = default;
 };
 
-// Invariants: a duty's term never shrinks; within a term only one party is ever granted anything; nothing is
-// granted to another party before the last grant has lapsed or was released.
+// Invariants: a lease's term never shrinks; within a term only one participant is ever granted anything;
+// nothing is granted to another before the last grant has expired or was released.
 class Voter {
   public:
-    // `kept`: what the store holds. Whatever that is, nothing is granted before a lease has passed since the
-    // start: a promise of before it may stand still, also one that a disk which was rolled back has lost.
-    Voter(NodeId self, const Settings& settings, const std::vector<Promise>& kept, Time started);
-
-    struct Reply {
-        std::optional<Promise> keep;  // on disk before the answer leaves; where there is no disk: at once
-        LeaseReply answer;
+    // `stored`: what the store holds. Whatever that is, nothing is granted before a lease's duration has
+    // passed since `started`: an earlier grant may still be in force, also one that a disk which was rolled
+    // back has lost.
+    Voter(NodeId self, const Settings& settings, const std::vector<GrantRecord>& stored, Time started);
+
+    struct Vote {
+        std::optional<GrantRecord> persist;  // before the reply is sent; without a store: at once
+        LeaseReply reply;
     };
-    Reply ask(const LeaseRequest& ask, Time now);
-    // What is to be kept, if anything; nothing waits for it. A release that gets lost costs a lease's wait.
-    std::optional<Promise> release(const LeaseRelease& release);
+    Vote vote(const LeaseRequest& request, Time now);
+
+    // What is to be stored, if anything; nothing waits for it. A release that gets lost costs the others the
+    // rest of the lease.
+    std::optional<GrantRecord> release(const LeaseRelease& release);
+
+    bool waits_after_start(Time now) const { return now < grants_from_; }
 
-    bool sits_out(Time now) const { return now < awake_; }
     struct Grant {
-        Promise promise;
-        Time until{};
+        GrantRecord record;
+        Time expires{};
     };
-    const std::map<DutyId, Grant>& held() const { return grants_; }
+    const std::map<LeaseId, Grant>& grants() const { return grants_; }
 
   private:
     NodeId self_;
-    Settings set_;
-    Time awake_;
-    std::map<DutyId, Grant> grants_;
+    Settings settings_;
+    Time grants_from_;
+    std::map<LeaseId, Grant> grants_;
 };
 
 }  // namespace indigovane::ownership
--- a/tests/lab/quorum_simulation_test.cpp
+++ b/tests/lab/quorum_simulation_test.cpp
@@ -1,4 +1,4 @@
-// Ownership in the emulator: real stewards, a bad network, nodes that end, stand still and wake.
+// Ownership in simulation: real lease nodes, a bad network, nodes that crash, pause and resume.
 #include "lab/quorum_simulation.hpp"
 
 #include <doctest/doctest.h>
@@ -8,52 +8,58 @@
 namespace indigovane::lab {
 namespace {
 
-QuorumOptions rough(unsigned nodes, std::uint64_t seed) {
-    QuorumOptions o;
-    o.nodes = nodes, o.seed = seed;
-    o.loss = 0.1, o.doubled = 0.05, o.late = 0.01;
-    o.end_every_s = 4, o.stall_every_s = 5;
-    return o;
+QuorumOptions with_faults(unsigned nodes, std::uint64_t seed) {
+    QuorumOptions options;
+    options.nodes = nodes;
+    options.seed = seed;
+    options.loss_share = 0.1;
+    options.duplication_share = 0.05;
+    options.late_share = 0.01;
+    options.crash_interval_s = 4;
+    options.pause_interval_s = 5;
+    return options;
 }
 
 TEST_CASE(
-    "ownership: in a bad network nobody acts beside another, no late act counts, duties find owners anew") {
-    for (bool disks : {true, false}) {
-        QuorumOptions o = rough(10, 3);
-        o.disks = disks;
-        QuorumSummary s = run(o);
-        CHECK(s.two_owners == 0);
-        CHECK(s.acts_out_of_order == 0);
-        CHECK(s.refused > 0);  // late acts came, so that the fence has had something to do
-        CHECK(s.vacant_s.size() > 50);
-        // A lease, one that asked at a bad moment waits another; five nodes of ten are voters and end too.
-        CHECK(s.vacant(0.5) < 5);
-        CHECK(s.owned_share > 0.6);
-        CHECK(run(o).text() == s.text());
+    "ownership: in a bad network no lease has two owners, no late act counts, leases find owners anew") {
+    for (bool persistent : {true, false}) {
+        QuorumOptions options = with_faults(10, 3);
+        options.persistent = persistent;
+        QuorumSummary summary = run(options);
+        CHECK(summary.concurrent_owners == 0);
+        CHECK(summary.acts_out_of_order == 0);
+        CHECK(summary.rejected_acts > 0);  // late acts have arrived at the fence
+        CHECK(summary.vacancies_s.size() > 50);
+        // A lease's duration, another after a request at a bad moment. Five nodes of ten are voters and fail
+        // too.
+        CHECK(summary.vacancy_s(0.5) < 5);
+        CHECK(summary.owned_share > 0.6);
+        CHECK(run(options).text() == summary.text());
     }
 }
 
 TEST_CASE(
-    "ownership: a process that wakes and does not look acts beside another, and the fence turns it away") {
-    QuorumOptions o = rough(10, 4);
-    o.settings.check_before_act = false;
-    QuorumSummary s = run(o);
-    CHECK(s.two_owners > 0);
-    CHECK(s.acts_out_of_order == 0);
-    o.settings.fence = false;
-    CHECK(run(o).acts_out_of_order > 0);
+    "ownership: a resumed process that does not check its lease acts beside the owner, and the fence rejects "
+    "it") {
+    QuorumOptions options = with_faults(10, 4);
+    options.settings.check_expiry = false;
+    QuorumSummary summary = run(options);
+    CHECK(summary.concurrent_owners > 0);
+    CHECK(summary.acts_out_of_order == 0);
+    options.settings.fencing = false;
+    CHECK(run(options).acts_out_of_order > 0);
 }
 
-TEST_CASE(
-    "ownership: with nothing wrong an owner stays, and 10% loss takes no duty away from one in a minute") {
-    QuorumOptions o;
-    o.loss = 0.1;
-    QuorumSummary s = run(o);
-    CHECK(s.false_takeovers == 0);
-    CHECK(s.owned_share > 0.99);
-    // An owner renews three times a lease with five voters, two others ask once a lease; each is answered.
-    double most = o.duties * 5 * 2 * (3 * 1.5 + 2 * 1.5) / 3 * o.seconds;
-    CHECK(double(s.messages) < most);
+TEST_CASE("ownership: without faults an owner stays, and 10% loss takes no lease from it in a minute") {
+    QuorumOptions options;
+    options.loss_share = 0.1;
+    QuorumSummary summary = run(options);
+    CHECK(summary.false_takeovers == 0);
+    CHECK(summary.owned_share > 0.99);
+    // An owner renews three times a lease with five voters, two others request once a lease, all with
+    // replies.
+    double max_messages = options.leases * 5 * 2 * (3 * 1.5 + 2 * 1.5) / 3 * options.duration_s;
+    CHECK(double(summary.messages) < max_messages);
 }
 
 TEST_CASE("ownership: table" * doctest::skip()) {
@@ -61,14 +67,19 @@
                 "messages/s/node");
     for (unsigned nodes : {10u, 100u, 300u, 1000u})
         for (double loss : {0.0, 0.1}) {
-            QuorumOptions o;
-            o.nodes = nodes, o.duties = nodes / 2, o.loss = loss, o.seed = 7;
-            o.end_every_s = 300.0 / nodes, o.seconds = nodes > 100 ? 60 : 600;  // each once in five minutes
-            QuorumSummary s = run(o);
-            std::printf("%6u %6.2f %10.2f %10.2f %8.4f %8llu %14.2f\n", nodes, loss, s.vacant(0.5),
-                        s.vacant(0.99), s.owned_share, static_cast<unsigned long long>(s.false_takeovers),
-                        double(s.messages) / o.seconds / nodes);
-            CHECK(s.two_owners + s.acts_out_of_order == 0);
+            QuorumOptions options;
+            options.nodes = nodes;
+            options.leases = nodes / 2;
+            options.loss_share = loss;
+            options.seed = 7;
+            options.crash_interval_s = 300.0 / nodes;  // each once in five minutes
+            options.duration_s = nodes > 100 ? 60 : 600;
+            QuorumSummary summary = run(options);
+            std::printf("%6u %6.2f %10.2f %10.2f %8.4f %8llu %14.2f\n", nodes, loss, summary.vacancy_s(0.5),
+                        summary.vacancy_s(0.99), summary.owned_share,
+                        static_cast<unsigned long long>(summary.false_takeovers),
+                        double(summary.messages) / options.duration_s / nodes);
+            CHECK(summary.concurrent_owners + summary.acts_out_of_order == 0);
         }
 }
 
--- a/tests/lab/recorded_runs_test.cpp
+++ b/tests/lab/recorded_runs_test.cpp
@@ -81,13 +81,13 @@
     std::vector<RecordedRun> runs;
     for (bool disks : {true, false}) {
         QuorumOptions options;
-        options.seconds = 40;
-        options.loss = 0.1;
-        options.doubled = 0.05;
-        options.late = 0.01;
-        options.end_every_s = 4;
-        options.stall_every_s = 5;
-        options.disks = disks;
+        options.duration_s = 40;
+        options.loss_share = 0.1;
+        options.duplication_share = 0.05;
+        options.late_share = 0.01;
+        options.crash_interval_s = 4;
+        options.pause_interval_s = 5;
+        options.persistent = disks;
         options.seed = disks ? 34 : 35;
         runs.push_back(
             {disks ? "leases-on-disk" : "leases-in-memory", [options] { return run(options).text(); }});
