--- a/bench/site_bench.cpp
+++ b/bench/site_bench.cpp
@@ -10,7 +10,7 @@
 using namespace indigovane::site;
 
 struct Fixture {
-    std::uint64_t drawn = 1;
+    std::uint64_t random_state = 1;
     std::vector<Host> hosts;
     SiteManager manager;
     Time now = Time(seconds(100));
@@ -22,14 +22,14 @@
         manager.set_hosts(hosts, now);
     }
     static Settings settings(bool shed) {
-        Settings s;
-        s.enabled = true;
-        s.shed_by_plan = shed;
-        return s;
+        Settings settings;
+        settings.enabled = true;
+        settings.shed_by_plan = shed;
+        return settings;
     }
     double draw() {
-        drawn = drawn * 6364136223846793005u + 1442695040888963407u;
-        return double(drawn >> 11) * 0x1.0p-53;
+        random_state = random_state * 6364136223846793005u + 1442695040888963407u;
+        return double(random_state >> 11) * 0x1.0p-53;
     }
     void request(bool unresponsive_site) {
         now += microseconds(100);
--- a/src/site/site_manager.cpp
+++ b/src/site/site_manager.cpp
@@ -73,8 +73,8 @@
         actions_.push_back(ExcludeHost{host.id});
 }
 
-// A partitioned site may have a host that happens to start anew meanwhile: the others need no slow start for
-// it, and of that one the list itself tells.
+// One host may restart during a partition by coincidence: the others need no slow start then, and that one
+// has it by the endpoint list.
 bool SiteManager::mostly_restarted(SiteId site) const {
     Time since = health_.of_site(site).since;
     unsigned ready = 0;
@@ -145,7 +145,7 @@
 
 SiteActions SiteManager::evaluate(Time now) {
     // Called much later than asked for: this process was paused, or its machine. What it did not receive
-    // meanwhile is no evidence: no site is judged before new evidence has arrived.
+    // meanwhile is no evidence: no site is lost before new evidence has arrived.
     bool paused = next_evaluation_ && now - *next_evaluation_ > settings_.process_pause_threshold;
     if (settings_.detect_own_faults && paused) evidence_.discard_unanswered(now);
     for (const StateChange& change : std::exchange(operator_changes_, {})) apply(change, now);
