--- /dev/null
+++ b/tests/limits/recorded_admissions_test.cpp
@@ -0,0 +1,269 @@
+// Characterization of admission control: random but seeded runs of the limiter must give, event by event, the
+// decisions that were recorded in tests/corpus/recorded_admissions.txt, as a hash for every kEventsPerHash
+// events.
+//
+// A difference: ADMISSIONS_DUMP=DIR writes the whole text of each run; do so before and after, and compare
+// the files that it leaves there. ADMISSIONS_RECORD=FILE appends the hashes of each run to a file.
+#include <doctest/doctest.h>
+
+#include <algorithm>
+#include <cinttypes>
+#include <cstdio>
+#include <cstdlib>
+#include <fstream>
+#include <map>
+#include <random>
+#include <sstream>
+#include <vector>
+
+#include "limits/limiter.hpp"
+
+namespace indigovane::limits {
+namespace {
+
+using namespace std::chrono_literals;
+constexpr Time kStart{std::chrono::seconds(1000)};
+constexpr std::size_t kEvents = 6000;
+constexpr std::size_t kEventsPerHash = 250;
+
+struct RunOptions {
+    std::string name;
+    unsigned seed = 1;
+    Settings settings;
+    std::uint64_t groups = 2;
+    std::uint64_t shapes = 12;
+    bool invented_tenants = false;  // clients take new names
+    unsigned fault_percent = 5;     // of finished requests: timed out, failed
+    std::uint64_t tenants = 5;
+    std::uint64_t arrival_percent = 50;  // of all events
+};
+
+std::vector<RunOptions> recorded_runs() {
+    Settings shared;
+    shared.enabled = true;
+    shared.work = 1000ms;
+    shared.queue = 60;
+    shared.wait = 300ms;
+    shared.shares = {{"vilaine", 0.59}, {"rance", 0.21}, {"odet", 0.20}};
+    shared.other_share = 0.05;
+    Settings open = shared;
+    open.shares.clear();
+    Settings small = shared;
+    small.work = 200ms;
+    small.queue = 8;
+    small.wait = 50ms;
+    small.shapes = 10;
+    Settings faulty = shared;
+    faulty.timeouts = 2;
+    faulty.quarantine = 200ms;
+    faulty.max_retry_after = 500ms;
+    Settings silent = shared;
+    silent.retry_after = false;
+    silent.reserve = 0;
+    return {{"shares", 1, shared, 2, 12, false, 5},  {"no_shares", 2, open, 2, 12, true, 5},
+            {"invented", 3, shared, 2, 12, true, 5}, {"small", 4, small, 2, 40, false, 5},
+            {"faulty", 5, faulty, 1, 8, false, 35},  {"silent", 6, silent, 3, 20, false, 10},
+            {"groups", 7, small, 400, 40, false, 5}, {"crowded", 8, small, 1, 4, false, 5, 1, 75}};
+}
+
+class AdmissionRecording {
+  public:
+    explicit AdmissionRecording(const RunOptions& options)
+        : options_(options), settings_(options.settings), limiter_(options.settings), random_(options.seed) {}
+
+    void run() {
+        for (std::size_t event = 1; event <= kEvents; ++event) {
+            step();
+            release();
+            if (event % 50 == 0) note_state();
+            if (event % kEventsPerHash == 0) cut_hash();
+        }
+    }
+
+    std::vector<std::string> hashes;
+    std::string text;
+
+  private:
+    struct Request {
+        std::uint64_t id;
+        bool in_flight;
+    };
+
+    std::uint64_t below(std::uint64_t limit) { return random_() % limit; }
+
+    void step() {
+        now_ += Duration(below(4000));
+        std::uint64_t kind = below(100);
+        if (kind < options_.arrival_percent) {
+            arrive();
+        } else if (kind < 92) {
+            finish_in_flight();
+        } else if (kind < 95) {
+            withdraw();
+        } else if (kind < 98) {
+            now_ += Duration(below(400'000));
+        } else if (kind == 98) {
+            change_settings();
+        } else {
+            learn();
+        }
+    }
+
+    std::string tenant() {
+        static const char* const kTenants[] = {"vilaine", "rance", "odet", "unnamed", ""};
+        if (options_.invented_tenants && below(2) == 0) return "x" + std::to_string(below(300));
+        return kTenants[below(options_.tenants)];
+    }
+
+    void arrive() {
+        std::string name = tenant();
+        Arrival arrival;
+        arrival.id = ++last_id_;
+        arrival.group = std::uint32_t(below(options_.groups));
+        arrival.tenant = name;
+        arrival.shape = {below(options_.shapes), 7};
+        arrival.estimate = Duration(1000 + below(60'000));
+        arrival.privileged = below(3) == 0;
+        arrival.deadline = now_ + Duration(5000 + below(2'000'000));
+        text += "arrive ";
+        note(limiter_.arrive(arrival, now_));
+    }
+
+    void finish_in_flight() {
+        std::vector<std::size_t> running;
+        for (std::size_t i = 0; i < open_.size(); ++i)
+            if (open_[i].in_flight) running.push_back(i);
+        if (running.empty()) return;
+        std::size_t at = running[below(running.size())];
+        std::uint64_t id = open_[at].id;
+        open_.erase(open_.begin() + std::ptrdiff_t(at));
+        End end = End::served;
+        if (below(100) < options_.fault_percent) end = End(below(5));
+        if (end == End::timed_out) now_ += 200ms;
+        limiter_.finish(id, end, below(10'000), now_);
+        text += "finish " + std::to_string(id) + " " + std::to_string(int(end)) + "\n";
+    }
+
+    void withdraw() {
+        if (open_.empty()) return;
+        std::size_t at = below(open_.size());
+        std::uint64_t id = open_[at].id;
+        open_.erase(open_.begin() + std::ptrdiff_t(at));
+        limiter_.finish(id, End::withdrawn, 0, now_);
+        limiter_.finish(id, End::served, 0, now_);  // of an unknown id: changes nothing
+        text += "withdraw " + std::to_string(id) + "\n";
+    }
+
+    void change_settings() {
+        settings_.work = Duration(options_.settings.work.count() / 2 +
+                                  std::int64_t(below(std::uint64_t(options_.settings.work.count()))));
+        if (!settings_.shares.empty()) settings_.shares["odet"] = 0.05 + 0.1 * double(below(5));
+        limiter_.set(settings_);
+        text += "set " + std::to_string(settings_.work.count()) + "\n";
+    }
+
+    void learn() {
+        limiter_.learn({{100 + below(20), 7}, 1000 + below(900'000), 1000 + below(50'000), 10}, now_);
+        text += "learn\n";
+    }
+
+    void release() {
+        std::vector<AdmissionDecision> due;
+        limiter_.release(now_, due);
+        for (const AdmissionDecision& decision : due) {
+            text += "release ";
+            note(decision);
+        }
+    }
+
+    void note(const AdmissionDecision& decision) {
+        text += std::to_string(decision.id) + " " + std::to_string(int(decision.word)) + " " +
+                std::to_string(int(decision.cause)) + " \"" + name(decision.cause) + "\" " +
+                (decision.retry_after ? std::to_string(decision.retry_after->count()) : "-") + "\n";
+        std::erase_if(open_, [&](const Request& request) { return request.id == decision.id; });
+        if (decision.word == Admission::refuse) return;
+        open_.push_back({decision.id, decision.word == Admission::go});
+    }
+
+    void note_state() {
+        auto next = limiter_.next();
+        text += "state " + std::to_string(limiter_.waiting()) + " " + std::to_string(limiter_.in_flight()) +
+                " " + std::to_string(limiter_.work(0).count()) + " " +
+                std::to_string(limiter_.work(1).count()) + " " +
+                (next ? std::to_string(next->time_since_epoch().count()) : "-") + "\n";
+        const auto& counts = limiter_.counts();
+        for (std::uint64_t count : {counts.went, counts.waited, counts.refused, counts.capped, counts.probes})
+            text += std::to_string(count) + " ";
+        text += "\n";
+        for (const auto& line : limiter_.top(8, now_))
+            text += std::to_string(line.shape.high) + " " + line.tenant + " " +
+                    std::to_string(line.work.count()) + " " + name(line.view.standing) + " " +
+                    std::to_string(line.view.mean.count()) + " " + std::to_string(line.view.tail.count()) +
+                    " " + std::to_string(line.cap) + " " + std::to_string(line.in_flight) + "\n";
+        for (const auto& prior : limiter_.priors(6))
+            text += std::to_string(prior.shape.high) + " " + std::to_string(prior.mean_us) + " " +
+                    std::to_string(prior.baseline_us) + " " + std::to_string(prior.outcomes) + "\n";
+    }
+
+    void cut_hash() {
+        std::uint64_t hash = 0xcbf29ce484222325u;  // FNV-1a
+        for (char c : std::string_view(text).substr(hashed_))
+            hash = (hash ^ std::uint8_t(c)) * 0x100000001b3u;
+        hashed_ = text.size();
+        char digits[17];
+        std::snprintf(digits, sizeof digits, "%016" PRIx64, hash);
+        hashes.emplace_back(digits);
+    }
+
+    const RunOptions& options_;
+    Settings settings_;
+    Limiter limiter_;
+    std::mt19937_64 random_;
+    Time now_ = kStart;
+    std::uint64_t last_id_ = 0;
+    std::vector<Request> open_;
+    std::size_t hashed_ = 0;
+};
+
+std::map<std::string, std::vector<std::string>> read_hashes() {
+    std::map<std::string, std::vector<std::string>> hashes;
+    std::ifstream file(RECORDED_ADMISSIONS);
+    for (std::string line; std::getline(file, line);) {
+        std::istringstream words(line);
+        std::string name;
+        words >> name;
+        for (std::string hash; words >> hash;) hashes[name].push_back(hash);
+    }
+    return hashes;
+}
+
+TEST_CASE("recorded admissions: eight runs give the recorded decisions, event by event") {
+    const char* dump = std::getenv("ADMISSIONS_DUMP");
+    const char* record = std::getenv("ADMISSIONS_RECORD");
+    auto expected = read_hashes();
+    std::vector<RunOptions> runs = recorded_runs();
+    CHECK(runs.size() == 8);
+    for (const RunOptions& options : runs) {
+        CAPTURE(options.name);
+        AdmissionRecording recording(options);
+        recording.run();
+        if (dump) std::ofstream(std::string(dump) + "/" + options.name + ".txt") << recording.text;
+        if (record) {
+            std::ofstream file(record, std::ios::app);
+            file << options.name;
+            for (const std::string& hash : recording.hashes) file << ' ' << hash;
+            file << '\n';
+        }
+        CHECK(recording.hashes.size() == kEvents / kEventsPerHash);
+        const std::vector<std::string>& recorded = expected[options.name];
+        auto [first, unused] =
+            std::mismatch(recording.hashes.begin(), recording.hashes.end(), recorded.begin(), recorded.end());
+        std::size_t same = std::size_t(first - recording.hashes.begin());
+        CHECK_MESSAGE(recording.hashes == recorded, "the first difference lies within events "
+                                                        << same * kEventsPerHash << " to "
+                                                        << (same + 1) * kEventsPerHash);
+    }
+}
+
+}  // namespace
+}  // namespace indigovane::limits
