--- a/bench/statement_bench.cpp
+++ b/bench/statement_bench.cpp
@@ -167,7 +167,7 @@
         limiter.arrive(
             {id, 1, "a", {id % 16, 1}, std::chrono::milliseconds(10), false, now + std::chrono::seconds(1)},
             now);
-        limiter.finish(id, limits::End::served, 100, now + std::chrono::microseconds(50));
+        limiter.finish(id, limits::Outcome::served, 100, now + std::chrono::microseconds(50));
         limiter.release(now + std::chrono::microseconds(50), due);
         due.clear();
     }
@@ -191,20 +191,20 @@
                                  false,
                                  now + std::chrono::seconds(100)},
                                 now);
-        if (v.word == limits::Word::go) running.push_back(id);
+        if (v.admission == limits::Admission::admit) running.push_back(id);
     };
     for (int i = 0; i < 100; ++i) ask();
     for (auto _ : state) {
         now += std::chrono::milliseconds(5);
         ask();
         if (!running.empty()) {
-            limiter.finish(running.front(), limits::End::served, 100, now);
+            limiter.finish(running.front(), limits::Outcome::served, 100, now);
             running.pop_front();
         }
         due.clear();
         limiter.release(now, due);
         for (auto& v : due)
-            if (v.word == limits::Word::go) running.push_back(v.id);
+            if (v.admission == limits::Admission::admit) running.push_back(v.id);
     }
 }
 
--- a/src/adapters/limited_admission.cpp
+++ b/src/adapters/limited_admission.cpp
@@ -17,7 +17,7 @@
         std::size_t bytes = answer.passage.size();
         for (const Row& row : answer.rows) bytes += row.content.size();
         Responder* to = responder_;
-        owner_.end(id_, limits::End::served, bytes + passed_);  // destroys this
+        owner_.end(id_, limits::Outcome::served, bytes + passed_);  // destroys this
         to->served(answer);
     }
     void began(const Answer& answer, std::size_t length) override {
@@ -28,14 +28,14 @@
     bool present() override { return responder_->present(); }
     void broken() override {
         Responder* to = responder_;
-        owner_.end(id_, limits::End::failed, 0);
+        owner_.end(id_, limits::Outcome::failed, 0);
         to->broken();
     }
     void ended(const FinalError& ending) override {
         Responder* to = responder_;
-        auto how = ending.deadline                            ? limits::End::timed_out
-                   : ending.kind == FinalError::Kind::refused ? limits::End::never_ran
-                                                              : limits::End::failed;
+        auto how = ending.deadline                            ? limits::Outcome::timed_out
+                   : ending.kind == FinalError::Kind::refused ? limits::Outcome::never_ran
+                                                              : limits::Outcome::failed;
         FinalError copy = ending;
         owner_.end(id_, how, 0);
         to->ended(copy);
@@ -81,14 +81,14 @@
     arrival.tenant = t.item_.tenant;
     limits::AdmissionDecision verdict = limiter_.arrive(arrival, now());
     tickets_.emplace(std::uint64_t(id), std::move(ticket));
-    if (verdict.word == limits::Admission::go) {
+    if (verdict.admission == limits::Admission::admit) {
         forward(t);
     } else {
         t.held_ = true;
         t.bytes_ = t.item_.statement.size() + t.item_.name.size();
         queued_bytes_ += t.bytes_;
         held_ids_.insert(t.item_.id);
-        if (verdict.word == limits::Admission::refuse) refused_.push_back(verdict);
+        if (verdict.admission == limits::Admission::reject) refused_.push_back(verdict);
     }
     wake();
     return id;
@@ -108,7 +108,7 @@
     t.core_id_ = core_.accept(std::move(t.item_), t);
 }
 
-void LimitedAdmission::end(RequestId id, limits::End how, std::size_t bytes) {
+void LimitedAdmission::end(RequestId id, limits::Outcome how, std::size_t bytes) {
     limiter_.finish(std::uint64_t(id), how, bytes, now());
     if (auto it = tickets_.find(std::uint64_t(id)); it != tickets_.end()) {
         unhold(*it->second);
@@ -127,7 +127,7 @@
     if (it == tickets_.end()) return;
     if (it->second->in_core_) core_.withdraw(it->second->core_id_, departure);
     std::erase_if(refused_, [&](const limits::AdmissionDecision& v) { return v.id == std::uint64_t(id); });
-    end(id, limits::End::withdrawn, 0);
+    end(id, limits::Outcome::cancelled, 0);
 }
 
 void LimitedAdmission::refuse(const limits::AdmissionDecision& verdict) {
@@ -149,12 +149,12 @@
         limiter_.release(now(), due);
         if (due.empty()) break;
         for (const limits::AdmissionDecision& v : due) {
-            if (v.word == limits::Admission::refuse) {
+            if (v.admission == limits::Admission::reject) {
                 refuse(v);
             } else if (auto it = tickets_.find(v.id); it != tickets_.end()) {
                 forward(*it->second);
             } else {
-                limiter_.finish(v.id, limits::End::never_ran, 0, now());  // its client has left in between
+                limiter_.finish(v.id, limits::Outcome::never_ran, 0, now());  // its client has left in between
             }
         }
     }
@@ -191,7 +191,7 @@
         if (!ticket->held_) continue;
         ticket->item_.request_class = renumbered(ticket->item_.request_class, continues);
         if (ticket->item_.request_class == kNoClass)
-            refused_.push_back({id, limits::Admission::refuse, limits::Cause::none, {}});
+            refused_.push_back({id, limits::Admission::reject, limits::RejectionCause::none, {}});
     }
     wake();
 }
--- a/src/adapters/limited_admission.hpp
+++ b/src/adapters/limited_admission.hpp
@@ -35,13 +35,13 @@
     void renumber(const std::vector<std::optional<routing::ClassId>>& continues);
     bool idle() const { return tickets_.empty(); }
     const limits::Limiter& limiter() const { return limiter_; }
-    void learn(const limits::CostModel::Prior& prior) { limiter_.learn(prior, now()); }
+    void learn(const limits::ShapePrior& prior) { limiter_.load_prior(prior, now()); }
 
   private:
     class Ticket;
     void forward(Ticket& ticket);
     // The ticket is over: it leaves, and what its end makes room for goes on.
-    void end(routing::RequestId id, limits::End how, std::size_t bytes);
+    void end(routing::RequestId id, limits::Outcome how, std::size_t bytes);
     void refuse(const limits::AdmissionDecision& verdict);
     void dispatch_queued();
     void wake();  // pump() soon, from the loop
--- a/src/limits/cost_model.cpp
+++ b/src/limits/cost_model.cpp
@@ -1,169 +1,155 @@
 #include "limits/cost_model.hpp"
 
+#include <algorithm>
+
 namespace indigovane::limits {
 
 namespace {
-constexpr Duration kPulse = std::chrono::seconds(3);  // half-life of a group's pulse
-constexpr double kFewOutcomes = 3, kOthersHealthy = 0.2;
-
+constexpr Duration kHalfLife = std::chrono::seconds(10);  // of a shape's recent outcomes
+constexpr double kMinBaselineWeight = 1.0 / 512;          // of one outcome in the baseline
+constexpr double kMinBytesWeight = 0.05;                  // of one answer in the mean of bytes
+constexpr double kMinOutcomeWeight = 0.01;                // decayed; below this nothing is known
+constexpr std::int64_t kMaxEstimateMultiple = 4;          // of the mean that an estimate may raise it to
+constexpr double kHealthyTimeoutRate = 0.2;               // of others: below it the shape is to blame
+constexpr std::uint32_t kMaxOutcomes = 1u << 30;
+constexpr int kMaxConsecutiveTimeouts = 1000;
+constexpr int kMaxQuarantineLevel = 16;
+constexpr std::uint64_t kMaxPriorMeanUs = 600'000'000;
 }  // namespace
 
-const char* name(ShapeState standing) {
-    static constexpr const char* names[] = {"trial", "known", "costly", "quarantined"};
-    return names[std::size_t(standing)];
+const char* name(ShapeState state) {
+    static constexpr const char* kNames[] = {"trial", "known", "costly", "quarantined"};
+    return kNames[std::size_t(state)];
 }
 
-GroupPulse::Sums GroupPulse::Sums::as_of(Time now) const {
-    if (now <= at) return *this;
-    auto f = float(std::exp2(-double((now - at).count()) / double(kPulse.count())));
-    return {outcomes * f, timeouts * f, took * f, expected * f, now};
-}
-
-void GroupPulse::Sums::add(bool timed_out, Duration duration, Duration usual, Time now) {
-    *this = as_of(now);
-    outcomes += 1;
-    timeouts += timed_out ? 1 : 0;
-    if (usual.count() > 0) {
-        took += float(duration.count());
-        expected += float(usual.count());
+CostModel::ShapeHistory& CostModel::touch(const ShapeId& shape) {
+    auto [it, inserted] = shapes_.try_emplace(shape);
+    if (!inserted) {
+        recency_.splice(recency_.begin(), recency_, it->second.recency);
+        return it->second;
     }
+    recency_.push_front(shape);
+    it->second.recency = recency_.begin();
+    if (shapes_.size() > settings_.shapes) {
+        shapes_.erase(recency_.back());
+        recency_.pop_back();
+    }
+    return it->second;
 }
 
-void GroupPulse::record(bool timed_out, Duration took, Duration expected, Time now) {
-    all_.add(timed_out, took, expected, now);
+ShapeState CostModel::state(const ShapeHistory& history, double comparable_mean_us) const {
+    if (history.quarantine_level > 0) return ShapeState::quarantined;
+    if (!is_learned(history)) return ShapeState::learning;
+    if (comparable_mean_us >= double(settings_.costly.count())) return ShapeState::costly;
+    bool increased = history.baseline_us > 0 &&
+                     comparable_mean_us > settings_.costlier * double(history.baseline_us) &&
+                     comparable_mean_us >= double(settings_.costlier_from.count());
+    return increased ? ShapeState::costly : ShapeState::normal;
 }
 
-double GroupPulse::others_timed_out(const Sums& own, Time now) const {
-    Sums all = all_.as_of(now), mine = own.as_of(now);
-    double outcomes = all.outcomes - mine.outcomes;
-    return outcomes < kFewOutcomes ? 1 : std::clamp((all.timeouts - mine.timeouts) / outcomes, 0.0, 1.0);
+ShapeCost CostModel::cost(const ShapeHistory& history, Duration estimate, const GroupOutcomes& group,
+                          Time now) const {
+    ShapeCost cost;
+    cost.outcomes = history.recent.weight();
+    cost.consecutive_timeouts = history.consecutive_timeouts;
+    cost.mean_bytes = std::uint64_t(history.mean_bytes);
+    cost.next_probe_at = history.next_probe_at;
+    bool known = history.recent.weight() > kMinOutcomeWeight;
+    cost.mean = known ? std::max(Duration(1), history.recent.mean()) : estimate;
+    cost.median = known ? history.recent.quantile(0.5) : estimate;
+    cost.p95 = known ? history.recent.quantile(0.95) : estimate;
+    // Few outcomes say little: the estimate keeps its weight until there are more.
+    if (!is_learned(history))
+        cost.mean = std::max(cost.mean, std::min(estimate, cost.mean * kMaxEstimateMultiple));
+    double slowdown = group.others_slowdown(history.own, now);
+    cost.state = state(history, double(cost.mean.count()) / slowdown);
+    return cost;
 }
 
-double GroupPulse::others_inflation(const Sums& own, Time now) const {
-    Sums all = all_.as_of(now), mine = own.as_of(now);
-    if (all.outcomes - mine.outcomes < kFewOutcomes || all.expected - mine.expected < 1) return 1;
-    return std::max(1.0, double(all.took - mine.took) / double(all.expected - mine.expected));
+ShapeCost CostModel::cost(const ShapeId& shape, Duration estimate, const GroupOutcomes& group,
+                          Time now) const {
+    auto it = shapes_.find(shape);
+    if (it != shapes_.end()) return cost(it->second, estimate, group, now);
+    ShapeCost unknown;
+    unknown.mean = std::max(Duration(1), estimate);
+    unknown.median = unknown.mean;
+    unknown.p95 = unknown.mean;
+    return unknown;
 }
 
-CostModel::State& CostModel::state(const ShapeId& shape) {
-    auto [it, fresh] = shapes_.try_emplace(shape);
-    if (!fresh) {
-        order_.splice(order_.begin(), order_, it->second.place);
-        return it->second;
+void CostModel::record(const ShapeId& shape, Outcome outcome, Duration took, std::uint64_t bytes,
+                       GroupOutcomes& group, Time now) {
+    if (outcome == Outcome::never_ran) return;
+    ShapeHistory& history = touch(shape);
+    // A client that left says only that the request took longer: nothing, where it usually does.
+    if (outcome == Outcome::cancelled && took < history.recent.quantile(0.5)) return;
+    // How much longer a request would have taken is not known: the 90th percentile is the better guess.
+    bool lower_bound = outcome == Outcome::timed_out || outcome == Outcome::cancelled;
+    Duration counted = lower_bound ? std::max(took, history.recent.quantile(0.9)) : took;
+    record_duration(history, outcome == Outcome::timed_out, counted, group, now);
+    if (outcome == Outcome::served) {
+        double weight = std::max(kMinBytesWeight, 1.0 / history.outcomes);
+        history.mean_bytes = float(history.mean_bytes + (double(bytes) - history.mean_bytes) * weight);
     }
-    order_.push_front(shape);
-    it->second.place = order_.begin();
-    if (shapes_.size() > settings_.shapes) {
-        shapes_.erase(order_.back());
-        order_.pop_back();
+    if (outcome == Outcome::served || outcome == Outcome::failed) {
+        history.consecutive_timeouts = 0;
+        history.quarantine_level = 0;
     }
-    return it->second;
+    if (outcome == Outcome::timed_out) record_timeout(history, group, now);
 }
 
-CostModel::View CostModel::view(const State& s, Duration estimate, const GroupPulse& pulse, Time now) const {
-    View v;
-    v.outcomes = s.recent.weight();
-    v.timeouts = s.timeouts;
-    v.bytes = std::uint64_t(s.bytes);
-    v.probe_at = s.probe_at;
-    bool known = s.recent.weight() > 0.01;
-    v.mean = known ? std::max(Duration(1), s.recent.mean()) : estimate;
-    v.median = known ? s.recent.quantile(0.5) : estimate;
-    v.tail = known ? s.recent.quantile(0.95) : estimate;
-    // Few outcomes say little: the estimate keeps its weight until there are more.
-    if (s.seen < settings_.trial_outcomes) v.mean = std::max(v.mean, std::min(estimate, v.mean * 4));
-    double inflation = pulse.others_inflation(s.own, now);
-    double mean = double(v.mean.count()) / inflation;
-    bool turned = s.seen >= settings_.trial_outcomes && s.baseline_us > 0 &&
-                  mean > settings_.costlier * double(s.baseline_us) &&
-                  mean >= double(settings_.costlier_from.count());
-    if (s.level > 0)
-        v.standing = ShapeState::quarantined;
-    else if (s.seen < settings_.trial_outcomes)
-        v.standing = ShapeState::trial;
-    else if (mean >= double(settings_.costly.count()) || turned)
-        v.standing = ShapeState::costly;
-    else
-        v.standing = ShapeState::known;
-    return v;
+void CostModel::record_duration(ShapeHistory& history, bool timed_out, Duration took, GroupOutcomes& group,
+                                Time now) {
+    Duration expected =
+        is_learned(history) ? Duration(std::int64_t(double(history.baseline_us))) : Duration::zero();
+    history.recent.record(took, now, kHalfLife);
+    history.own.add(timed_out, took, expected, now);
+    group.record(timed_out, took, expected, now);
+    if (history.outcomes < kMaxOutcomes) ++history.outcomes;
+    double weight = std::max(kMinBaselineWeight, 1.0 / history.outcomes);
+    history.baseline_us = float(history.baseline_us + (double(took.count()) - history.baseline_us) * weight);
 }
 
-CostModel::View CostModel::view(const ShapeId& shape, Duration estimate, const GroupPulse& pulse,
-                                Time now) const {
-    auto it = shapes_.find(shape);
-    if (it != shapes_.end()) return view(it->second, estimate, pulse, now);
-    View v;
-    v.mean = v.median = v.tail = std::max(Duration(1), estimate);
-    return v;
+void CostModel::record_timeout(ShapeHistory& history, const GroupOutcomes& group, Time now) {
+    history.consecutive_timeouts =
+        std::uint16_t(std::min(kMaxConsecutiveTimeouts, history.consecutive_timeouts + 1));
+    bool is_quarantined = history.quarantine_level > 0;
+    bool to_blame = group.others_timeout_rate(history.own, now) < kHealthyTimeoutRate;
+    if (!is_quarantined && (history.consecutive_timeouts < settings_.timeouts || !to_blame)) return;
+    history.quarantine_level = std::uint8_t(std::min(kMaxQuarantineLevel, history.quarantine_level + 1));
+    history.next_probe_at = now + probe_interval(history.quarantine_level - 1u);
 }
 
-void CostModel::record(const ShapeId& shape, End end, Duration took, std::uint64_t bytes, Duration estimate,
-                       GroupPulse& pulse, Time now) {
-    if (end == End::never_ran) return;
-    State& s = state(shape);
-    bool cut = end == End::timed_out || end == End::withdrawn;
-    // Who left early says only that it took longer: nothing, where it usually takes longer than that.
-    if (end == End::withdrawn && took < s.recent.quantile(0.5)) return;
-    // It took that long at least. How much longer is not known: the 90th percentile is the better guess.
-    Duration counted = cut ? std::max(took, s.recent.quantile(0.9)) : took;
-    double before = s.baseline_us;
-    s.recent.record(counted, now, kHalfLife);
-    Duration usual = s.seen >= settings_.trial_outcomes ? Duration(std::int64_t(before)) : Duration::zero();
-    s.own.add(end == End::timed_out, counted, usual, now);
-    pulse.record(end == End::timed_out, counted, usual, now);
-    s.seen += s.seen < 1u << 30 ? 1 : 0;
-    double weight = std::max(kBaseline, 1.0 / s.seen);
-    s.baseline_us = float(s.baseline_us + (double(counted.count()) - s.baseline_us) * weight);
-    if (end == End::served)
-        s.bytes = float(s.bytes + (double(bytes) - s.bytes) * std::max(0.05, 1.0 / s.seen));
-    (void)estimate;
-
-    if (end == End::served || end == End::failed) {
-        s.timeouts = 0;
-        s.level = 0;
-        return;
-    }
-    if (end != End::timed_out) return;
-    s.timeouts = std::uint16_t(std::min(1000, s.timeouts + 1));
-    bool blamed = pulse.others_timed_out(s.own, now) < kOthersHealthy;
-    if (s.level == 0 && (s.timeouts < settings_.timeouts || !blamed)) return;
-    s.level = std::uint8_t(std::min(16, s.level + 1));
-    Duration pause = settings_.quarantine * (std::int64_t(1) << (s.level - 1));
-    s.probe_at = now + std::min(pause, settings_.quarantine_most);
+Duration CostModel::probe_interval(unsigned doublings) const {
+    return std::min(settings_.quarantine * (std::int64_t(1) << doublings), settings_.quarantine_most);
 }
 
-// Until its outcome is known the next probe is as far away as if it had failed.
-void CostModel::probed(const ShapeId& shape, Time now) {
+void CostModel::probe_admitted(const ShapeId& shape, Time now) {
     auto it = shapes_.find(shape);
     if (it == shapes_.end()) return;
-    Duration pause = settings_.quarantine * (std::int64_t(1) << std::min<int>(16, it->second.level));
-    it->second.probe_at = now + std::min(pause, settings_.quarantine_most);
+    ShapeHistory& history = it->second;
+    history.next_probe_at = now + probe_interval(history.quarantine_level);
 }
 
-std::vector<CostModel::Prior> CostModel::priors(std::size_t most) const {
-    std::vector<Prior> out;
-    for (const ShapeId& id : order_) {
-        if (out.size() >= most) break;
-        const State& s = shapes_.at(id);
-        if (s.seen < settings_.trial_outcomes) continue;
-        out.push_back({id, std::uint64_t(s.recent.mean().count()), std::uint64_t(s.baseline_us), s.seen});
+std::vector<ShapePrior> CostModel::priors(std::size_t limit) const {
+    std::vector<ShapePrior> priors;
+    for (const ShapeId& shape : recency_) {
+        if (priors.size() >= limit) break;
+        const ShapeHistory& history = shapes_.at(shape);
+        if (!is_learned(history)) continue;
+        priors.push_back({shape, std::uint64_t(history.recent.mean().count()),
+                          std::uint64_t(history.baseline_us), history.outcomes});
     }
-    return out;
-}
-
-void CostModel::learn(const Prior& p, Time now) {
-    if (shapes_.count(p.shape) || p.outcomes < settings_.trial_outcomes || p.mean_us > 600'000'000) return;
-    State& s = state(p.shape);
-    s.recent.record(Duration(std::int64_t(p.mean_us)), now, kHalfLife);
-    s.baseline_us = float(p.baseline_us);
-    s.seen = settings_.trial_outcomes;  // no trial, and a baseline that moves quickly
+    return priors;
 }
 
-std::vector<CostModel::Line> CostModel::all(Time now) const {
-    std::vector<Line> out;
-    out.reserve(shapes_.size());
-    for (const auto& [id, s] : shapes_) out.push_back({id, view(s, Duration(1), GroupPulse{}, now)});
-    return out;
+void CostModel::load_prior(const ShapePrior& prior, Time now) {
+    if (shapes_.count(prior.shape) > 0) return;
+    if (prior.outcomes < settings_.trial_outcomes || prior.mean_us > kMaxPriorMeanUs) return;
+    ShapeHistory& history = touch(prior.shape);
+    history.recent.record(Duration(std::int64_t(prior.mean_us)), now, kHalfLife);
+    history.baseline_us = float(prior.baseline_us);
+    history.outcomes = settings_.trial_outcomes;  // learned, with a baseline that moves quickly
 }
 
 }  // namespace indigovane::limits
--- a/src/limits/heavy_hitters.hpp
+++ b/src/limits/heavy_hitters.hpp
@@ -1,6 +1,6 @@
-// The few keys that weigh most, in fixed memory (Metwally, Agrawal, El Abbadi: "Space-Saving", 2005). A key's
-// weight is too high by its error at most, and never too low; a key with more than 1/places of all weight is
-// always there.
+// The few keys of the largest weights, in fixed memory (Metwally, Agrawal, El Abbadi: "Space-Saving", 2005).
+// A key's weight is too high by its error at most, and never too low; a key with more than 1/capacity of all
+// weight is always there.
 #pragma once
 
 #include <algorithm>
@@ -12,47 +12,50 @@
 template <typename Key>
 class HeavyHitters {
   public:
-    struct Place {
+    struct Counter {
         Key key{};
-        double weight = 0, error = 0;
+        double weight = 0;
+        double error = 0;
     };
-    explicit HeavyHitters(std::size_t places) : most_(places) { places_.reserve(places); }
+    explicit HeavyHitters(std::size_t capacity) : capacity_(capacity) { counters_.reserve(capacity); }
 
+    // Where there is no counter left, the key takes over the smallest one.
     void add(const Key& key, double weight) {
-        total_ += weight;
-        Place* least = nullptr;
-        for (Place& p : places_) {
-            if (p.key == key) {
-                p.weight += weight;
+        Counter* smallest = nullptr;
+        for (Counter& counter : counters_) {
+            if (counter.key == key) {
+                counter.weight += weight;
                 return;
             }
-            if (!least || p.weight < least->weight) least = &p;
+            if (!smallest || counter.weight < smallest->weight) smallest = &counter;
         }
-        if (places_.size() < most_) {
-            places_.push_back({key, weight, 0});
+        if (counters_.size() < capacity_) {
+            counters_.push_back({key, weight, 0});
             return;
         }
-        least->error = least->weight;
-        least->weight += weight;
-        least->key = key;
+        smallest->error = smallest->weight;
+        smallest->weight += weight;
+        smallest->key = key;
     }
-    // From time to time: what was heavy long ago must not stand for good.
+    // Called from time to time: a key that was heavy long ago gives way.
     void halve() {
-        for (Place& p : places_) p.weight /= 2, p.error /= 2;
-        total_ /= 2;
+        for (Counter& counter : counters_) {
+            counter.weight /= 2;
+            counter.error /= 2;
+        }
     }
-    std::vector<Place> top(std::size_t most) const {
-        std::vector<Place> out = places_;
-        std::sort(out.begin(), out.end(), [](const Place& a, const Place& b) { return a.weight > b.weight; });
-        if (out.size() > most) out.resize(most);
-        return out;
+    // At most `limit`, the largest weight first.
+    std::vector<Counter> top(std::size_t limit) const {
+        std::vector<Counter> counters = counters_;
+        std::sort(counters.begin(), counters.end(),
+                  [](const Counter& a, const Counter& b) { return a.weight > b.weight; });
+        if (counters.size() > limit) counters.resize(limit);
+        return counters;
     }
-    double total() const { return total_; }
 
   private:
-    std::size_t most_;
-    std::vector<Place> places_;
-    double total_ = 0;
+    std::size_t capacity_;
+    std::vector<Counter> counters_;
 };
 
 }  // namespace indigovane::limits
--- a/src/limits/limiter.hpp
+++ b/src/limits/limiter.hpp
@@ -1,20 +1,24 @@
-// Who may go now, who waits, who is refused. Hierarchical start-time fair queueing (Goyal, Vin, Cheng, 1996)
-// over laundries, weighted by share, and within each over two lanes; caps on shapes beside it.
+// Admission control: which request is admitted now, which is queued, which is rejected. Each group of
+// requests has a fair queue of its own (fair_queue.hpp); concurrency limits of single shapes (shape_caps.hpp)
+// and quarantine (cost_model.hpp) stand beside it.
 //
-// Invariants: a request is waiting, in flight, or forgotten. The work in flight of a group is the sum of the
-// charges of its requests in flight. Whoever waits is heard of again by release(), once.
+// Invariants: a request is queued, in flight, or unknown. For each queued one release() gives exactly one
+// further decision.
 #pragma once
 
-#include <list>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
 #include "limits/cost_model.hpp"
+#include "limits/fair_queue.hpp"
 #include "limits/heavy_hitters.hpp"
+#include "limits/shape_caps.hpp"
 #include "limits/types.hpp"
 
 namespace indigovane::limits {
@@ -29,129 +33,115 @@
     Time deadline{};
 };
 
-enum class Admission : std::uint8_t { go, wait, refuse };
-enum class Cause : std::uint8_t { none, queue_full, share_full, too_late, waited, quarantined };
-const char* name(Cause cause);
+enum class Admission : std::uint8_t { admit, queue, reject };
+enum class RejectionCause : std::uint8_t {
+    none,
+    queue_full,            // of the group
+    share_full,            // the tenant's share of the queue
+    deadline_unreachable,  // it would be admitted too late
+    queue_timeout,         // it was queued for as long as it may be
+    quarantined,           // its shape
+};
+// As it stands in logs.
+const char* name(RejectionCause cause);
 
 struct AdmissionDecision {
     std::uint64_t id = 0;
-    Admission word = Admission::go;
-    Cause cause = Cause::none;
-    std::optional<Duration> retry_after;
+    Admission admission = Admission::admit;
+    RejectionCause cause = RejectionCause::none;  // of a rejection
+    std::optional<Duration> retry_after;          // of a rejection
 };
 
+// Used by one thread.
 class Limiter {
   public:
     explicit Limiter(const Settings& settings);
     ~Limiter();
 
-    // The verdict on this one. Others that may go now are told by release().
+    // The decision on this request. Others that are decided because of it are given by release().
     AdmissionDecision arrive(const Arrival& arrival, Time now);
-    // One in flight has ended, or one that waits has left. Unknown ids change nothing.
-    void finish(std::uint64_t id, End end, std::uint64_t bytes, Time now);
-    // Appends the verdicts that have become due: go or refuse, never wait.
-    void release(Time now, std::vector<AdmissionDecision>& out);
-    std::optional<Time> next() const;  // release() is due by then, if nothing else happens
-    // What is in flight and waits goes on under the new settings; costs are kept.
+    // A request in flight has ended, or a queued one has been withdrawn. Unknown ids change nothing.
+    void finish(std::uint64_t id, Outcome outcome, std::uint64_t bytes, Time now);
+    // Appends the decisions on queued requests that have become due: admit or reject, never queue.
+    void release(Time now, std::vector<AdmissionDecision>& decisions);
+    // When release() is due at the latest, if nothing else happens; Time::min(): at once; nothing: never.
+    std::optional<Time> next() const;
+    // What is in flight and queued goes on under the new settings; costs are retained.
     void set(const Settings& settings);
 
-    bool idle() const { return entries_.empty(); }
-    std::size_t waiting() const { return waiting_; }
-    std::size_t in_flight() const { return entries_.size() - waiting_; }
-    Duration work(std::uint32_t group) const;  // in flight
+    bool idle() const { return requests_.empty(); }
+    std::size_t queued() const { return queued_; }
+    std::size_t in_flight() const { return requests_.size() - queued_; }
+    Duration work_in_flight(std::uint32_t group) const;
 
-    std::vector<CostModel::Prior> priors(std::size_t most) const { return costs_.priors(most); }
-    void learn(const CostModel::Prior& prior, Time now) { costs_.learn(prior, now); }
+    std::vector<ShapePrior> priors(std::size_t limit) const { return costs_.priors(limit); }
+    void load_prior(const ShapePrior& prior, Time now) { costs_.load_prior(prior, now); }
 
-    struct Line {
+    // A shape's recent use by one tenant.
+    struct ShapeUsage {
         ShapeId shape;
         std::string tenant;
-        Duration work{};  // lately, by the heavy hitters' sketch
-        CostModel::View view;
-        unsigned cap = 0, in_flight = 0;
+        Duration work{};  // recent, by the heavy hitters' sketch
+        ShapeCost cost;
+        unsigned cap = 0;        // concurrency limit in a group; 0: none
+        unsigned in_flight = 0;  // of all tenants and groups
     };
-    std::vector<Line> top(std::size_t most, Time now) const;
+    // At most `limit`, the largest work first.
+    std::vector<ShapeUsage> top(std::size_t limit, Time now) const;
+
+    // Since the start.
     struct Counts {
-        std::uint64_t went = 0, waited = 0, refused = 0, capped = 0, probes = 0;
+        std::uint64_t admitted = 0;
+        std::uint64_t queued = 0;
+        std::uint64_t rejected = 0;
+        std::uint64_t capped = 0;  // of the queued ones, by their shape's concurrency limit
+        std::uint64_t probes = 0;  // of quarantined shapes
     };
     const Counts& counts() const { return counts_; }
 
   private:
-    struct Entry;
-    struct Lane {
-        std::list<Entry*> waiting;
-        double virtual_time = 0;
-    };
-    struct Flow {  // of a laundry in a group
-        std::string name;
-        double weight = 1, virtual_time = 0;
-        Lane lanes[2];  // 0: others, 1: privileged
-        Duration waiting_work{};
-        std::size_t waiting = 0, in_flight = 0;
-        double lane_time = 0;
-    };
-    struct Group {
-        std::uint32_t number = 0;
-        std::map<std::string, Flow, std::less<>> flows;
-        double virtual_time = 0;  // the start of whoever went last
-        Duration in_flight{}, plain_in_flight{};
-        std::size_t waiting = 0, running = 0;
-        double mean_us = 20000;  // of what ended lately
-        GroupPulse pulse;
-        bool due = false;  // something has changed: look again
-    };
-    struct Entry {
-        Arrival arrival;
-        std::string tenant;
-        Group* group = nullptr;
-        Flow* flow = nullptr;
-        std::list<Entry*>::iterator place;
-        Duration charge{};
-        Time since{}, expires{};  // waits since; or went then
-        bool waits = true, probe = false;
-    };
-    struct InFlight {
-        std::uint32_t group;
-        ShapeId shape;
-        bool operator==(const InFlight&) const = default;
-    };
-    struct InFlightHash {
-        std::size_t operator()(const InFlight& f) const {
-            return ShapeIdHash{}(f.shape) + f.group * 0x9e3779b97f4a7c15u;
-        }
-    };
-    struct Hitter {
+    struct Group;
+    struct Request;
+    struct TenantShape {
         ShapeId shape;
         std::string tenant;
-        bool operator==(const Hitter&) const = default;
+        bool operator==(const TenantShape&) const = default;
     };
 
     Group& group(std::uint32_t number);
-    Flow& flow(Group& g, std::string_view tenant);
-    double total_weight(const Group& g) const;
-    unsigned cap(const CostModel::View& view) const;
-    bool capped(const Entry& e, Time now) const;
-    void displace(Group& g, const Flow& newcomer, Time now);
-    void dispatch_queued(Group& g, Time now, std::vector<AdmissionDecision>& out);
-    Entry* choose(Group& g, Flow& f, bool plain_blocked, bool& full, bool& plain_full, Time now);
-    void start(Entry& e, Time now);
-    void take_out(Entry& e);
-    AdmissionDecision refusal(const Entry& e, Cause cause, Time now) const;
-    AdmissionDecision give_up(Entry& e, Cause cause, Time now);
-    AdmissionDecision refuse(Entry& e, Cause cause, Time now);  // one that is in no lane
-    Duration drain_time(const Group& g, const Flow& f) const;
-    void sweep(Group& g);
+    Request& add_request(const Arrival& arrival, Time now);
+    ShapeCost cost(const Request& request, Time now) const;
+    bool is_capped(const Request& request, Time now) const;
+    bool may_probe(const Request& request, const ShapeCost& cost, Time now) const;
+    void set_charge(Request& request, const ShapeCost& cost, Time now);
+
+    bool dispatch_arrival(Request& request, Time now);
+    void dispatch_queued(Group& group, Time now, std::vector<AdmissionDecision>& decisions);
+    AdmissionDecision queue_or_reject(Request& request, Time now);
+    RejectionCause queue_rejection(const Request& request, Time now) const;
+    void displace(Group& group, const Flow& newcomer, Time now);
+    void admit(Request& request, Time now);
+    void dequeue(Request& request);
+    void finish_in_flight(Request& request, Outcome outcome, std::uint64_t bytes, Time now);
+    void reject_expired(Time now, std::vector<AdmissionDecision>& decisions);
+    void reject_quarantined(Group& group, Time now, std::vector<AdmissionDecision>& decisions);
+    AdmissionDecision reject_queued(Request& request, RejectionCause cause, Time now);
+    AdmissionDecision reject(Request& request, RejectionCause cause, Time now);  // one that is not queued
+    Duration retry_after(const Request& request, RejectionCause cause, Time now) const;
+    void record_usage(const Request& request, Duration took, Time now);
+
+    static constexpr std::size_t kHeavyHitters = 64;
 
     Settings settings_;
     CostModel costs_;
-    HeavyHitters<Hitter> hitters_{64};
-    Time halved_{};
+    ShapesInFlight shapes_in_flight_;
+    HeavyHitters<TenantShape> heavy_hitters_{kHeavyHitters};
+    Time heavy_hitters_halved_{};
     std::unordered_map<std::uint32_t, std::unique_ptr<Group>> groups_;
-    std::unordered_map<std::uint64_t, std::unique_ptr<Entry>> entries_;
-    std::unordered_map<InFlight, unsigned, InFlightHash> running_;
-    std::map<std::pair<Time, std::uint64_t>, Entry*> expiry_;
-    std::vector<AdmissionDecision> pending_decisions_;  // that release() owes
-    std::size_t waiting_ = 0;
+    std::unordered_map<std::uint64_t, std::unique_ptr<Request>> requests_;  // by id
+    std::map<std::pair<Time, std::uint64_t>, Request*> expiry_;             // queued ones, by time and id
+    std::vector<AdmissionDecision> pending_decisions_;                      // of the next release()
+    std::size_t queued_ = 0;
     Counts counts_;
 };
 
--- a/src/limits/quantile_sketch.hpp
+++ b/src/limits/quantile_sketch.hpp
@@ -15,53 +15,55 @@
 class QuantileSketch {
   public:
     static constexpr std::size_t kBuckets = 44;
-    static constexpr double kFirst = 100, kRatio = 1.35;  // microseconds; the last begins at some 40 s
+    static constexpr double kFirstBucketUs = 100;
+    static constexpr double kBucketRatio = 1.35;  // the last bucket begins at some 40 s
 
     void record(Duration value, Time now, Duration half_life) {
         decay(now, half_life);
         double us = double(std::max<std::int64_t>(0, value.count()));
         weights_[bucket(us)] += 1;
         total_ += 1;
-        sum_ += float(us);
+        sum_us_ += float(us);
     }
 
-    // Nothing known: zero.
-    Duration quantile(double q) const {
+    // `fraction`: 0 to 1. Zero where nothing is recorded.
+    Duration quantile(double fraction) const {
         if (total_ <= 0) return Duration::zero();
-        double wanted = q * total_, seen = 0;
-        for (std::size_t b = 0; b < kBuckets; ++b) {
-            seen += weights_[b];
-            if (seen >= wanted && weights_[b] > 0) return Duration(std::int64_t(middle(b)));
+        double wanted = fraction * total_;
+        double seen = 0;
+        for (std::size_t i = 0; i < kBuckets; ++i) {
+            seen += weights_[i];
+            if (seen >= wanted && weights_[i] > 0) return Duration(std::int64_t(middle_us(i)));
         }
-        return Duration(std::int64_t(middle(kBuckets - 1)));
+        return Duration(std::int64_t(middle_us(kBuckets - 1)));
     }
-    Duration mean() const { return total_ > 0 ? Duration(std::int64_t(sum_ / total_)) : Duration::zero(); }
+    // Zero where nothing is recorded.
+    Duration mean() const { return total_ > 0 ? Duration(std::int64_t(sum_us_ / total_)) : Duration::zero(); }
+    // Of all that was recorded, as of the last record().
     double weight() const { return total_; }
-    double weight(Time now, Duration half_life) const { return total_ * factor(now, half_life); }
 
   private:
-    double factor(Time now, Duration half_life) const {
-        if (now <= at_) return 1;
-        return std::exp2(-double((now - at_).count()) / double(half_life.count()));
-    }
     void decay(Time now, Duration half_life) {
         if (now <= at_) return;
-        auto f = float(factor(now, half_life));
-        for (float& w : weights_) w *= f;
-        total_ *= f;
-        sum_ *= f;
+        auto factor = float(std::exp2(-double((now - at_).count()) / double(half_life.count())));
+        for (float& weight : weights_) weight *= factor;
+        total_ *= factor;
+        sum_us_ *= factor;
         at_ = now;
     }
     static std::size_t bucket(double us) {
-        if (us < kFirst) return 0;
-        return std::min<std::size_t>(kBuckets - 1, 1 + std::size_t(std::log(us / kFirst) / std::log(kRatio)));
+        if (us < kFirstBucketUs) return 0;
+        auto above_first = std::size_t(std::log(us / kFirstBucketUs) / std::log(kBucketRatio));
+        return std::min<std::size_t>(kBuckets - 1, 1 + above_first);
     }
-    static double middle(std::size_t b) {
-        return b == 0 ? kFirst / 2 : kFirst * std::pow(kRatio, double(b) - 0.5);
+    static double middle_us(std::size_t bucket) {
+        if (bucket == 0) return kFirstBucketUs / 2;
+        return kFirstBucketUs * std::pow(kBucketRatio, double(bucket) - 0.5);
     }
 
     std::array<float, kBuckets> weights_{};
-    float total_ = 0, sum_ = 0;
+    float total_ = 0;
+    float sum_us_ = 0;
     Time at_{};
 };
 
--- a/src/program/lifecycle.cpp
+++ b/src/program/lifecycle.cpp
@@ -480,9 +480,9 @@
         o["kind"] = known ? statement::name(known->kind) : "";
         o["class"] = known ? known->request_class : "";
         o["work_ms"] = line.work.count() / 1000;
-        o["mean_ms"] = double(line.view.mean.count()) / 1000;
-        o["p95_ms"] = double(line.view.tail.count()) / 1000;
-        o["standing"] = limits::name(line.view.standing);
+        o["mean_ms"] = double(line.cost.mean.count()) / 1000;
+        o["p95_ms"] = double(line.cost.p95.count()) / 1000;
+        o["standing"] = limits::name(line.cost.state);
         o["cap"] = line.cap;
         o["in_flight"] = line.in_flight;
         lines.push_back(std::move(o));
--- a/src/program/persistent_state.cpp
+++ b/src/program/persistent_state.cpp
@@ -236,7 +236,7 @@
 
 // As text, so that a dump can be read: mean, baseline, outcomes, when. Old knowledge misleads more than none:
 // an hour.
-void PersistentState::shapes(const std::vector<limits::CostModel::Prior>& priors) {
+void PersistentState::shapes(const std::vector<limits::ShapePrior>& priors) {
     if (!thread_) return;
     std::uint64_t now = now_us() / 1000;
     for (const auto& p : priors) {
@@ -251,8 +251,8 @@
     thread_->flush();
 }
 
-std::vector<limits::CostModel::Prior> PersistentState::shapes() const {
-    std::vector<limits::CostModel::Prior> out;
+std::vector<limits::ShapePrior> PersistentState::shapes() const {
+    std::vector<limits::ShapePrior> out;
     if (!thread_) return out;
     std::uint64_t now = now_us() / 1000;
     thread_->store().each(Space::shapes, [&](const std::string& key, const std::string& value) {
--- a/src/program/persistent_state.hpp
+++ b/src/program/persistent_state.hpp
@@ -41,9 +41,9 @@
     void hosts(const std::set<std::string>& excluded_endpoints,
                const std::map<std::string, routing::Time>& put_back, std::function<void(bool)> then = {});
     void list(const std::string& members, std::int64_t revision);
-    void shapes(const std::vector<limits::CostModel::Prior>& priors);
+    void shapes(const std::vector<limits::ShapePrior>& priors);
     // From the last process: costs of shapes, no older than an hour;
-    std::vector<limits::CostModel::Prior> shapes() const;
+    std::vector<limits::ShapePrior> shapes() const;
     // hosts taken out, and the list as it was last told, if it is newer than
     // `revision`.
     std::set<std::string> excluded_endpoints() const;
--- a/tests/adapters/open_statements_test.cpp
+++ b/tests/adapters/open_statements_test.cpp
@@ -197,7 +197,7 @@
     PgClient one(rig.d.loop, rig.d.pg.local()), two(rig.d.loop, rig.d.pg.local());
     one.send(pg::Writer().query("SELECT a FROM t").take());
     two.send(pg::Writer().query("SELECT a FROM t").take());
-    REQUIRE(rig.d.loop.until([&] { return rig.d.limited->limiter().waiting() == 1; }));
+    REQUIRE(rig.d.loop.until([&] { return rig.d.limited->limiter().queued() == 1; }));
     auto c = program::parse_statement_config(
         "[statements]\nopen = true\ngroup = 3\nwrite_class = \"log\"\n[[relation]]\nname = \"t\"\n", "t");
     rig.judged.set(std::move(c.rules), {c.open, c.group, c.read_class, c.primary_class, c.write_class});
@@ -263,7 +263,7 @@
         CHECK((status == 200 || status == 503));
     }
     REQUIRE(rig.d.loop.until([&] { return rig.d.limited->idle() && rig.d.core.idle(); }));
-    CHECK(rig.d.limited->limiter().work(3) == limits::Duration::zero());
+    CHECK(rig.d.limited->limiter().work_in_flight(3) == limits::Duration::zero());
 }
 
 TEST_CASE(
@@ -278,10 +278,10 @@
     auto second = std::make_unique<PgClient>(rig.d.loop, rig.d.pg.local());
     std::string sql = "/* id=77,c=stock-view,cluster=3 */ SELECT a FROM t";
     second->send(pg::Writer().query(sql).take());
-    REQUIRE(rig.d.loop.until([&] { return rig.d.limited->limiter().waiting() == 1; }));
+    REQUIRE(rig.d.loop.until([&] { return rig.d.limited->limiter().queued() == 1; }));
     CHECK(rig.d.limited->is_open("77"));
     second.reset();
-    REQUIRE(rig.d.loop.until([&] { return rig.d.limited->limiter().waiting() == 0; }));
+    REQUIRE(rig.d.loop.until([&] { return rig.d.limited->limiter().queued() == 0; }));
     CHECK_FALSE(rig.d.limited->is_open("77"));
     first.connection->close();
     REQUIRE(rig.d.loop.until([&] { return true; }));
--- /dev/null
+++ b/tests/limits/fair_queue_test.cpp
@@ -0,0 +1,99 @@
+// The fair queue of one group: order, capacity, shares of the queue.
+#include "limits/fair_queue.hpp"
+
+#include <doctest/doctest.h>
+
+#include <list>
+
+namespace indigovane::limits {
+namespace {
+
+using namespace std::chrono_literals;
+
+struct QueueFixture {
+    Settings settings;
+    FairQueue queue{settings};
+    std::list<QueuedRequest> requests;
+    FairQueue::Exhausted exhausted;
+
+    QueueFixture() {
+        settings.work = 100ms;
+        settings.reserve = 0.5;
+        settings.queue = 10;
+        settings.shares = {{"heavy", 0.75}, {"light", 0.25}};
+    }
+    QueuedRequest& enqueue(const char* tenant, Duration charge, bool privileged = false) {
+        QueuedRequest& request = requests.emplace_back();
+        request.flow = &queue.flow(tenant);
+        request.charge = charge;
+        request.privileged = privileged;
+        queue.enqueue(request);
+        return request;
+    }
+    QueuedRequest* next() {
+        return queue.next(exhausted, [](const QueuedRequest&) { return true; });
+    }
+};
+
+TEST_CASE("unprivileged requests leave the reserve to privileged ones") {
+    QueueFixture fixture;
+    QueuedRequest& first = fixture.enqueue("heavy", 40ms);
+    fixture.enqueue("heavy", 40ms);
+    QueuedRequest& privileged = fixture.enqueue("heavy", 40ms, true);
+    fixture.queue.remove(privileged);
+    CHECK(fixture.next() == &first);
+    fixture.queue.admit(first);
+    CHECK(fixture.next() == nullptr);
+    CHECK(fixture.exhausted.unprivileged);
+    fixture.queue.enqueue(privileged);
+    CHECK(fixture.next() == &privileged);
+    fixture.queue.admit(privileged);
+    CHECK(fixture.queue.work_in_flight() == 80ms);
+}
+
+TEST_CASE("a tenant is charged by what its requests took, divided by its weight") {
+    QueueFixture fixture;
+    QueuedRequest& request = fixture.enqueue("light", 10ms);
+    fixture.queue.admit(request);
+    fixture.queue.finish(request, 20ms);
+    CHECK(request.flow->virtual_time == doctest::Approx(20'000 / 0.25));
+    CHECK(fixture.queue.work_in_flight() == 0ms);
+    CHECK(fixture.queue.in_flight() == 0);
+}
+
+TEST_CASE("what is not eligible is passed over, what does not fit is waited for") {
+    QueueFixture fixture;
+    QueuedRequest& running = fixture.enqueue("heavy", 30ms, true);
+    fixture.queue.admit(running);
+    QueuedRequest& capped = fixture.enqueue("heavy", 10ms, true);
+    QueuedRequest& large = fixture.enqueue("heavy", 90ms, true);
+    fixture.enqueue("heavy", 10ms, true);
+    auto eligible = [&](const QueuedRequest& request) { return &request != &capped; };
+    CHECK(fixture.queue.next(fixture.exhausted, eligible) == nullptr);
+    CHECK(fixture.exhausted.all);
+    fixture.queue.finish(running, 30ms);
+    fixture.exhausted = {};
+    CHECK(fixture.queue.next(fixture.exhausted, eligible) == &large);
+}
+
+TEST_CASE("only a flow that is further beyond its share than the newcomer gives way") {
+    QueueFixture fixture;
+    QueuedRequest& last = [&]() -> QueuedRequest& {
+        for (int i = 0; i < 5; ++i) fixture.enqueue("light", 1ms);
+        return fixture.requests.back();
+    }();
+    QueuedRequest& newcomer = fixture.enqueue("heavy", 1ms);
+    CHECK(fixture.queue.displaceable(*newcomer.flow) == &last);
+    CHECK(fixture.queue.displaceable(*last.flow) == nullptr);
+    CHECK(fixture.queue.places(*newcomer.flow) == 7);
+    CHECK(fixture.queue.places(*last.flow) == 2);
+}
+
+TEST_CASE("tenants without a weight share one flow where weights are configured") {
+    QueueFixture fixture;
+    CHECK(&fixture.queue.flow("new") == &fixture.queue.flow("newer"));
+    CHECK(&fixture.queue.flow("heavy") != &fixture.queue.flow("light"));
+}
+
+}  // namespace
+}  // namespace indigovane::limits
--- a/tests/limits/limits_test.cpp
+++ b/tests/limits/limits_test.cpp
@@ -25,428 +25,382 @@
     return s;
 }
 
-// Requests that take as long as they are told to, however many there are.
-struct World {
+// A limiter in virtual time, with hosts that take the given time for each request, however many there are.
+struct Simulation {
     Limiter limiter;
     Time now = kStart;
     std::uint64_t ids = 0;
-    struct Out {
+    struct Running {
         Time ends;
         std::uint64_t id;
-        bool operator>(const Out& o) const { return ends > o.ends; }
+        bool operator>(const Running& other) const { return ends > other.ends; }
     };
-    std::priority_queue<Out, std::vector<Out>, std::greater<>> out;
+    std::priority_queue<Running, std::vector<Running>, std::greater<>> running;
     struct Request {
         std::string tenant;
         Duration service{}, wait{};
-        Time asked{};
-        Admission word = Admission::wait;
-        AdmissionDecision verdict;
+        Time submitted_at{};
+        Admission admission = Admission::queue;
+        AdmissionDecision decision;
         bool ended = false;
     };
     std::map<std::uint64_t, Request> requests;
-    std::map<std::string, Duration> served;  // work, by laundry
+    std::map<std::string, Duration> served;  // work, by tenant
     std::function<void(Request&)> on_end;
 
-    explicit World(const Settings& s = settings()) : limiter(s) {}
+    explicit Simulation(const Settings& s = settings()) : limiter(s) {}
 
-    std::uint64_t ask(const std::string& tenant, Duration service, std::uint64_t shape = 1,
-                      bool privileged = false, Duration client_timeout = 20s, Duration estimate = 20ms) {
+    std::uint64_t submit(const std::string& tenant, Duration service, std::uint64_t shape = 1,
+                         bool privileged = false, Duration client_timeout = 20s, Duration estimate = 20ms) {
         std::uint64_t id = ++ids;
         Request& r = requests[id];
-        r.tenant = tenant, r.service = service, r.asked = now;
-        r.verdict =
+        r.tenant = tenant, r.service = service, r.submitted_at = now;
+        r.decision =
             limiter.arrive({id, 1, tenant, {shape, shape}, estimate, privileged, now + client_timeout}, now);
-        take(r.verdict);
-        settle();
+        apply(r.decision);
+        release_due();
         return id;
     }
-    void take(const AdmissionDecision& v) {
+    void apply(const AdmissionDecision& v) {
         Request& r = requests.at(v.id);
-        r.word = v.word;
-        r.verdict = v;
-        if (v.word == Admission::go) {
-            r.wait = now - r.asked;
-            out.push({now + r.service, v.id});
+        r.admission = v.admission;
+        r.decision = v;
+        if (v.admission == Admission::admit) {
+            r.wait = now - r.submitted_at;
+            running.push({now + r.service, v.id});
         }
-        if (v.word == Admission::refuse) r.ended = true;
+        if (v.admission == Admission::reject) r.ended = true;
     }
-    void settle() {
+    void release_due() {
         std::vector<AdmissionDecision> due;
         do {
             due.clear();
             limiter.release(now, due);
-            for (const AdmissionDecision& v : due) take(v);
+            for (const AdmissionDecision& v : due) apply(v);
         } while (!due.empty());
     }
     void run(Time until) {
         for (;;) {
             auto next = limiter.next();
-            Time at = out.empty() ? Time::max() : out.top().ends;
+            Time at = running.empty() ? Time::max() : running.top().ends;
             if (next) at = std::min(at, std::max(now, *next));
             if (at > until) break;
             now = std::max(now, at);
-            while (!out.empty() && out.top().ends <= now) {
-                std::uint64_t id = out.top().id;
-                out.pop();
+            while (!running.empty() && running.top().ends <= now) {
+                std::uint64_t id = running.top().id;
+                running.pop();
                 auto it = requests.find(id);
                 if (it == requests.end() || it->second.ended) continue;
                 Request& r = it->second;
                 r.ended = true;
                 served[r.tenant] += r.service;
-                limiter.finish(id, End::served, 100, now);
+                limiter.finish(id, Outcome::served, 100, now);
                 if (on_end) on_end(r);
             }
-            settle();
+            release_due();
         }
         now = until;
-        settle();
+        release_due();
     }
     // Makes a shape known: what it costs is then no guess.
     void teach(std::uint64_t shape, Duration service, int times = 12) {
         for (int i = 0; i < times; ++i) {
-            ask("vilaine", service, shape);
+            submit("vilaine", service, shape);
             run(now + service + 1ms);
         }
     }
 };
 
-TEST_CASE("with all busy each laundry has its share of the work, within 5% over any second") {
-    World w;
-    w.teach(1, 40ms);
-    w.on_end = [&](World::Request& r) { w.ask(r.tenant, 40ms); };
+TEST_CASE("with all busy each tenant has its share of the work, within 5% over any second") {
+    Simulation simulation;
+    simulation.teach(1, 40ms);
+    simulation.on_end = [&](Simulation::Request& r) { simulation.submit(r.tenant, 40ms); };
     for (int i = 0; i < 60; ++i)
-        for (const char* t : {"vilaine", "rance", "odet"}) w.ask(t, 40ms);
-    w.run(w.now + 2s);
+        for (const char* t : {"vilaine", "rance", "odet"}) simulation.submit(t, 40ms);
+    simulation.run(simulation.now + 2s);
     for (int second = 0; second < 5; ++second) {
-        w.served.clear();
-        w.run(w.now + 1s);
-        Duration all = w.served["vilaine"] + w.served["rance"] + w.served["odet"];
-        CHECK(double(w.served["vilaine"].count()) / double(all.count()) ==
+        simulation.served.clear();
+        simulation.run(simulation.now + 1s);
+        Duration all = simulation.served["vilaine"] + simulation.served["rance"] + simulation.served["odet"];
+        CHECK(double(simulation.served["vilaine"].count()) / double(all.count()) ==
               doctest::Approx(0.59).epsilon(0.05));
-        CHECK(double(w.served["rance"].count()) / double(all.count()) == doctest::Approx(0.21).epsilon(0.05));
-        CHECK(double(w.served["odet"].count()) / double(all.count()) == doctest::Approx(0.20).epsilon(0.05));
+        CHECK(double(simulation.served["rance"].count()) / double(all.count()) ==
+              doctest::Approx(0.21).epsilon(0.05));
+        CHECK(double(simulation.served["odet"].count()) / double(all.count()) ==
+              doctest::Approx(0.20).epsilon(0.05));
     }
 }
 
-TEST_CASE("shares hold for work, not for requests: a laundry of long ones gets no more") {
-    World w;
-    w.teach(1, 20ms);
-    w.teach(2, 160ms);
-    w.on_end = [&](World::Request& r) { w.ask(r.tenant, r.service, r.service > 100ms ? 2 : 1); };
+TEST_CASE("shares hold for work, not for requests: a tenant of long ones gets no more") {
+    Simulation simulation;
+    simulation.teach(1, 20ms);
+    simulation.teach(2, 160ms);
+    simulation.on_end = [&](Simulation::Request& r) {
+        simulation.submit(r.tenant, r.service, r.service > 100ms ? 2 : 1);
+    };
     for (int i = 0; i < 100; ++i) {
-        w.ask("rance", 160ms, 2);
-        w.ask("odet", 20ms, 1);
+        simulation.submit("rance", 160ms, 2);
+        simulation.submit("odet", 20ms, 1);
     }
-    w.run(w.now + 2s);
-    w.served.clear();
-    w.run(w.now + 6s);
-    double part = double(w.served["rance"].count()) / double((w.served["rance"] + w.served["odet"]).count());
+    simulation.run(simulation.now + 2s);
+    simulation.served.clear();
+    simulation.run(simulation.now + 6s);
+    double part = double(simulation.served["rance"].count()) /
+                  double((simulation.served["rance"] + simulation.served["odet"]).count());
     CHECK(part == doctest::Approx(0.21 / 0.41).epsilon(0.05));
 }
 
-TEST_CASE("unused share is lent whole, and taken back within a second of its owner's waking") {
-    World w;
-    w.teach(1, 40ms);
-    w.on_end = [&](World::Request& r) { w.ask(r.tenant, 40ms); };
-    for (int i = 0; i < 100; ++i) w.ask("rance", 40ms);  // at ten times its share
-    w.run(w.now + 5s);
-    CHECK(w.limiter.work(1) > 700ms);  // nearly all that plain reads may have
-    for (int i = 0; i < 100; ++i) w.ask("vilaine", 40ms);
-    w.run(w.now + 200ms);
-    w.served.clear();
-    w.run(w.now + 800ms);
-    double part =
-        double(w.served["vilaine"].count()) / double((w.served["rance"] + w.served["vilaine"]).count());
+TEST_CASE("an unused share goes to the others, and back to its tenant within a second") {
+    Simulation simulation;
+    simulation.teach(1, 40ms);
+    simulation.on_end = [&](Simulation::Request& r) { simulation.submit(r.tenant, 40ms); };
+    for (int i = 0; i < 100; ++i) simulation.submit("rance", 40ms);  // at ten times its share
+    simulation.run(simulation.now + 5s);
+    CHECK(simulation.limiter.work_in_flight(1) > 700ms);  // nearly all that plain reads may have
+    for (int i = 0; i < 100; ++i) simulation.submit("vilaine", 40ms);
+    simulation.run(simulation.now + 200ms);
+    simulation.served.clear();
+    simulation.run(simulation.now + 800ms);
+    double part = double(simulation.served["vilaine"].count()) /
+                  double((simulation.served["rance"] + simulation.served["vilaine"]).count());
     CHECK(part == doctest::Approx(0.59 / 0.80).epsilon(0.06));
 }
 
-TEST_CASE("idling earns no credit: who wakes does not shut the others out") {
-    World w;
-    w.teach(1, 40ms);
-    w.on_end = [&](World::Request& r) { w.ask(r.tenant, 40ms); };
-    for (int i = 0; i < 60; ++i) w.ask("odet", 40ms);
-    w.run(w.now + 60s);
-    for (int i = 0; i < 200; ++i) w.ask("rance", 40ms);
-    w.served.clear();
-    w.run(w.now + 1s);
-    CHECK(w.served["odet"] > 300ms * 18 / 2);  // of about 18 s of work; half of it by share
+TEST_CASE("idling earns no credit: a tenant that becomes active does not shut the others out") {
+    Simulation simulation;
+    simulation.teach(1, 40ms);
+    simulation.on_end = [&](Simulation::Request& r) { simulation.submit(r.tenant, 40ms); };
+    for (int i = 0; i < 60; ++i) simulation.submit("odet", 40ms);
+    simulation.run(simulation.now + 60s);
+    for (int i = 0; i < 200; ++i) simulation.submit("rance", 40ms);
+    simulation.served.clear();
+    simulation.run(simulation.now + 1s);
+    CHECK(simulation.served["odet"] > 300ms * 18 / 2);  // of about 18 s of work; half of it by share
 }
 
-TEST_CASE("writes and session reads have room that no other read can take") {
-    World w;
-    w.teach(1, 40ms);
-    for (int i = 0; i < 200; ++i) w.ask("rance", 400ms, 1);
-    CHECK(w.limiter.work(1) <= 750ms);
-    std::uint64_t write = w.ask("rance", 40ms, 1, true);
-    CHECK(w.requests[write].word == Admission::go);
-    std::uint64_t other = w.ask("vilaine", 40ms, 1, true);
-    CHECK(w.requests[other].word == Admission::go);
+TEST_CASE("writes and session reads have a reserve that no other read can use") {
+    Simulation simulation;
+    simulation.teach(1, 40ms);
+    for (int i = 0; i < 200; ++i) simulation.submit("rance", 400ms, 1);
+    CHECK(simulation.limiter.work_in_flight(1) <= 750ms);
+    std::uint64_t write = simulation.submit("rance", 40ms, 1, true);
+    CHECK(simulation.requests[write].admission == Admission::admit);
+    std::uint64_t other = simulation.submit("vilaine", 40ms, 1, true);
+    CHECK(simulation.requests[other].admission == Admission::admit);
 }
 
-TEST_CASE("nobody starves: plain reads go on beside a laundry's endless writes") {
-    World w;
-    w.teach(1, 40ms);
-    w.on_end = [&](World::Request& r) { w.ask(r.tenant, 40ms, 1, true); };
-    for (int i = 0; i < 60; ++i) w.ask("rance", 40ms, 1, true);
-    w.run(w.now + 1s);
-    w.on_end = nullptr;
-    std::uint64_t plain = w.ask("rance", 40ms, 1);
-    for (int i = 0; i < 400; ++i) w.ask("rance", 40ms, 1, true);
-    w.run(w.now + 2s);
-    CHECK(w.requests[plain].word == Admission::go);
-    CHECK(w.requests[plain].wait < 500ms);
+TEST_CASE("nobody starves: plain reads go on beside a tenant's endless writes") {
+    Simulation simulation;
+    simulation.teach(1, 40ms);
+    simulation.on_end = [&](Simulation::Request& r) { simulation.submit(r.tenant, 40ms, 1, true); };
+    for (int i = 0; i < 60; ++i) simulation.submit("rance", 40ms, 1, true);
+    simulation.run(simulation.now + 1s);
+    simulation.on_end = nullptr;
+    std::uint64_t plain = simulation.submit("rance", 40ms, 1);
+    for (int i = 0; i < 400; ++i) simulation.submit("rance", 40ms, 1, true);
+    simulation.run(simulation.now + 2s);
+    CHECK(simulation.requests[plain].admission == Admission::admit);
+    CHECK(simulation.requests[plain].wait < 500ms);
 }
 
-TEST_CASE("a request larger than the room left is waited for, not passed by smaller ones for ever") {
-    World w;
-    w.teach(1, 10ms);
-    w.teach(2, 240ms);
-    w.on_end = [&](World::Request& r) {
-        if (r.service == 10ms) w.ask(r.tenant, 10ms, 1);
+TEST_CASE("a request larger than the free capacity is waited for, not passed by smaller ones for ever") {
+    Simulation simulation;
+    simulation.teach(1, 10ms);
+    simulation.teach(2, 240ms);
+    simulation.on_end = [&](Simulation::Request& r) {
+        if (r.service == 10ms) simulation.submit(r.tenant, 10ms, 1);
     };
-    for (int i = 0; i < 300; ++i) w.ask("rance", 10ms, 1);
-    std::uint64_t large = w.ask("vilaine", 240ms, 2);
-    w.run(w.now + 1s);
-    CHECK(w.requests[large].word == Admission::go);
+    for (int i = 0; i < 300; ++i) simulation.submit("rance", 10ms, 1);
+    std::uint64_t large = simulation.submit("vilaine", 240ms, 2);
+    simulation.run(simulation.now + 1s);
+    CHECK(simulation.requests[large].admission == Admission::admit);
 }
 
 TEST_CASE(
-    "who can't be in time is told at once, who has waited long enough then, both with when to come back") {
+    "what can't meet its deadline is rejected at once, what was queued too long then, both with "
+    "Retry-After") {
     Settings s = settings();
     s.queue = 20, s.wait = 100ms;
-    World w(s);
-    w.teach(1, 40ms);
-    for (int i = 0; i < 25; ++i) w.ask("rance", 5s, 1);
-    std::uint64_t waits = w.ask("rance", 40ms, 1, false, 2s);
-    std::uint64_t late = w.ask("rance", 40ms, 1, false, 30ms);
-    CHECK(w.requests[waits].word == Admission::wait);
-    CHECK(w.requests[late].word == Admission::refuse);
-    CHECK(w.requests[late].verdict.cause == Cause::too_late);
-    CHECK(w.requests[late].verdict.retry_after.value() >= 20ms);
-    Time asked = w.now;
-    w.run(w.now + 99ms);
-    CHECK(w.requests[waits].word == Admission::wait);
-    w.run(asked + 100ms);
-    CHECK(w.requests[waits].word == Admission::refuse);
-    CHECK(w.requests[waits].verdict.cause == Cause::waited);
-    CHECK(w.requests[waits].verdict.retry_after);
-    for (int i = 0; i < 30; ++i) w.ask("rance", 40ms, 1);
-    std::uint64_t full = w.ask("rance", 40ms, 1);
-    CHECK(w.requests[full].word == Admission::refuse);
-    // A laundry that fills its part of the queue leaves the others theirs.
-    CHECK(w.requests[w.ask("vilaine", 40ms, 1)].word != Admission::refuse);
+    Simulation simulation(s);
+    simulation.teach(1, 40ms);
+    for (int i = 0; i < 25; ++i) simulation.submit("rance", 5s, 1);
+    std::uint64_t waits = simulation.submit("rance", 40ms, 1, false, 2s);
+    std::uint64_t late = simulation.submit("rance", 40ms, 1, false, 30ms);
+    CHECK(simulation.requests[waits].admission == Admission::queue);
+    CHECK(simulation.requests[late].admission == Admission::reject);
+    CHECK(simulation.requests[late].decision.cause == RejectionCause::deadline_unreachable);
+    CHECK(simulation.requests[late].decision.retry_after.value() >= 20ms);
+    Time submitted_at = simulation.now;
+    simulation.run(simulation.now + 99ms);
+    CHECK(simulation.requests[waits].admission == Admission::queue);
+    simulation.run(submitted_at + 100ms);
+    CHECK(simulation.requests[waits].admission == Admission::reject);
+    CHECK(simulation.requests[waits].decision.cause == RejectionCause::queue_timeout);
+    CHECK(simulation.requests[waits].decision.retry_after);
+    for (int i = 0; i < 30; ++i) simulation.submit("rance", 40ms, 1);
+    std::uint64_t full = simulation.submit("rance", 40ms, 1);
+    CHECK(simulation.requests[full].admission == Admission::reject);
+    // A tenant that fills its part of the queue leaves the others theirs.
+    CHECK(simulation.requests[simulation.submit("vilaine", 40ms, 1)].admission != Admission::reject);
 }
 
 TEST_CASE("names that nobody knows share one share: a new name a request wins nothing") {
-    World w;
-    w.teach(1, 40ms);
-    w.on_end = [&](World::Request& r) {
-        w.ask(r.tenant == "odet" ? "odet" : "x" + std::to_string(w.ids), 40ms);
+    Simulation simulation;
+    simulation.teach(1, 40ms);
+    simulation.on_end = [&](Simulation::Request& r) {
+        simulation.submit(r.tenant == "odet" ? "odet" : "x" + std::to_string(simulation.ids), 40ms);
     };
     for (int i = 0; i < 100; ++i) {
-        w.ask("odet", 40ms);
-        w.ask("x" + std::to_string(i), 40ms);
+        simulation.submit("odet", 40ms);
+        simulation.submit("x" + std::to_string(i), 40ms);
     }
-    w.run(w.now + 1s);
-    w.served.clear();
-    w.run(w.now + 3s);
+    simulation.run(simulation.now + 1s);
+    simulation.served.clear();
+    simulation.run(simulation.now + 3s);
     Duration others{};
-    for (auto& [tenant, work] : w.served)
+    for (auto& [tenant, work] : simulation.served)
         if (tenant != "odet") others += work;
-    CHECK(double(w.served["odet"].count()) / double((others + w.served["odet"]).count()) > 0.75);
+    CHECK(double(simulation.served["odet"].count()) / double((others + simulation.served["odet"]).count()) >
+          0.75);
 }
 
 TEST_CASE("a shape never seen is tried by two at a time until something is known of it") {
-    World w;
-    for (int i = 0; i < 10; ++i) w.ask("vilaine", 30ms, 9);
-    CHECK(w.limiter.in_flight() == 2);
-    CHECK(w.limiter.waiting() == 8);
-    w.run(w.now + 200ms);
-    CHECK(w.limiter.idle());
-    for (int i = 0; i < 10; ++i) w.ask("vilaine", 30ms, 9);
-    CHECK(w.limiter.in_flight() == 10);
+    Simulation simulation;
+    for (int i = 0; i < 10; ++i) simulation.submit("vilaine", 30ms, 9);
+    CHECK(simulation.limiter.in_flight() == 2);
+    CHECK(simulation.limiter.queued() == 8);
+    simulation.run(simulation.now + 200ms);
+    CHECK(simulation.limiter.idle());
+    for (int i = 0; i < 10; ++i) simulation.submit("vilaine", 30ms, 9);
+    CHECK(simulation.limiter.in_flight() == 10);
 }
 
 TEST_CASE("a shape that turns costly is capped by its tail; what waits behind it does not wait for it") {
-    World w;
-    w.teach(3, 20ms, 30);
+    Simulation simulation;
+    simulation.teach(3, 20ms, 30);
     for (int i = 0; i < 8; ++i) {  // the same shape with a ruinous literal
-        w.ask("rance", 900ms, 3);
-        w.run(w.now + 910ms);
+        simulation.submit("rance", 900ms, 3);
+        simulation.run(simulation.now + 910ms);
     }
-    for (int i = 0; i < 10; ++i) w.ask("rance", 900ms, 3);
-    CHECK(w.limiter.in_flight() == 1);  // a quarter of a second's work holds one of a second
-    w.teach(1, 20ms);
-    std::uint64_t behind = w.ask("rance", 20ms, 1);
-    CHECK(w.requests[behind].word == Admission::go);
+    for (int i = 0; i < 10; ++i) simulation.submit("rance", 900ms, 3);
+    CHECK(simulation.limiter.in_flight() == 1);  // a quarter of a second's work holds one of a second
+    simulation.teach(1, 20ms);
+    std::uint64_t behind = simulation.submit("rance", 20ms, 1);
+    CHECK(simulation.requests[behind].admission == Admission::admit);
     // A cap that is lifted while its queue is full lets all of them go, a few at a time, and loses none.
-    for (int i = 0; i < 40; ++i) w.ask("rance", 5ms, 3, false, 60s);
-    w.run(w.now + 60s);
-    CHECK(w.limiter.idle());
+    for (int i = 0; i < 40; ++i) simulation.submit("rance", 5ms, 3, false, 60s);
+    simulation.run(simulation.now + 60s);
+    CHECK(simulation.limiter.idle());
 }
 
 TEST_CASE("a shape that keeps timing out is quarantined while others are answered, and probed back") {
-    World w;
-    w.teach(1, 20ms);
+    Simulation simulation;
+    simulation.teach(1, 20ms);
     auto time_out = [&](std::uint64_t shape) {
-        std::uint64_t id = w.ask("rance", 100s, shape);
-        if (w.requests[id].word != Admission::go) return false;
-        w.now += 500ms;
-        w.requests[id].ended = true;
-        w.limiter.finish(id, End::timed_out, 0, w.now);
-        w.teach(1, 20ms, 2);
+        std::uint64_t id = simulation.submit("rance", 100s, shape);
+        if (simulation.requests[id].admission != Admission::admit) return false;
+        simulation.now += 500ms;
+        simulation.requests[id].ended = true;
+        simulation.limiter.finish(id, Outcome::timed_out, 0, simulation.now);
+        simulation.teach(1, 20ms, 2);
         return true;
     };
     for (int i = 0; i < 3; ++i) CHECK(time_out(5));
-    std::uint64_t id = w.ask("rance", 1ms, 5);
-    CHECK(w.requests[id].word == Admission::refuse);
-    CHECK(w.requests[id].verdict.cause == Cause::quarantined);
-    CHECK(w.requests[id].verdict.retry_after.value() <= 1s);
-    w.run(w.now + 1s);
+    std::uint64_t id = simulation.submit("rance", 1ms, 5);
+    CHECK(simulation.requests[id].admission == Admission::reject);
+    CHECK(simulation.requests[id].decision.cause == RejectionCause::quarantined);
+    CHECK(simulation.requests[id].decision.retry_after.value() <= 1s);
+    simulation.run(simulation.now + 1s);
     CHECK(time_out(5));  // the probe; it fails, and the next is twice as far away
-    w.run(w.now + 1s);
-    CHECK(w.requests[w.ask("rance", 1ms, 5)].word == Admission::refuse);
-    w.run(w.now + 1s);
-    std::uint64_t probe = w.ask("rance", 20ms, 5);
-    CHECK(w.requests[probe].word == Admission::go);
-    CHECK(w.requests[w.ask("rance", 20ms, 5)].word == Admission::refuse);  // one at a time
-    w.run(w.now + 30ms);
-    CHECK(w.requests[w.ask("rance", 20ms, 5)].word == Admission::go);
+    simulation.run(simulation.now + 1s);
+    CHECK(simulation.requests[simulation.submit("rance", 1ms, 5)].admission == Admission::reject);
+    simulation.run(simulation.now + 1s);
+    std::uint64_t probe = simulation.submit("rance", 20ms, 5);
+    CHECK(simulation.requests[probe].admission == Admission::admit);
+    CHECK(simulation.requests[simulation.submit("rance", 20ms, 5)].admission ==
+          Admission::reject);  // one at a time
+    simulation.run(simulation.now + 30ms);
+    CHECK(simulation.requests[simulation.submit("rance", 20ms, 5)].admission == Admission::admit);
 }
 
 // Guards writes when their primary is gone: all of them time out, none is to blame.
 TEST_CASE("where everything times out no shape is quarantined") {
-    World w;
+    Simulation simulation;
     for (int i = 0; i < 10; ++i)
         for (std::uint64_t shape : {1, 2, 3}) {
-            std::uint64_t id = w.ask("rance", 100s, shape);
-            REQUIRE(w.requests[id].word == Admission::go);
-            w.now += 500ms;
-            w.requests[id].ended = true;
-            w.limiter.finish(id, End::timed_out, 0, w.now);
+            std::uint64_t id = simulation.submit("rance", 100s, shape);
+            REQUIRE(simulation.requests[id].admission == Admission::admit);
+            simulation.now += 500ms;
+            simulation.requests[id].ended = true;
+            simulation.limiter.finish(id, Outcome::timed_out, 0, simulation.now);
         }
 }
 
-TEST_CASE(
-    "costs: a time-out counts as its time at least, old outcomes fade, the tail shows what a mean hides") {
-    Settings s = settings();
-    CostModel model(s);
-    GroupPulse pulse;
-    Time now = kStart;
-    for (int i = 0; i < 95; ++i) model.record({1, 1}, End::served, 10ms, 50, 1ms, pulse, now += 1ms);
-    for (int i = 0; i < 8; ++i) model.record({1, 1}, End::timed_out, 1s, 0, 1ms, pulse, now += 1ms);
-    auto view = model.view({1, 1}, 1ms, GroupPulse{}, now);
-    CHECK(view.median < 13ms);
-    CHECK(view.tail > 800ms);
-    CHECK(view.mean > 60ms);
-    now += 120s;
-    for (int i = 0; i < 20; ++i) model.record({1, 1}, End::served, 10ms, 50, 1ms, pulse, now += 1ms);
-    CHECK(model.view({1, 1}, 1ms, GroupPulse{}, now).tail < 13ms);
-    CHECK(model.view({2, 2}, 77ms, pulse, now).mean == 77ms);
-    for (std::uint64_t i = 0; i < 20000; ++i) model.record({i, 3}, End::served, 1ms, 0, 1ms, pulse, now);
-    CHECK(model.size() <= s.shapes);
+void withdraw_random(Simulation& simulation, std::set<std::uint64_t>& open, std::mt19937_64& random) {
+    if (open.empty()) return;
+    auto it = std::next(open.begin(), std::ptrdiff_t(random() % open.size()));
+    std::uint64_t id = *it;
+    open.erase(it);
+    Simulation::Request& request = simulation.requests[id];
+    if (request.ended) return;
+    request.ended = true;
+    Outcome outcome = random() % 2 ? Outcome::cancelled : Outcome::never_ran;
+    simulation.limiter.finish(id, outcome, 0, simulation.now);
+    simulation.limiter.finish(id, Outcome::served, 0, simulation.now);  // again: changes nothing
+    simulation.release_due();
 }
 
-TEST_CASE("what was learned before a start is a prior: no trial, and a few outcomes outweigh it") {
-    Settings s = settings();
-    CostModel before(s), after(s);
-    GroupPulse pulse;
-    for (int i = 0; i < 40; ++i) before.record({1, 1}, End::served, 300ms, 0, 1ms, pulse, kStart + i * 1ms);
-    before.record({2, 2}, End::served, 300ms, 0, 1ms, pulse, kStart);
-    REQUIRE(before.priors(10).size() == 1);  // one outcome is no knowledge
-    Time now = kStart + 60s;
-    after.learn(before.priors(10)[0], now);
-    CHECK(after.view({1, 1}, 1ms, pulse, now).standing == ShapeState::costly);
-    for (int i = 0; i < 12; ++i) after.record({1, 1}, End::served, 10ms, 0, 1ms, pulse, now += 1ms);
-    CHECK(after.view({1, 1}, 1ms, pulse, now).mean < 40ms);
-    CHECK(after.view({1, 1}, 1ms, pulse, now).standing == ShapeState::known);
-    CostModel::Prior absurd{{3, 3}, ~0ull, 1, 100};
-    after.learn(absurd, now);
-    CHECK(after.size() == 1);
+void forget_ended(Simulation& simulation, std::set<std::uint64_t>& open) {
+    std::erase_if(simulation.requests, [](const auto& item) { return item.second.ended; });
+    std::erase_if(open, [&](std::uint64_t id) { return !simulation.requests.count(id); });
+    auto& running = simulation.running;
+    while (!running.empty() && !simulation.requests.count(running.top().id)) running.pop();
 }
 
-TEST_CASE(
-    "heavy hitters: what weighs more than its part of the places is there, at no less than its weight") {
-    HeavyHitters<int> hitters(16);
-    std::mt19937 random(3);
-    std::map<int, double> truth;
-    for (int i = 0; i < 50000; ++i) {
-        int key = random() % 4 == 0 ? int(random() % 3) : 100 + int(random() % 5000);
-        hitters.add(key, 1 + key % 3);
-        truth[key] += 1 + key % 3;
-    }
-    auto top = hitters.top(16);
-    for (int key : {1, 2}) {
-        auto it = std::find_if(top.begin(), top.end(), [&](auto& p) { return p.key == key; });
-        REQUIRE(it != top.end());
-        CHECK(it->weight >= truth[key]);
-        CHECK(it->weight - it->error <= truth[key]);
-    }
+std::size_t count(const Simulation& simulation, Admission admission) {
+    return std::size_t(std::count_if(simulation.requests.begin(), simulation.requests.end(),
+                                     [&](const auto& item) { return item.second.admission == admission; }));
 }
 
-// Random steps against what must hold at each: whoever asks has one verdict at a time, nothing leaks, and
-// there is no room left over while somebody who may go waits.
-TEST_CASE("random steps: one word each, room kept, work conserved, nothing left at the end") {
+// Random steps against what must hold at each: each request has one decision at a time, nothing leaks, and
+// no capacity is left over while a request that may be admitted is queued.
+TEST_CASE("random steps: one decision each, bounds kept, work conserved, nothing left at the end") {
+    const char* tenants[] = {"vilaine", "rance", "odet", "unnamed", ""};
     for (unsigned seed = 1; seed <= 8; ++seed) {
         std::mt19937_64 random(seed);
         Settings s = settings();
-        s.queue = 40, s.wait = 300ms;
-        World w(s);
-        const char* tenants[] = {"vilaine", "rance", "odet", "unnamed", ""};
+        s.queue = 40;
+        s.wait = 300ms;
+        Simulation simulation(s);
         std::set<std::uint64_t> open;
         for (int step = 0; step < 6000; ++step) {
-            switch (random() % 8) {
-                case 0:
-                case 1:
-                case 2:
-                case 3:
-                    open.insert(w.ask(tenants[random() % 5], Duration(1000 + random() % 200000),
-                                      1 + random() % 6, random() % 3 == 0,
-                                      Duration(10000 + random() % 2000000)));
-                    break;
-                case 4:
-                    if (!open.empty()) {  // one that waits or is in flight leaves
-                        auto it = std::next(open.begin(), std::ptrdiff_t(random() % open.size()));
-                        World::Request& r = w.requests[*it];
-                        if (!r.ended) {
-                            r.ended = true;
-                            w.limiter.finish(*it, random() % 2 ? End::withdrawn : End::never_ran, 0, w.now);
-                            w.limiter.finish(*it, End::served, 0, w.now);  // again: changes nothing
-                            w.settle();
-                        }
-                        open.erase(it);
-                    }
-                    break;
-                case 5:
-                    if (random() % 50 == 0) {
-                        s.work = Duration(400000 + random() % 1000000);
-                        w.limiter.set(s);
-                        w.settle();
-                    }
-                    break;
-                default:
-                    w.run(w.now + Duration(random() % 60000));
-            }
-            std::size_t waiting = 0, in_flight = 0;
-            for (auto it = w.requests.begin(); it != w.requests.end();) {
-                if (it->second.ended) {
-                    it = w.requests.erase(it);
-                    continue;
+            std::uint64_t kind = random() % 8;
+            if (kind < 4) {
+                open.insert(simulation.submit(tenants[random() % 5], Duration(1000 + random() % 200000),
+                                              1 + random() % 6, random() % 3 == 0,
+                                              Duration(10000 + random() % 2000000)));
+            } else if (kind == 4) {
+                withdraw_random(simulation, open, random);
+            } else if (kind == 5) {
+                if (random() % 50 == 0) {
+                    s.work = Duration(400000 + random() % 1000000);
+                    simulation.limiter.set(s);
+                    simulation.release_due();
                 }
-                (it->second.word == Admission::wait ? waiting : in_flight) += 1;
-                ++it;
+            } else {
+                simulation.run(simulation.now + Duration(random() % 60000));
             }
-            std::erase_if(open, [&](std::uint64_t id) { return !w.requests.count(id); });
-            while (!w.out.empty() && !w.requests.count(w.out.top().id)) w.out.pop();
-            REQUIRE(w.limiter.waiting() == waiting);
-            REQUIRE(w.limiter.in_flight() == in_flight);
-            REQUIRE(waiting <= s.queue);
-            if (in_flight == 0) REQUIRE(waiting == 0);
+            forget_ended(simulation, open);
+            std::size_t queued = count(simulation, Admission::queue);
+            std::size_t in_flight = simulation.requests.size() - queued;
+            REQUIRE(simulation.limiter.queued() == queued);
+            REQUIRE(simulation.limiter.in_flight() == in_flight);
+            REQUIRE(queued <= s.queue);
+            if (in_flight == 0) REQUIRE(queued == 0);
         }
-        w.run(w.now + 60s);
-        CHECK(w.limiter.idle());
-        CHECK(w.limiter.work(1) == Duration::zero());
+        simulation.run(simulation.now + 60s);
+        CHECK(simulation.limiter.idle());
+        CHECK(simulation.limiter.work_in_flight(1) == Duration::zero());
     }
 }
 
--- a/tests/limits/recorded_admissions_test.cpp
+++ b/tests/limits/recorded_admissions_test.cpp
@@ -57,12 +57,12 @@
     faulty.timeouts = 2;
     faulty.quarantine = 200ms;
     faulty.max_retry_after = 500ms;
-    Settings silent = shared;
-    silent.retry_after = false;
-    silent.reserve = 0;
+    Settings no_retry_after = shared;
+    no_retry_after.retry_after = false;
+    no_retry_after.reserve = 0;
     return {{"shares", 1, shared, 2, 12, false, 5},  {"no_shares", 2, open, 2, 12, true, 5},
             {"invented", 3, shared, 2, 12, true, 5}, {"small", 4, small, 2, 40, false, 5},
-            {"faulty", 5, faulty, 1, 8, false, 35},  {"silent", 6, silent, 3, 20, false, 10},
+            {"faulty", 5, faulty, 1, 8, false, 35},  {"silent", 6, no_retry_after, 3, 20, false, 10},
             {"groups", 7, small, 400, 40, false, 5}, {"crowded", 8, small, 1, 4, false, 5, 1, 75}};
 }
 
@@ -137,9 +137,9 @@
         std::size_t at = running[below(running.size())];
         std::uint64_t id = open_[at].id;
         open_.erase(open_.begin() + std::ptrdiff_t(at));
-        End end = End::served;
-        if (below(100) < options_.fault_percent) end = End(below(5));
-        if (end == End::timed_out) now_ += 200ms;
+        Outcome end = Outcome::served;
+        if (below(100) < options_.fault_percent) end = Outcome(below(5));
+        if (end == Outcome::timed_out) now_ += 200ms;
         limiter_.finish(id, end, below(10'000), now_);
         text += "finish " + std::to_string(id) + " " + std::to_string(int(end)) + "\n";
     }
@@ -149,8 +149,8 @@
         std::size_t at = below(open_.size());
         std::uint64_t id = open_[at].id;
         open_.erase(open_.begin() + std::ptrdiff_t(at));
-        limiter_.finish(id, End::withdrawn, 0, now_);
-        limiter_.finish(id, End::served, 0, now_);  // of an unknown id: changes nothing
+        limiter_.finish(id, Outcome::cancelled, 0, now_);
+        limiter_.finish(id, Outcome::served, 0, now_);  // of an unknown id: changes nothing
         text += "withdraw " + std::to_string(id) + "\n";
     }
 
@@ -163,7 +163,7 @@
     }
 
     void learn() {
-        limiter_.learn({{100 + below(20), 7}, 1000 + below(900'000), 1000 + below(50'000), 10}, now_);
+        limiter_.load_prior({{100 + below(20), 7}, 1000 + below(900'000), 1000 + below(50'000), 10}, now_);
         text += "learn\n";
     }
 
@@ -177,28 +177,29 @@
     }
 
     void note(const AdmissionDecision& decision) {
-        text += std::to_string(decision.id) + " " + std::to_string(int(decision.word)) + " " +
+        text += std::to_string(decision.id) + " " + std::to_string(int(decision.admission)) + " " +
                 std::to_string(int(decision.cause)) + " \"" + name(decision.cause) + "\" " +
                 (decision.retry_after ? std::to_string(decision.retry_after->count()) : "-") + "\n";
         std::erase_if(open_, [&](const Request& request) { return request.id == decision.id; });
-        if (decision.word == Admission::refuse) return;
-        open_.push_back({decision.id, decision.word == Admission::go});
+        if (decision.admission == Admission::reject) return;
+        open_.push_back({decision.id, decision.admission == Admission::admit});
     }
 
     void note_state() {
         auto next = limiter_.next();
-        text += "state " + std::to_string(limiter_.waiting()) + " " + std::to_string(limiter_.in_flight()) +
-                " " + std::to_string(limiter_.work(0).count()) + " " +
-                std::to_string(limiter_.work(1).count()) + " " +
+        text += "state " + std::to_string(limiter_.queued()) + " " + std::to_string(limiter_.in_flight()) +
+                " " + std::to_string(limiter_.work_in_flight(0).count()) + " " +
+                std::to_string(limiter_.work_in_flight(1).count()) + " " +
                 (next ? std::to_string(next->time_since_epoch().count()) : "-") + "\n";
         const auto& counts = limiter_.counts();
-        for (std::uint64_t count : {counts.went, counts.waited, counts.refused, counts.capped, counts.probes})
+        for (std::uint64_t count :
+             {counts.admitted, counts.queued, counts.rejected, counts.capped, counts.probes})
             text += std::to_string(count) + " ";
         text += "\n";
         for (const auto& line : limiter_.top(8, now_))
             text += std::to_string(line.shape.high) + " " + line.tenant + " " +
-                    std::to_string(line.work.count()) + " " + name(line.view.standing) + " " +
-                    std::to_string(line.view.mean.count()) + " " + std::to_string(line.view.tail.count()) +
+                    std::to_string(line.work.count()) + " " + name(line.cost.state) + " " +
+                    std::to_string(line.cost.mean.count()) + " " + std::to_string(line.cost.p95.count()) +
                     " " + std::to_string(line.cap) + " " + std::to_string(line.in_flight) + "\n";
         for (const auto& prior : limiter_.priors(6))
             text += std::to_string(prior.shape.high) + " " + std::to_string(prior.mean_us) + " " +
@@ -229,10 +230,10 @@
     std::map<std::string, std::vector<std::string>> hashes;
     std::ifstream file(RECORDED_ADMISSIONS);
     for (std::string line; std::getline(file, line);) {
-        std::istringstream words(line);
+        std::istringstream fields(line);
         std::string name;
-        words >> name;
-        for (std::string hash; words >> hash;) hashes[name].push_back(hash);
+        fields >> name;
+        for (std::string hash; fields >> hash;) hashes[name].push_back(hash);
     }
     return hashes;
 }
