--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -14,24 +14,28 @@
 namespace indigovane::store {
 namespace {
 
+void require(const IoStatus& status) {
+    if (!status.ok()) std::abort();
+}
+
 std::string folder() {
     const char* from = std::getenv("STORE_BENCH_FOLDER");
     std::string path = (from ? std::string(from) : std::string(".")) + "/store-bench";
     std::filesystem::remove_all(path);
     return path;
 }
-std::unique_ptr<StoreThread> open_store(const std::string& path, Recovered& found) {
+std::unique_ptr<StoreThread> open_store(const std::string& path, RecoveryResult& found) {
     std::unique_ptr<Environment> environment;
-    std::string why;
-    if (!open_folder(path, environment).ok()) std::abort();
-    auto store = StoreThread::open(std::move(environment), {}, 0, {}, found, why);
+    OpenError error;
+    require(open_folder(path, environment));
+    auto store = StoreThread::open(std::move(environment), {}, 0, {}, found, error);
     if (!store) std::abort();
     return store;
 }
 
 // What a request pays: the loop's side of one position.
 void put_on_request_path(benchmark::State& state) {
-    Recovered found;
+    RecoveryResult found;
     auto store = open_store(folder(), found);
     std::uint64_t i = 0;
     for (auto _ : state) {
@@ -44,7 +48,7 @@
 }
 // Durable ones a second, each waited for by somebody, with so many at a time.
 void durable_puts(benchmark::State& state) {
-    Recovered found;
+    RecoveryResult found;
     auto store = open_store(folder(), found);
     auto window = std::uint64_t(state.range(0));
     std::uint64_t i = 0;
@@ -64,15 +68,15 @@
     std::string path = folder();
     std::filesystem::create_directory(path);
     std::unique_ptr<Environment> environment;
-    if (!open_folder(path, environment).ok()) std::abort();
+    require(open_folder(path, environment));
     std::string content(1000 * 8, 'x');
     for (auto _ : state) {
         std::unique_ptr<File> file;
-        environment->create("tmp", file);
-        file->append(content);
-        file->sync();
-        environment->rename("tmp", "all");
-        environment->sync_folder();
+        require(environment->create("tmp", file));
+        require(file->append(content));
+        require(file->sync());
+        require(environment->rename("tmp", "all"));
+        require(environment->sync_folder());
     }
     state.SetItemsProcessed(std::int64_t(state.iterations()));
 }
@@ -80,22 +84,22 @@
     std::string path = folder();
     std::filesystem::create_directory(path);
     std::unique_ptr<Environment> environment;
-    if (!open_folder(path, environment).ok()) std::abort();
+    require(open_folder(path, environment));
     std::unique_ptr<File> file;
-    environment->create("log", file);
+    require(environment->create("log", file));
     for (auto _ : state) {
-        file->append("h123 out\n");
-        file->sync();
+        require(file->append("h123 out\n"));
+        require(file->sync());
     }
     state.SetItemsProcessed(std::int64_t(state.iterations()));
 }
 
 void time_recovery(benchmark::State& state, const std::string& path) {
     std::unique_ptr<Environment> environment;
-    if (!open_folder(path, environment).ok()) std::abort();
+    require(open_folder(path, environment));
     for (auto _ : state) {
         Store store;
-        Recovered r =
+        RecoveryResult r =
             recover_frames(*environment, false,
                            [&](const std::vector<RecordView>& x, std::uint64_t s) { store.load(x, s); });
         state.counters["MiB"] = double(r.bytes) / 1048576;
@@ -106,7 +110,7 @@
 void recover_64_mib(benchmark::State& state) {
     std::string path = folder();
     {
-        Recovered found;
+        RecoveryResult found;
         auto store = open_store(path, found);
         // Records of 32 bytes in batches of 64, as a busy pooler's groups are.
         for (std::uint64_t i = 0; store->store().ticket() < 64ull * 1024 * 1024 / (64 * 32 + 48); ++i) {
@@ -126,13 +130,13 @@
 void recover_64_mib_of_50000_sessions(benchmark::State& state) {
     std::string path = folder();
     {
-        Recovered found;
+        RecoveryResult found;
         OpenOptions options;
-        options.log_worker.amplification = 1e9;
+        options.log_worker.max_amplification = 1e9;
         std::unique_ptr<Environment> environment;
-        std::string why;
-        if (!open_folder(path, environment).ok()) std::abort();
-        auto store = StoreThread::open(std::move(environment), options, 0, {}, found, why);
+        OpenError error;
+        require(open_folder(path, environment));
+        auto store = StoreThread::open(std::move(environment), options, 0, {}, found, error);
         for (std::uint64_t i = 0; store->store().ticket() < 64ull * 1024 * 1024 / (16 * 32 + 48); ++i) {
             std::vector<Record> batch;
             for (std::uint64_t k = 0; k < 16; ++k)
@@ -148,13 +152,13 @@
 
 void amplification(benchmark::State& state) {
     for (auto _ : state) {
-        Recovered found;
+        RecoveryResult found;
         auto store = open_store(folder(), found);
         std::mt19937_64 random(1);
         std::uint64_t user = 0;
         for (int i = 0; i < 1'000'000; ++i) {
             store->store().put_position(random() % 50000, std::uint64_t(i), 0);
-            user += cost(8, 8);
+            user += record_bytes(8, 8);
             if (i % 50 == 0) store->flush();
             if (i % 500 == 0) store->poll();
             while (store->store().ticket() - store->store().durable() > 20000) {
--- a/fuzz/store_fuzz.cpp
+++ b/fuzz/store_fuzz.cpp
@@ -22,15 +22,15 @@
     std::string segment = encode(SegmentHeader{7, 1, 1});
     std::string payload;
     encode_record({Record::Type::put, Space::hosts, "a", "b", 0}, payload);
-    segment += encode(Frame{1, kHeader, 1, payload}, 7, segment.size());
+    segment += encode(Frame{1, kSegmentHeaderBytes, 1, payload}, 7, segment.size());
     std::size_t good = segment.size();
     segment += bytes;
     disk.set_file("MANIFEST", encode(manifest));
     disk.set_file(segment_name(1), segment);
     for (bool salvage : {false, true}) {
         std::size_t count = 0;
-        Recovered r = recover(disk, salvage, [&](Record&&, std::uint64_t) { ++count; });
-        if (count < 1 || (r.usable() && !r.salvaged && r.good < good)) std::abort();
+        RecoveryResult r = recover(disk, salvage, [&](Record&&, std::uint64_t) { ++count; });
+        if (count < 1 || (r.usable() && !r.salvaged && r.valid_length < good)) std::abort();
     }
     disk.set_file("MANIFEST", std::string(bytes));
     recover(disk, false, [](Record&&, std::uint64_t) {});
--- a/src/program/persistent_state.cpp
+++ b/src/program/persistent_state.cpp
@@ -13,9 +13,9 @@
 
 using namespace routing;
 using policy::SessionTokens;
+using store::CrashMarker;
 using store::Durability;
 using store::Space;
-using store::Witness;
 
 namespace {
 constexpr auto kTick = std::chrono::milliseconds(100);
@@ -42,20 +42,20 @@
 
 PersistentState::~PersistentState() = default;
 
-Witness PersistentState::read_witness() const {
+CrashMarker PersistentState::read_witness() const {
     if (witness_path_.empty())
-        return Witness::lapsed;  // nowhere to keep one: nothing proves that there was none
+        return CrashMarker::beyond_lease;  // nowhere to keep one: nothing proves that there was none
     std::ifstream in(witness_path_);
-    if (!in) return Witness::none;
+    if (!in) return CrashMarker::none;
     int value = -1;
     in >> value;
-    return value >= 0 && value <= 2 ? Witness(value) : Witness::lapsed;
+    return value >= 0 && value <= 2 ? CrashMarker(value) : CrashMarker::beyond_lease;
 }
 
 // In place, with one small write: a memory-backed file, so this is no disk's time.
-bool PersistentState::keep_witness(Witness witness) {
+bool PersistentState::keep_witness(CrashMarker witness) {
     if (witness_path_.empty()) return false;
-    if (witness == Witness::none) return ::unlink(witness_path_.c_str()) == 0 || errno == ENOENT;
+    if (witness == CrashMarker::none) return ::unlink(witness_path_.c_str()) == 0 || errno == ENOENT;
     int fd = ::open(witness_path_.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
     if (fd < 0) return false;
     char digit = char('0' + int(witness));
@@ -73,14 +73,14 @@
 
 void PersistentState::try_open(bool must) {
     std::unique_ptr<store::Environment> environment;
-    store::Recovered found;
-    std::string why;
+    store::RecoveryResult found;
+    store::OpenError error;
     if (store::IoStatus s = store::open_folder(config_.folder, environment); !s.ok())
         throw FileError(config_.folder + ": " + s.text());
     store::OpenOptions options;
-    options.log_worker.writer.segment = config_.segment;
-    options.log_worker.budget = config_.budget;
-    options.log_worker.compact_per_second = config_.compact_per_second;
+    options.log_worker.writer.segment_bytes = config_.segment;
+    options.log_worker.max_log_bytes = config_.budget;
+    options.log_worker.compact_bytes_per_second = config_.compact_per_second;
     options.sync_interval_us = std::uint64_t(config_.sync_interval.count());
     options.salvage = config_.salvage;
     std::random_device random;
@@ -90,15 +90,16 @@
             if (!alive.expired()) carry();
         });
     };
-    thread_ = store::StoreThread::open(std::move(environment), options, now_us() / 1000, wake, found, why);
+    thread_ = store::StoreThread::open(std::move(environment), options, now_us() / 1000, wake, found, error);
     for (const store::Finding& f : found.findings)
         logger_.log(Level::warning, "store", f.what,
                     {{"file", config_.folder + "/" + f.file}, {"offset", std::to_string(f.offset)}});
     if (thread_) return begin(found);
-    if (must || found.outcome != store::Recovered::Outcome::fresh || why != "another process has it open")
-        throw FileError(config_.folder + ": " + why);
+    if (must || found.outcome != store::RecoveryResult::Outcome::no_store ||
+        error.kind != store::OpenError::Kind::locked)
+        throw FileError(config_.folder + ": " + error.text);
     // Until it is ours, what is acknowledged here is in no store: the next start must know.
-    keep_witness(Witness::lapsed);
+    keep_witness(CrashMarker::beyond_lease);
     timer_.expires_after(kOpenAgain);
     timer_.async_wait([this](const boost::system::error_code& ec) {
         if (ec || closed_) return;
@@ -110,14 +111,14 @@
     });
 }
 
-void PersistentState::begin(store::Recovered& found) {
+void PersistentState::begin(store::RecoveryResult& found) {
     store::Positions::Options options;
     options.retention_us = std::uint64_t(config_.retention.count());
     options.lease_us = std::uint64_t(config_.lease.count());
     positions_ = std::make_unique<store::Positions>(thread_->store(), options,
-                                                    [this](Witness w) { return keep_witness(w); });
+                                                    [this](CrashMarker w) { return keep_witness(w); });
     bool salvaged = found.salvaged;
-    bool recovered = found.outcome != store::Recovered::Outcome::fresh;
+    bool recovered = found.outcome != store::RecoveryResult::Outcome::no_store;
     auto start = positions_->start(recovered, salvaged, read_witness(), boot_id(), now_us());
     SessionTokens tokens;
     tokens.floor = clock_.from_unix(std::int64_t(start.floor.floor_us));
@@ -127,7 +128,7 @@
     logger_.log(Level::notice, "store", start.floor.why,
                 {{"records", std::to_string(found.records)},
                  {"sessions", std::to_string(start.commits.size())},
-                 {"in_hand", std::to_string(start.open)},
+                 {"in_hand", std::to_string(start.open_writes)},
                  {"floor_ms_ago",
                   std::to_string((std::int64_t(now_us()) - std::int64_t(start.floor.floor_us)) / 1000)}});
     // What this process has heard while another had the store.
@@ -172,7 +173,7 @@
     if (!thread_) return;
     carry();
     positions_->tick(now_us());
-    positions_->closed();
+    positions_->mark_closed();
     thread_->close();
     bool well = thread_->store().durable() >= thread_->store().ticket() - 1;
     positions_->tick(now_us());
@@ -185,18 +186,19 @@
 void PersistentState::commit(std::uint64_t session, Time at) {
     auto us = std::uint64_t(std::max<std::int64_t>(0, clock_.to_unix(at)));
     if (positions_ && thread_) {
-        positions_->committed(session, us, now_us());
+        positions_->write_committed(session, us, now_us());
     } else if (closed_) {
-        keep_witness(Witness::lapsed);  // the heir is told, writes it down, and lowers the witness then
+        keep_witness(
+            CrashMarker::beyond_lease);  // the heir is told, writes it down, and lowers the witness then
     } else {
         inherited_.commits.emplace_back(policy::SessionKey{session}, at);
     }
 }
 void PersistentState::begun(std::uint64_t session) {
-    if (thread_) positions_->begun(session, now_us());
+    if (thread_) positions_->write_started(session, now_us());
 }
 void PersistentState::ended(std::uint64_t session) {
-    if (thread_) positions_->ended(session, now_us());
+    if (thread_) positions_->write_ended(session, now_us());
 }
 
 void PersistentState::inherit(const SessionTokens& tokens) {
@@ -205,10 +207,10 @@
         inherited_.floor = std::max(inherited_.floor, tokens.floor);
         return;
     }
-    if (!tokens.commits.empty()) positions_->also(read_witness());
+    if (!tokens.commits.empty()) positions_->raise_marker(read_witness());
     for (auto [session, at] : tokens.commits)
-        positions_->committed(std::uint64_t(session),
-                              std::uint64_t(std::max<std::int64_t>(0, clock_.to_unix(at))), now_us());
+        positions_->write_committed(std::uint64_t(session),
+                                    std::uint64_t(std::max<std::int64_t>(0, clock_.to_unix(at))), now_us());
 }
 
 void PersistentState::hosts(const std::set<std::string>& excluded_endpoints,
@@ -225,7 +227,7 @@
     s.each(Space::hosts, [&](const std::string& uid, const std::string& value) { have[uid] = value; });
     std::vector<store::Record> records;
     for (auto& [uid, value] : wanted)
-        if (uid.size() <= store::kKeyMost && (!have.count(uid) || have[uid] != value))
+        if (uid.size() <= store::kMaxKeyBytes && (!have.count(uid) || have[uid] != value))
             records.push_back({store::Record::Type::put, Space::hosts, uid, value, 0});
     for (auto& [uid, value] : have)
         if (!wanted.count(uid)) records.push_back({store::Record::Type::remove, Space::hosts, uid, "", 0});
@@ -277,7 +279,7 @@
 }
 
 void PersistentState::list(const std::string& members, std::int64_t revision) {
-    if (!thread_ || members.size() > store::kValueMost - 64) return;
+    if (!thread_ || members.size() > store::kMaxValueBytes - 64) return;
     nlohmann::json o{{"revision", revision}, {"told_ms", now_us() / 1000}, {"members", members}};
     thread_->store().put(Space::list, "members", o.dump());
     thread_->flush();
--- a/src/program/persistent_state.hpp
+++ b/src/program/persistent_state.hpp
@@ -51,9 +51,9 @@
 
   private:
     void try_open(bool first);
-    void begin(store::Recovered& found);
-    bool keep_witness(store::Witness witness);
-    store::Witness read_witness() const;
+    void begin(store::RecoveryResult& found);
+    bool keep_witness(store::CrashMarker witness);
+    store::CrashMarker read_witness() const;
     std::uint64_t now_us() const { return std::uint64_t(clock_.to_unix(clock_.now())); }
     void watch();
     void tell();
--- a/src/program/store_command.cpp
+++ b/src/program/store_command.cpp
@@ -79,7 +79,7 @@
     if (r.space == Space::positions) {
         std::uint64_t value = decode_u64(r.value).value_or(0);
         o["key"] = hex(r.key);
-        o["value"] = {{"commit_us", Positions::commit(value)}, {"open", Positions::open(value)}};
+        o["value"] = {{"commit_us", Positions::commit_us(value)}, {"open", Positions::has_open_write(value)}};
     } else {
         o["key"] = shown(r.key);
         o["value"] = shown(r.value);
@@ -99,7 +99,7 @@
         if (key != "space" && key != "key" && key != "value" && key != "sequence" && key != "expires_ms")
             return wrong("a key that is not known");
     if (!o.contains("space") || !o["space"].is_string()) return wrong("space: a name is wanted");
-    auto space = read_space(o["space"].get<std::string>());
+    auto space = parse_space(o["space"].get<std::string>());
     if (!space) return wrong("space: there is none of this name");
     if (!o.contains("key") || !o.contains("value")) return wrong("key and value are wanted");
     Record r;
@@ -116,12 +116,12 @@
             !v.contains("open") || !v["open"].is_boolean() || v["commit_us"].get<std::uint64_t>() >> 62)
             return wrong("value: {\"commit_us\": number, \"open\": true or false} is wanted");
         r.key = *key;
-        r.value = encode_u64(Positions::value(v["commit_us"].get<std::uint64_t>(), v["open"].get<bool>()));
+        r.value = encode_u64(Positions::encode(v["commit_us"].get<std::uint64_t>(), v["open"].get<bool>()));
         return r;
     }
     auto key = unshown(o["key"]), value = unshown(o["value"]);
     if (!key || !value) return wrong("key and value: text or {\"hex\": \"...\"}");
-    if (key->size() > kKeyMost || value->size() > kValueMost) return wrong("key or value: too long");
+    if (key->size() > kMaxKeyBytes || value->size() > kMaxValueBytes) return wrong("key or value: too long");
     r.key = *key;
     r.value = *value;
     return r;
@@ -140,7 +140,7 @@
         }
         if (IoStatus s = open_folder(folder_, environment_); !s.ok()) return fail(s.text());
         if (IoStatus s = environment_->lock(lock_, make || writes); !s.ok())
-            return fail(s.code == EWOULDBLOCK ? "another process has it open" : s.text());
+            return fail(s.is(std::errc::operation_would_block) ? "another process has it open" : s.text());
         found_ = recover(*environment_, salvage_, [&](Record&& r, std::uint64_t sequence) {
             auto at = std::pair(r.space, r.key);
             if (r.type == Record::Type::remove)
@@ -152,7 +152,8 @@
         std::erase_if(live_, [&](auto& item) {
             return item.second.record.expires_ms != 0 && item.second.record.expires_ms <= now;
         });
-        if (found_.outcome == Recovered::Outcome::fresh && !make) return fail("there is no store in it");
+        if (found_.outcome == RecoveryResult::Outcome::no_store && !make)
+            return fail("there is no store in it");
         return true;
     }
     bool fail(const std::string& why) {
@@ -179,7 +180,7 @@
     }
 
     int get(const std::string& space_name, const std::string& key_text) {
-        auto space = read_space(space_name);
+        auto space = parse_space(space_name);
         if (!space) return fail("there is no space '" + space_name + "'"), 1;
         std::string key = key_text;
         if (*space == Space::positions) {
@@ -201,11 +202,11 @@
         std::uint64_t live = 0;
         std::map<std::string, std::uint64_t> counts;
         for (auto& [at, line] : live_) {
-            live += cost(line.record.key.size(), line.record.value.size());
+            live += record_bytes(line.record.key.size(), line.record.value.size());
             ++counts[name(at.first)];
         }
         ordered_json o;
-        o["state"] = found_.outcome == Recovered::Outcome::torn ? "torn" : "whole";
+        o["state"] = found_.outcome == RecoveryResult::Outcome::torn_tail ? "torn" : "whole";
         o["segments"] = found_.manifest.segments.size();
         o["epoch"] = found_.manifest.epoch;
         o["bytes"] = found_.bytes;
@@ -222,17 +223,17 @@
         if (!open(false)) return 1;
         tell();
         switch (found_.outcome) {
-            case Recovered::Outcome::whole:
+            case RecoveryResult::Outcome::complete:
                 out_ << "whole: " << found_.records << " records in " << found_.manifest.segments.size()
                      << " segments\n";
                 return 0;
-            case Recovered::Outcome::torn:
+            case RecoveryResult::Outcome::torn_tail:
                 out_ << "torn tail: " << found_.findings.back().text() << "\n";
                 return kTorn;
-            case Recovered::Outcome::damaged:
+            case RecoveryResult::Outcome::damaged:
                 out_ << "damaged: " << found_.findings.back().text() << "\n";
                 return kDamaged;
-            case Recovered::Outcome::newer:
+            case RecoveryResult::Outcome::newer_version:
                 out_ << "newer: " << found_.findings.back().text() << "\n";
                 return 1;
             default:
@@ -249,11 +250,11 @@
         std::uint64_t before = found_.bytes;
         Writer writer(*environment_, {});
         if (IoStatus s = begin(writer, 0); !s.ok()) return fail(s.text()), 1;
-        if (IoStatus s = writer.restart(found_.next_sequence); !s.ok()) return fail(s.text()), 1;
+        if (IoStatus s = writer.begin_generation(found_.next_sequence); !s.ok()) return fail(s.text()), 1;
         std::vector<Record> records;
         for (auto& [at, line] : live_) records.push_back(line.record);
         if (!write(writer, std::move(records), found_.next_sequence)) return 1;
-        if (IoStatus s = writer.switch_over(); !s.ok()) return fail(s.text()), 1;
+        if (IoStatus s = writer.end_generation(); !s.ok()) return fail(s.text()), 1;
         out_ << before << " bytes before, " << writer.bytes() << " after, " << live_.size() << " records\n";
         return 0;
     }
@@ -282,16 +283,16 @@
         std::vector<Record> all;
         for (auto& [at, line] : live_) all.push_back(line.record);
         for (Record& r : records) all.push_back(std::move(r));
-        if (IoStatus s = writer.restart(found_.next_sequence); !s.ok()) return fail(s.text()), 1;
+        if (IoStatus s = writer.begin_generation(found_.next_sequence); !s.ok()) return fail(s.text()), 1;
         if (!write(writer, std::move(all), found_.next_sequence)) return 1;
-        if (IoStatus s = writer.switch_over(); !s.ok()) return fail(s.text()), 1;
+        if (IoStatus s = writer.end_generation(); !s.ok()) return fail(s.text()), 1;
         out_ << count << " records loaded\n";
         return 0;
     }
 
   private:
     IoStatus begin(Writer& writer, std::uint64_t number) {
-        return found_.salvaged ? writer.adopt(found_, number) : writer.begin(found_, number);
+        return found_.salvaged ? writer.begin_salvaged(found_, number) : writer.begin(found_, number);
     }
     bool write(Writer& writer, std::vector<Record> records, std::uint64_t sequence) {
         std::vector<Batch> group;
@@ -313,7 +314,7 @@
         };
         std::size_t in_batch = 0;
         for (Record& r : records) {
-            std::size_t size = cost(r.key.size(), r.value.size());
+            std::size_t size = record_bytes(r.key.size(), r.value.size());
             if (in_batch + size > (1u << 20)) {
                 add();
                 in_batch = 0;
@@ -335,8 +336,8 @@
     bool salvage_;
     std::ostream &out_, &errors_;
     std::unique_ptr<Environment> environment_;
-    std::unique_ptr<Lock> lock_;
-    Recovered found_;
+    std::unique_ptr<FolderLock> lock_;
+    RecoveryResult found_;
     std::map<std::pair<Space, std::string>, Line> live_;
 };
 
--- /dev/null
+++ b/src/store/checksum.hpp
@@ -0,0 +1,27 @@
+// XXH3-64 (https://xxhash.com), of bytes at once or in pieces.
+#pragma once
+
+#include <cstdint>
+#include <memory>
+#include <string_view>
+
+namespace indigovane::store {
+
+std::uint64_t checksum(std::string_view bytes, std::uint64_t seed = 0);
+
+// Of all pieces, in order, with seed 0.
+class Checksum {
+  public:
+    Checksum();
+    ~Checksum();
+    Checksum(const Checksum&) = delete;
+    Checksum& operator=(const Checksum&) = delete;
+    void add(std::string_view bytes);
+    std::uint64_t value() const;
+
+  private:
+    struct State;
+    std::unique_ptr<State> state_;
+};
+
+}  // namespace indigovane::store
--- /dev/null
+++ b/src/store/compaction_reader.cpp
@@ -0,0 +1,43 @@
+#include "store/compaction_reader.hpp"
+
+#include <cerrno>
+
+namespace indigovane::store {
+
+IoStatus CompactionReader::open(Environment& environment, const Manifest::Segment& segment) {
+    std::string name = segment_name(segment.number);
+    std::unique_ptr<File> file;
+    if (IoStatus status = environment.open(name, file); !status.ok()) return status;
+    if (IoStatus status = file->read(0, std::size_t(segment.length), contents_); !status.ok()) return status;
+    if (checksum(contents_) != segment.checksum) return {EIO, name + " is not what was sealed"};
+    segment_ = segment.number;
+    offset_ = kSegmentHeaderBytes;
+    return {};
+}
+
+IoStatus CompactionReader::read(Environment& environment, std::uint64_t store,
+                                const Manifest::Segment& segment, std::size_t bytes, CompactionChunk& chunk) {
+    chunk = {};
+    if (segment_ != segment.number)
+        if (IoStatus status = open(environment, segment); !status.ok()) return status;
+    std::size_t taken = 0;
+    while (offset_ < contents_.size() && taken < bytes) {
+        auto frame = decode_frame(std::string_view(contents_).substr(std::size_t(offset_)), store, offset_);
+        std::vector<Record> records;
+        if (!frame || !decode_records(*frame, records))
+            return {EIO, segment_name(segment.number) + " can't be read"};
+        std::uint64_t sequence = frame->sequence;
+        for (Record& record : records) chunk.records.emplace_back(std::move(record), sequence++);
+        offset_ += frame->size();
+        taken += frame->size();
+    }
+    chunk.last = offset_ >= contents_.size();
+    return {};
+}
+
+void CompactionReader::reset() {
+    segment_ = 0;
+    contents_.clear();
+}
+
+}  // namespace indigovane::store
--- a/src/store/fault_environment.cpp
+++ b/src/store/fault_environment.cpp
@@ -114,14 +114,14 @@
     return {};
 }
 
-IoStatus FaultEnvironment::lock(std::unique_ptr<Lock>& out, bool) {
-    struct Held : Lock {
-        explicit Held(std::shared_ptr<bool> l) : locked(std::move(l)) { *locked = true; }
-        ~Held() override { *locked = false; }
+IoStatus FaultEnvironment::lock(std::unique_ptr<FolderLock>& out, bool) {
+    struct OwnedLock : FolderLock {
+        explicit OwnedLock(std::shared_ptr<bool> l) : locked(std::move(l)) { *locked = true; }
+        ~OwnedLock() override { *locked = false; }
         std::shared_ptr<bool> locked;
     };
     if (*locked_) return {EWOULDBLOCK, "lock"};
-    out = std::make_unique<Held>(locked_);
+    out = std::make_unique<OwnedLock>(locked_);
     return {};
 }
 
--- a/src/store/fault_environment.hpp
+++ b/src/store/fault_environment.hpp
@@ -36,7 +36,8 @@
     IoStatus remove(const std::string& name) override;
     IoStatus sync_folder() override;
     IoStatus list(std::vector<std::string>& names) override;
-    IoStatus lock(std::unique_ptr<Lock>& out, bool make) override;
+    using Environment::lock;
+    IoStatus lock(std::unique_ptr<FolderLock>& lock, bool create) override;
 
     // Called before each step that changes something; an errno makes it fail. A `write` that fails leaves its
     // first half.
--- a/src/store/format.cpp
+++ b/src/store/format.cpp
@@ -2,10 +2,6 @@
 
 #include <bit>
 #include <cstring>
-#include <new>
-
-#define XXH_INLINE_ALL
-#include <xxhash.h>
 
 namespace indigovane::store {
 
@@ -13,9 +9,23 @@
 
 static_assert(std::endian::native == std::endian::little, "written for little-endian machines");
 
-constexpr std::string_view kMagic("IGVSEG1\0", 8), kManifestMagic("IGVMAN1\0", 8);
+constexpr std::string_view kSegmentMagic("IGVSEG1\0", 8);
+constexpr std::string_view kManifestMagic("IGVMAN1\0", 8);
 constexpr std::uint32_t kFrameMagic = 0x46564749;  // "IGVF"
 
+// Sizes and offsets in bytes.
+constexpr std::size_t kMagicBytes = 8;
+constexpr std::size_t kChecksumBytes = 8;
+constexpr std::size_t kVersionOffset = 8;
+constexpr std::size_t kSegmentChecksumOffset = kSegmentHeaderBytes - kChecksumBytes;
+constexpr std::size_t kSegmentReservedBytes = 16;
+constexpr std::size_t kFrameLengthOffset = 4;
+constexpr std::size_t kFrameChecksumOffset = 32;
+constexpr std::size_t kPayloadChecksumOffset = 40;
+constexpr std::size_t kManifestCountOffset = 12;
+constexpr std::size_t kManifestHeaderBytes = 40;
+constexpr std::size_t kManifestSegmentBytes = 32;
+
 template <typename T>
 void put(std::string& out, T value) {
     out.append(reinterpret_cast<const char*>(&value), sizeof value);
@@ -26,189 +36,202 @@
     std::memcpy(&value, bytes.data() + at, sizeof value);
     return value;
 }
-std::uint64_t seed(std::uint64_t store, std::uint64_t offset) {
+// Makes a frame that turns up in another store or at another offset invalid.
+std::uint64_t frame_seed(std::uint64_t store, std::uint64_t offset) {
     return store * 0x9e3779b97f4a7c15u ^ offset;
 }
 
 }  // namespace
 
-std::uint64_t checksum(std::string_view bytes, std::uint64_t seed) {
-    return XXH3_64bits_withSeed(bytes.data(), bytes.size(), seed);
-}
-
-Checksum::Checksum() : state_(XXH3_createState()) {
-    if (!state_) throw std::bad_alloc();
-    XXH3_64bits_reset(static_cast<XXH3_state_t*>(state_));
-}
-Checksum::~Checksum() {
-    XXH3_freeState(static_cast<XXH3_state_t*>(state_));
-}
-void Checksum::add(std::string_view bytes) {
-    XXH3_64bits_update(static_cast<XXH3_state_t*>(state_), bytes.data(), bytes.size());
-}
-std::uint64_t Checksum::value() const {
-    return XXH3_64bits_digest(static_cast<const XXH3_state_t*>(state_));
-}
-
 const char* name(Space space) {
-    static constexpr const char* names[] = {"positions", "hosts", "list", "shapes", "operators", "system"};
-    return names[std::size_t(space)];
+    static constexpr const char* kNames[] = {"positions", "hosts", "list", "shapes", "operators", "system"};
+    return kNames[std::size_t(space)];
 }
 
-std::optional<Space> read_space(std::string_view text) {
-    for (std::size_t i = 0; i < kSpaces; ++i)
+std::optional<Space> parse_space(std::string_view text) {
+    for (std::size_t i = 0; i < kSpaceCount; ++i)
         if (text == name(Space(i))) return Space(i);
     return std::nullopt;
 }
 
 // ---- segments ------------------------------------------------------------------------------------
 
-std::string encode(const SegmentHeader& h) {
-    std::string out(kMagic);
-    put<std::uint32_t>(out, kVersion);
+std::string encode(const SegmentHeader& header) {
+    std::string out(kSegmentMagic);
+    put<std::uint32_t>(out, kFormatVersion);
     put<std::uint32_t>(out, 0);
-    put(out, h.store);
-    put(out, h.segment);
-    put(out, h.first);
-    out.append(16, '\0');
+    put(out, header.store);
+    put(out, header.segment);
+    put(out, header.first_sequence);
+    out.append(kSegmentReservedBytes, '\0');
     put(out, checksum(out));
     return out;
 }
 
-Read decode(std::string_view bytes, SegmentHeader& h) {
-    if (bytes.size() < kHeader || bytes.substr(0, 8) != kMagic) return Read::wrong;
-    if (checksum(bytes.substr(0, 56)) != get<std::uint64_t>(bytes, 56)) return Read::wrong;
-    if (get<std::uint32_t>(bytes, 8) > kVersion) return Read::newer;
-    h.store = get<std::uint64_t>(bytes, 16);
-    h.segment = get<std::uint64_t>(bytes, 24);
-    h.first = get<std::uint64_t>(bytes, 32);
-    return Read::well;
+DecodeResult decode(std::string_view bytes, SegmentHeader& header) {
+    if (bytes.size() < kSegmentHeaderBytes || bytes.substr(0, kMagicBytes) != kSegmentMagic)
+        return DecodeResult::damaged;
+    if (checksum(bytes.substr(0, kSegmentChecksumOffset)) !=
+        get<std::uint64_t>(bytes, kSegmentChecksumOffset))
+        return DecodeResult::damaged;
+    if (get<std::uint32_t>(bytes, kVersionOffset) > kFormatVersion) return DecodeResult::newer_version;
+    header.store = get<std::uint64_t>(bytes, 16);
+    header.segment = get<std::uint64_t>(bytes, 24);
+    header.first_sequence = get<std::uint64_t>(bytes, 32);
+    return DecodeResult::ok;
 }
 
-void encode_record(const Record& r, std::string& out) {
-    put(out, std::uint8_t(r.type));
-    put(out, std::uint8_t(r.space));
-    put(out, std::uint16_t(r.key.size()));
-    put(out, std::uint32_t(r.value.size()));
-    put(out, r.expires_ms);
-    out += r.key;
-    out += r.value;
+// ---- frames --------------------------------------------------------------------------------------
+
+void encode_record(const Record& record, std::string& out) {
+    put(out, std::uint8_t(record.type));
+    put(out, std::uint8_t(record.space));
+    put(out, std::uint16_t(record.key.size()));
+    put(out, std::uint32_t(record.value.size()));
+    put(out, record.expires_ms);
+    out += record.key;
+    out += record.value;
 }
 
-std::string encode(const Frame& f, std::uint64_t store, std::uint64_t offset) {
+std::string encode(const Frame& frame, std::uint64_t store, std::uint64_t offset) {
     std::string out;
-    out.reserve(f.size());
+    out.reserve(frame.size());
     put(out, kFrameMagic);
-    put(out, std::uint32_t(f.payload.size()));
-    put(out, f.sequence);
-    put(out, f.durable);
-    put(out, f.count);
+    put(out, std::uint32_t(frame.payload.size()));
+    put(out, frame.sequence);
+    put(out, frame.durable);
+    put(out, frame.count);
     put<std::uint32_t>(out, 0);
-    put(out, checksum(out, seed(store, offset)));
-    put(out, checksum(f.payload, seed(store, offset + 1)));
-    out += f.payload;
+    put(out, checksum(out, frame_seed(store, offset)));
+    put(out, checksum(frame.payload, frame_seed(store, offset + 1)));
+    out += frame.payload;
     return out;
 }
 
-std::optional<Frame> decode_frame_head(std::string_view bytes, std::uint64_t store, std::uint64_t offset) {
-    if (bytes.size() < kFrameHead || get<std::uint32_t>(bytes, 0) != kFrameMagic) return std::nullopt;
-    if (checksum(bytes.substr(0, 32), seed(store, offset)) != get<std::uint64_t>(bytes, 32))
+std::optional<Frame> decode_frame_header(std::string_view bytes, std::uint64_t store, std::uint64_t offset) {
+    if (bytes.size() < kFrameHeaderBytes || get<std::uint32_t>(bytes, 0) != kFrameMagic) return std::nullopt;
+    if (checksum(bytes.substr(0, kFrameChecksumOffset), frame_seed(store, offset)) !=
+        get<std::uint64_t>(bytes, kFrameChecksumOffset))
         return std::nullopt;
-    Frame f;
-    f.sequence = get<std::uint64_t>(bytes, 8);
-    f.durable = get<std::uint64_t>(bytes, 16);
-    f.count = get<std::uint32_t>(bytes, 24);
-    return f;
+    Frame frame;
+    frame.sequence = get<std::uint64_t>(bytes, 8);
+    frame.durable = get<std::uint64_t>(bytes, 16);
+    frame.count = get<std::uint32_t>(bytes, 24);
+    return frame;
 }
 
 std::optional<Frame> decode_frame(std::string_view bytes, std::uint64_t store, std::uint64_t offset) {
-    auto f = decode_frame_head(bytes, store, offset);
-    if (!f) return std::nullopt;
-    std::size_t length = get<std::uint32_t>(bytes, 4);
-    if (length > kPayloadMost || bytes.size() - kFrameHead < length) return std::nullopt;
-    f->payload = bytes.substr(kFrameHead, length);
-    if (checksum(f->payload, seed(store, offset + 1)) != get<std::uint64_t>(bytes, 40)) return std::nullopt;
-    return f;
+    auto frame = decode_frame_header(bytes, store, offset);
+    if (!frame) return std::nullopt;
+    std::size_t length = get<std::uint32_t>(bytes, kFrameLengthOffset);
+    if (length > kMaxPayloadBytes || bytes.size() - kFrameHeaderBytes < length) return std::nullopt;
+    frame->payload = bytes.substr(kFrameHeaderBytes, length);
+    if (checksum(frame->payload, frame_seed(store, offset + 1)) !=
+        get<std::uint64_t>(bytes, kPayloadChecksumOffset))
+        return std::nullopt;
+    return frame;
+}
+
+namespace {
+// Removes a record from the front of `payload`; nothing: it is malformed.
+std::optional<RecordView> decode_record(std::string_view& payload) {
+    if (payload.size() < kRecordHeaderBytes) return std::nullopt;
+    auto type = get<std::uint8_t>(payload, 0);
+    auto space = get<std::uint8_t>(payload, 1);
+    bool type_known = type == std::uint8_t(Record::Type::put) || type == std::uint8_t(Record::Type::remove);
+    if (!type_known || space >= kSpaceCount) return std::nullopt;
+    std::size_t key_bytes = get<std::uint16_t>(payload, 2);
+    std::size_t value_bytes = get<std::uint32_t>(payload, 4);
+    RecordView record;
+    record.type = Record::Type(type);
+    record.space = Space(space);
+    record.expires_ms = get<std::uint64_t>(payload, 8);
+    payload.remove_prefix(kRecordHeaderBytes);
+    if (key_bytes > kMaxKeyBytes || value_bytes > kMaxValueBytes) return std::nullopt;
+    if (payload.size() < key_bytes + value_bytes) return std::nullopt;
+    record.key = payload.substr(0, key_bytes);
+    record.value = payload.substr(key_bytes, value_bytes);
+    payload.remove_prefix(key_bytes + value_bytes);
+    return record;
 }
+}  // namespace
 
 bool decode_records(const Frame& frame, std::vector<RecordView>& out) {
-    std::string_view in = frame.payload;
+    std::string_view payload = frame.payload;
     for (std::uint32_t i = 0; i < frame.count; ++i) {
-        if (in.size() < 16) return false;
-        RecordView r;
-        auto type = get<std::uint8_t>(in, 0), space = get<std::uint8_t>(in, 1);
-        if (type < 1 || type > 2 || space >= kSpaces) return false;
-        r.type = Record::Type(type);
-        r.space = Space(space);
-        std::size_t key = get<std::uint16_t>(in, 2), value = get<std::uint32_t>(in, 4);
-        r.expires_ms = get<std::uint64_t>(in, 8);
-        in.remove_prefix(16);
-        if (key > kKeyMost || value > kValueMost || in.size() < key + value) return false;
-        r.key = in.substr(0, key);
-        r.value = in.substr(key, value);
-        in.remove_prefix(key + value);
-        out.push_back(r);
+        auto record = decode_record(payload);
+        if (!record) return false;
+        out.push_back(*record);
     }
-    return in.empty();
+    return payload.empty();
 }
 
 bool decode_records(const Frame& frame, std::vector<Record>& out) {
     std::vector<RecordView> views;
     if (!decode_records(frame, views)) return false;
-    for (const RecordView& v : views) out.push_back(v.copy());
+    for (const RecordView& view : views) out.push_back(view.copy());
     return true;
 }
 
 // ---- the manifest --------------------------------------------------------------------------------
 
-std::string encode(const Manifest& m) {
+std::string encode(const Manifest& manifest) {
     std::string out(kManifestMagic);
-    put<std::uint32_t>(out, kVersion);
-    put<std::uint32_t>(out, std::uint32_t(m.segments.size()));
-    put(out, m.store);
-    put(out, m.epoch);
-    put(out, m.next);
-    for (const auto& s : m.segments) {
-        put(out, s.number);
-        put<std::uint64_t>(out, s.sealed ? 1 : 0);
-        put(out, s.length);
-        put(out, s.checksum);
+    put<std::uint32_t>(out, kFormatVersion);
+    put<std::uint32_t>(out, std::uint32_t(manifest.segments.size()));
+    put(out, manifest.store);
+    put(out, manifest.epoch);
+    put(out, manifest.next_segment);
+    for (const auto& segment : manifest.segments) {
+        put(out, segment.number);
+        put<std::uint64_t>(out, segment.sealed ? 1 : 0);
+        put(out, segment.length);
+        put(out, segment.checksum);
     }
     put(out, checksum(out));
     return out;
 }
 
-Read decode(std::string_view bytes, Manifest& m, std::size_t& wrong_at) {
-    wrong_at = 0;
-    if (bytes.size() < 48 || bytes.substr(0, 8) != kManifestMagic) return Read::wrong;
-    wrong_at = bytes.size() - 8;
-    if (checksum(bytes.substr(0, bytes.size() - 8)) != get<std::uint64_t>(bytes, bytes.size() - 8))
-        return Read::wrong;
-    if (get<std::uint32_t>(bytes, 8) > kVersion) return Read::newer;
-    std::size_t count = get<std::uint32_t>(bytes, 12);
-    wrong_at = 12;
-    if (bytes.size() != 40 + count * 32 + 8) return Read::wrong;
-    m = {};
-    m.store = get<std::uint64_t>(bytes, 16);
-    m.epoch = get<std::uint64_t>(bytes, 24);
-    m.next = get<std::uint64_t>(bytes, 32);
+DecodeResult decode(std::string_view bytes, Manifest& manifest, std::size_t& damaged_at) {
+    damaged_at = 0;
+    if (bytes.size() < kManifestHeaderBytes + kChecksumBytes ||
+        bytes.substr(0, kMagicBytes) != kManifestMagic)
+        return DecodeResult::damaged;
+    std::size_t checksum_offset = bytes.size() - kChecksumBytes;
+    damaged_at = checksum_offset;
+    if (checksum(bytes.substr(0, checksum_offset)) != get<std::uint64_t>(bytes, checksum_offset))
+        return DecodeResult::damaged;
+    if (get<std::uint32_t>(bytes, kVersionOffset) > kFormatVersion) return DecodeResult::newer_version;
+    std::size_t count = get<std::uint32_t>(bytes, kManifestCountOffset);
+    damaged_at = kManifestCountOffset;
+    if (bytes.size() != kManifestHeaderBytes + count * kManifestSegmentBytes + kChecksumBytes)
+        return DecodeResult::damaged;
+    manifest = {};
+    manifest.store = get<std::uint64_t>(bytes, 16);
+    manifest.epoch = get<std::uint64_t>(bytes, 24);
+    manifest.next_segment = get<std::uint64_t>(bytes, 32);
     for (std::size_t i = 0; i < count; ++i) {
-        std::size_t at = 40 + i * 32;
-        Manifest::Segment s{get<std::uint64_t>(bytes, at), get<std::uint64_t>(bytes, at + 8) == 1,
-                            get<std::uint64_t>(bytes, at + 16), get<std::uint64_t>(bytes, at + 24)};
-        wrong_at = at;
-        if (s.number == 0 || s.number >= m.next ||
-            (!m.segments.empty() && s.number <= m.segments.back().number) || (!s.sealed && i + 1 != count))
-            return Read::wrong;
-        m.segments.push_back(s);
+        std::size_t offset = kManifestHeaderBytes + i * kManifestSegmentBytes;
+        damaged_at = offset;
+        Manifest::Segment segment;
+        segment.number = get<std::uint64_t>(bytes, offset);
+        segment.sealed = get<std::uint64_t>(bytes, offset + 8) == 1;
+        segment.length = get<std::uint64_t>(bytes, offset + 16);
+        segment.checksum = get<std::uint64_t>(bytes, offset + 24);
+        std::uint64_t last = manifest.segments.empty() ? 0 : manifest.segments.back().number;
+        if (segment.number <= last || segment.number >= manifest.next_segment) return DecodeResult::damaged;
+        if (!segment.sealed && i + 1 != count) return DecodeResult::damaged;
+        manifest.segments.push_back(segment);
     }
-    return Read::well;
+    return DecodeResult::ok;
 }
 
+// ---- names and keys ------------------------------------------------------------------------------
+
 std::string segment_name(std::uint64_t number) {
-    static constexpr char digits[] = "0123456789abcdef";
+    static constexpr char kDigits[] = "0123456789abcdef";
     std::string out;
-    for (int shift = 60; shift >= 0; shift -= 4) out += digits[number >> shift & 15];
+    for (int shift = 60; shift >= 0; shift -= 4) out += kDigits[number >> shift & 15];
     return out + ".seg";
 }
 
@@ -229,7 +252,7 @@
     return out;
 }
 
-std::optional<std::uint64_t> read_position_key(std::string_view key) {
+std::optional<std::uint64_t> parse_position_key(std::string_view key) {
     if (key.size() != 8) return std::nullopt;
     std::uint64_t out = 0;
     for (char c : key) out = out << 8 | std::uint8_t(c);
--- a/src/store/log_worker.cpp
+++ b/src/store/log_worker.cpp
@@ -6,146 +6,160 @@
 namespace indigovane::store {
 
 namespace {
-constexpr std::size_t kChunk = 64 * 1024, kGroup = 1 << 20;
-}
+constexpr std::size_t kChunkBytes = std::size_t{64} * 1024;  // read by one step of compaction
+constexpr std::size_t kGroupBytes = std::size_t{1} << 20;    // written and synced together at most
+constexpr std::uint64_t kIdleTickMs = 1000;
+constexpr std::uint64_t kDropRetryMs = 1000;
+constexpr std::uint64_t kCompactionFaultPauseMs = 10'000;
+constexpr std::uint64_t kMillisecondsPerSecond = 1000;
+// Frames' headers do not count as live bytes: this allows for them.
+constexpr double kFrameHeaderAllowance = 1.2;
+constexpr double kSpareSegments = 2;
+// Beyond this the bound on I/O gives way to the bound on space: more is read than is written.
+constexpr double kUrgentAllowance = 1.5;
+constexpr double kUrgentSpareSegments = 3;
+constexpr std::uint64_t kUrgentReadPerWrite = 3;
+}  // namespace
 
-IoStatus LogWorker::begin(const Recovered& recovered, std::uint64_t new_store_number) {
+IoStatus LogWorker::begin(const RecoveryResult& recovered, std::uint64_t new_store_number) {
     if (!recovered.salvaged) return writer_.begin(recovered, new_store_number);
-    failing_ = able_told_ = true;  // until its owner's generation has come
-    return writer_.adopt(recovered, new_store_number);
+    // Until the owner's generation has come.
+    failing_ = true;
+    retry_reported_ = true;
+    return writer_.begin_salvaged(recovered, new_store_number);
 }
 
 void LogWorker::give_up(const IoStatus& status, std::uint64_t now_ms, std::vector<StoreEvent>& events) {
     failing_ = true;
-    able_told_ = chunk_out_ = false;
-    retry_after_ = std::min(options_.retry_most_ms, std::max(options_.retry_ms, retry_after_ * 2));
-    retry_at_ = now_ms + retry_after_;
-    StoreEvent n;
-    n.kind = StoreEvent::Kind::failing;
-    n.text = status.text();
-    events.push_back(std::move(n));
+    retry_reported_ = false;
+    last_chunk_pending_ = false;
+    retry_after_ms_ = std::min(options_.max_retry_ms, std::max(options_.retry_ms, retry_after_ms_ * 2));
+    retry_at_ms_ = now_ms + retry_after_ms_;
+    events.push_back(WritesFailing{status.text()});
+}
+
+// While the disk fails: the beginning of the generation that was asked for, and the end.
+bool LogWorker::accepts(const WriteRequest& request) const {
+    if (!failing_ || std::holds_alternative<CloseLog>(request)) return true;
+    return std::holds_alternative<GenerationBegin>(request) && retry_reported_;
 }
 
-void LogWorker::carry(std::vector<WriteRequest>&& orders, std::uint64_t live, std::uint64_t now_ms,
-                      std::vector<StoreEvent>& events) {
-    std::vector<Batch> group;
-    std::uint64_t ticket = 0, bytes = 0, all = 0;
-    auto flush = [&] {
-        if (failing_ || group.empty()) {
-            group.clear();
-            return;
-        }
-        IoStatus s =
-            writer_.bytes() > options_.budget ? IoStatus{ENOSPC, "the store's budget"} : writer_.write(group);
-        group.clear();
-        bytes = 0;
-        if (!s.ok()) return give_up(s, now_ms, events);
-        // Before a generation is switched over to, nothing of it counts as on disk.
-        if (writer_.pending()) return;
-        StoreEvent n;
-        n.ticket = ticket;
-        n.bytes = writer_.bytes();
-        events.push_back(std::move(n));
-    };
-    for (WriteRequest& o : orders) {
-        if (failing_ && !(o.kind == WriteRequest::Kind::generation && able_told_) &&
-            o.kind != WriteRequest::Kind::close)
-            continue;
-        switch (o.kind) {
-            case WriteRequest::Kind::batch:
-                for (const Record& r : o.batch.records) bytes += cost(r.key.size(), r.value.size());
-                all += bytes;
-                next_sequence_ = o.batch.sequence + o.batch.records.size();
-                group.push_back(std::move(o.batch));
-                ticket = o.ticket;
-                if (bytes >= kGroup) flush();
-                break;
-            case WriteRequest::Kind::compacted: {
-                flush();
-                chunk_out_ = false;
-                if (failing_) break;
-                if (IoStatus s = writer_.drop_oldest(); !s.ok()) {
-                    if (writer_.broken()) give_up(s, now_ms, events);
-                    compact_at_ = now_ms + 1000;
-                }
-                break;
-            }
-            case WriteRequest::Kind::generation: {
-                flush();
-                able_told_ = false;
-                failing_ = false;
-                chunk_out_ = false;
-                if (IoStatus s = writer_.restart(o.batch.sequence); !s.ok()) give_up(s, now_ms, events);
-                break;
-            }
-            case WriteRequest::Kind::complete: {
-                flush();
-                if (failing_) break;
-                if (IoStatus s = writer_.switch_over(); !s.ok()) {
-                    give_up(s, now_ms, events);
-                    break;
-                }
-                retry_after_ = 0;
-                StoreEvent n;
-                n.ticket = o.ticket;
-                n.bytes = writer_.bytes();
-                events.push_back(std::move(n));
-                break;
-            }
-            case WriteRequest::Kind::close:
-                flush();
-                closed_ = true;
-                break;
-        }
+void LogWorker::process(std::vector<WriteRequest>&& requests, std::uint64_t live_bytes, std::uint64_t now_ms,
+                        std::vector<StoreEvent>& events) {
+    Group group;
+    for (WriteRequest& request : requests) {
+        if (!accepts(request)) continue;
+        std::visit(Overloaded{
+                       [&](WriteBatch& batch) { add(group, std::move(batch), now_ms, events); },
+                       [&](const OldestSegmentCopied&) {
+                           flush(group, now_ms, events);
+                           drop_oldest_segment(now_ms, events);
+                       },
+                       [&](const GenerationBegin& begin) {
+                           flush(group, now_ms, events);
+                           begin_generation(begin.first_sequence, now_ms, events);
+                       },
+                       [&](const GenerationEnd& end) {
+                           flush(group, now_ms, events);
+                           end_generation(end.ticket, now_ms, events);
+                       },
+                       [&](const CloseLog&) {
+                           flush(group, now_ms, events);
+                           closed_ = true;
+                       },
+                   },
+                   request);
     }
-    flush();
-    compact(live, now_ms, all, events);
+    flush(group, now_ms, events);
+    compact(live_bytes, now_ms, group.total_bytes, events);
+}
+
+void LogWorker::add(Group& group, WriteBatch&& request, std::uint64_t now_ms,
+                    std::vector<StoreEvent>& events) {
+    for (const Record& record : request.batch.records)
+        group.bytes += record_bytes(record.key.size(), record.value.size());
+    group.total_bytes += group.bytes;
+    group.ticket = request.ticket;
+    group.batches.push_back(std::move(request.batch));
+    if (group.bytes >= kGroupBytes) flush(group, now_ms, events);
+}
+
+void LogWorker::flush(Group& group, std::uint64_t now_ms, std::vector<StoreEvent>& events) {
+    std::vector<Batch> batches = std::exchange(group.batches, {});
+    if (failing_ || batches.empty()) return;
+    group.bytes = 0;
+    bool too_long = writer_.bytes() > options_.max_log_bytes;
+    IoStatus status = too_long ? IoStatus{ENOSPC, "the store's budget"} : writer_.write(batches);
+    if (!status.ok()) return give_up(status, now_ms, events);
+    // Before a generation has ended nothing of it counts as on disk.
+    if (writer_.generation_open()) return;
+    events.push_back(RecordsDurable{group.ticket, writer_.bytes()});
+}
+
+void LogWorker::drop_oldest_segment(std::uint64_t now_ms, std::vector<StoreEvent>& events) {
+    last_chunk_pending_ = false;
+    if (failing_) return;
+    IoStatus status = writer_.drop_oldest();
+    if (status.ok()) return;
+    if (writer_.failed()) give_up(status, now_ms, events);
+    compact_at_ms_ = now_ms + kDropRetryMs;
+}
+
+void LogWorker::begin_generation(std::uint64_t first_sequence, std::uint64_t now_ms,
+                                 std::vector<StoreEvent>& events) {
+    retry_reported_ = false;
+    failing_ = false;
+    last_chunk_pending_ = false;
+    IoStatus status = writer_.begin_generation(first_sequence);
+    if (!status.ok()) give_up(status, now_ms, events);
+}
+
+void LogWorker::end_generation(std::uint64_t ticket, std::uint64_t now_ms, std::vector<StoreEvent>& events) {
+    if (failing_) return;
+    IoStatus status = writer_.end_generation();
+    if (!status.ok()) return give_up(status, now_ms, events);
+    retry_after_ms_ = 0;
+    events.push_back(RecordsDurable{ticket, writer_.bytes()});
 }
 
-void LogWorker::compact(std::uint64_t live, std::uint64_t now_ms, std::uint64_t written,
+void LogWorker::compact(std::uint64_t live_bytes, std::uint64_t now_ms, std::uint64_t written_bytes,
                         std::vector<StoreEvent>& events) {
-    if (failing_ || chunk_out_ || closed_) return;
-    // The bound on I/O gives way to the bound on space: then as much is read as is written, and more.
-    bool hurry = double(writer_.bytes()) >
-                 options_.amplification * 1.5 * double(live) + 3.0 * double(options_.writer.segment);
-    if (now_ms < compact_at_ && !hurry) return;
-    // Frames' heads are not counted as live: a fifth more allows for them.
-    if (double(writer_.bytes()) <=
-        options_.amplification * 1.2 * double(live) + 2.0 * double(options_.writer.segment))
+    if (failing_ || last_chunk_pending_ || closed_) return;
+    auto log_bytes = double(writer_.bytes());
+    auto segment_bytes = double(options_.writer.segment_bytes);
+    bool urgent = log_bytes > options_.max_amplification * kUrgentAllowance * double(live_bytes) +
+                                  kUrgentSpareSegments * segment_bytes;
+    if (now_ms < compact_at_ms_ && !urgent) return;
+    if (log_bytes <= options_.max_amplification * kFrameHeaderAllowance * double(live_bytes) +
+                         kSpareSegments * segment_bytes)
         return;
+    std::uint64_t bytes = kChunkBytes;
+    if (urgent) bytes = std::max(bytes, kUrgentReadPerWrite * written_bytes);
     IoStatus status;
-    auto chunk = writer_.read_oldest(
-        std::size_t(hurry ? std::max<std::uint64_t>(kChunk, 3 * written) : kChunk), status);
+    auto chunk = writer_.read_oldest(std::size_t(bytes), status);
     if (!status.ok()) {
-        StoreEvent n;
-        n.kind = StoreEvent::Kind::trouble;
-        n.text = "compaction: " + status.text();
-        events.push_back(std::move(n));
-        compact_at_ = now_ms + 10000;
+        events.push_back(LogFault{"compaction: " + status.text()});
+        compact_at_ms_ = now_ms + kCompactionFaultPauseMs;
         return;
     }
     if (!chunk) return;
-    compact_at_ = now_ms + kChunk * 1000 / options_.compact_per_second;
-    chunk_out_ = chunk->last;  // the next segment only once this one is gone
-    StoreEvent n;
-    n.kind = StoreEvent::Kind::chunk;
-    n.chunk = std::move(*chunk);
-    events.push_back(std::move(n));
+    compact_at_ms_ = now_ms + kChunkBytes * kMillisecondsPerSecond / options_.compact_bytes_per_second;
+    last_chunk_pending_ = chunk->last;  // the next segment only once this one is gone
+    events.push_back(CompactionRead{std::move(*chunk)});
 }
 
-std::uint64_t LogWorker::tick(std::uint64_t live, std::uint64_t now_ms, std::vector<StoreEvent>& events) {
-    if (closed_) return 1000;
-    if (failing_) {
-        if (able_told_) return 1000;
-        if (now_ms < retry_at_) return retry_at_ - now_ms;
-        able_told_ = true;
-        StoreEvent n;
-        n.kind = StoreEvent::Kind::able;
-        events.push_back(std::move(n));
-        return 1000;
+std::uint64_t LogWorker::tick(std::uint64_t live_bytes, std::uint64_t now_ms,
+                              std::vector<StoreEvent>& events) {
+    if (closed_) return kIdleTickMs;
+    if (!failing_) {
+        compact(live_bytes, now_ms, 0, events);
+        return now_ms < compact_at_ms_ ? compact_at_ms_ - now_ms : kIdleTickMs;
     }
-    compact(live, now_ms, 0, events);
-    return now_ms < compact_at_ ? std::max<std::uint64_t>(1, compact_at_ - now_ms) : 1000;
+    if (retry_reported_) return kIdleTickMs;
+    if (now_ms < retry_at_ms_) return retry_at_ms_ - now_ms;
+    retry_reported_ = true;
+    events.push_back(WritesRetryable{});
+    return kIdleTickMs;
 }
 
 }  // namespace indigovane::store
--- a/src/store/positions.cpp
+++ b/src/store/positions.cpp
@@ -4,108 +4,147 @@
 
 namespace indigovane::store {
 
-Positions::Start Positions::start(bool recovered, bool salvaged, Witness witness, const std::string& boot,
-                                  std::uint64_t now) {
-    Found found;
-    found.store = recovered;
-    found.salvaged = salvaged;
-    found.witness = witness;
-    found.clean = store_.get(Space::system, "closed").has_value();
-    found.same_boot = !boot.empty() && store_.get(Space::system, "boot") == boot;
-    found.lease_us = decode_u64(store_.get(Space::system, "lease").value_or("")).value_or(0);
-    found.floor_us = decode_u64(store_.get(Space::system, "floor").value_or("")).value_or(0);
-    Start out;
+namespace {
+// Keys of Space::system.
+constexpr const char* kClosedKey = "closed";
+constexpr const char* kBootKey = "boot";
+constexpr const char* kLeaseKey = "lease";
+constexpr const char* kFloorKey = "floor";
+constexpr std::uint64_t kMicrosecondsPerMillisecond = 1000;
+}  // namespace
+
+PreviousRun Positions::previous_run(bool recovered, bool salvaged, CrashMarker marker,
+                                    const std::string& boot) const {
+    auto number = [&](const char* key) {
+        return decode_u64(store_.get(Space::system, key).value_or("")).value_or(0);
+    };
+    PreviousRun previous;
+    previous.recovered = recovered;
+    previous.salvaged = salvaged;
+    previous.marker = marker;
+    previous.closed = store_.get(Space::system, kClosedKey).has_value();
+    previous.same_boot = !boot.empty() && store_.get(Space::system, kBootKey) == boot;
+    previous.lease_us = number(kLeaseKey);
+    previous.floor_us = number(kFloorKey);
+    store_.sessions().each([&](const Store::Position& position) {
+        previous.latest_commit_us = std::max(previous.latest_commit_us, commit_us(position.value));
+    });
+    return previous;
+}
+
+Positions::Start Positions::start(bool recovered, bool salvaged, CrashMarker marker, const std::string& boot,
+                                  std::uint64_t now_us) {
+    PreviousRun previous = previous_run(recovered, salvaged, marker, boot);
+    Start start;
+    start.floor = decide_floor(previous, now_us, options_.slack_us, options_.retention_us);
+    // A clean end leaves no open write; a session that has one all the same was cut off.
     std::vector<std::uint64_t> open;
-    store_.sessions().each([&](const Store::Position& p) {
-        std::uint64_t commit = Positions::commit(p.value);
-        found.latest_us = std::max(found.latest_us, commit);
-        out.commits.emplace_back(p.key, commit);
-        if (Positions::open(p.value)) open.push_back(p.key);
+    store_.sessions().each([&](const Store::Position& position) {
+        std::uint64_t commit = commit_us(position.value);
+        if (has_open_write(position.value)) {
+            open.push_back(position.key);
+            commit = std::max(commit, start.floor.open_write_us);
+        }
+        start.commits.emplace_back(position.key, commit);
     });
-    out.floor = decide(found, now, options_.slack_us, options_.retention_us);
-    // A clean end leaves none in hand; one that has some all the same was in hand when it was cut off.
+    start.open_writes = open.size();
+    std::erase_if(start.commits, [&](const auto& item) { return item.second <= start.floor.floor_us; });
+    std::sort(start.commits.begin(), start.commits.end(),
+              [](const auto& a, const auto& b) { return a.second < b.second; });
+    // From here on the store speaks of this process. The last one's open writes count as commits at the
+    // present.
     std::sort(open.begin(), open.end());
-    for (auto& [session, commit] : out.commits)
-        if (std::binary_search(open.begin(), open.end(), session)) {
-            commit = std::max(commit, out.floor.open_us);
-            ++out.open;
-        }
-    std::erase_if(out.commits, [&](const auto& c) { return c.second <= out.floor.floor_us; });
-    std::sort(out.commits.begin(), out.commits.end(), [](auto& a, auto& b) { return a.second < b.second; });
-    // From here on the store speaks of this process. What the last one left in hand is settled: as a commit
-    // at the present.
-    for (std::uint64_t session : open) keep(session, out.floor.open_us, false, now);
-    std::vector<Record> records;
-    records.push_back({Record::Type::remove, Space::system, "closed", "", 0});
-    records.push_back({Record::Type::put, Space::system, "boot", boot, 0});
+    for (std::uint64_t session : open) put_position(session, start.floor.open_write_us, false, now_us);
     // If this process ends before its first lease is written, the next start must know no less than this one.
-    std::uint64_t lease = std::max({now, found.lease_us, found.latest_us}) + options_.lease_us;
-    records.push_back({Record::Type::put, Space::system, "lease", encode_u64(lease), 0});
-    records.push_back({Record::Type::put, Space::system, "floor", encode_u64(out.floor.floor_us), 0});
-    // Only when that is on disk is the last process's witness done with.
-    witness_ = witness;
-    started_ = store_.write(std::move(records), Durability::strict);
-    asked_.emplace_back(started_, lease);
-    lease_.due(now);
-    return out;
+    std::uint64_t lease_until_us =
+        std::max({now_us, previous.lease_us, previous.latest_commit_us}) + options_.lease_us;
+    std::vector<Record> records;
+    records.push_back({Record::Type::remove, Space::system, kClosedKey, "", 0});
+    records.push_back({Record::Type::put, Space::system, kBootKey, boot, 0});
+    records.push_back({Record::Type::put, Space::system, kLeaseKey, encode_u64(lease_until_us), 0});
+    records.push_back({Record::Type::put, Space::system, kFloorKey, encode_u64(start.floor.floor_us), 0});
+    // Only when that is on disk may the last process's marker be lowered.
+    marker_ = marker;
+    start_ticket_ = store_.write(std::move(records), Durability::strict);
+    requested_leases_.push_back({start_ticket_, lease_until_us});
+    lease_.renew(now_us);
+    return start;
 }
 
-void Positions::keep(std::uint64_t session, std::uint64_t commit, bool open, std::uint64_t now) {
-    store_.put_position(session, value(commit, open), (now + options_.retention_us) / 1000);
+void Positions::put_position(std::uint64_t session, std::uint64_t commit_us, bool open_write,
+                             std::uint64_t now_us) {
+    store_.put_position(session, encode(commit_us, open_write),
+                        (now_us + options_.retention_us) / kMicrosecondsPerMillisecond);
 }
 
-void Positions::begun(std::uint64_t session, std::uint64_t now) {
-    InHand& hand = in_hand_[session];
-    if (hand.count++ > 0) return;
-    auto old = store_.position(session);
-    keep(session, old ? commit(*old) : 0, true, now);
-    hand.ticket = store_.ticket();
+std::uint64_t Positions::last_commit_us(std::uint64_t session) const {
+    auto value = store_.position(session);
+    return value ? commit_us(*value) : 0;
 }
 
-bool Positions::committed(std::uint64_t session, std::uint64_t commit_us, std::uint64_t now) {
-    auto hand = in_hand_.find(session);
-    bool known = hand != in_hand_.end() && hand->second.ticket <= store_.written() && !store_.failing();
-    auto old = store_.position(session);
-    keep(session, std::max(commit_us, old ? commit(*old) : 0), hand != in_hand_.end(), now);
-    if (known) return true;
-    Witness needed = lease_.covers(commit_us + options_.slack_us) ? Witness::uncovered : Witness::lapsed;
-    since_start_ = std::max(since_start_, needed);
-    uncovered_ = store_.ticket();
-    if (needed > witness_ && keep_witness_(needed)) witness_ = needed;
+void Positions::write_started(std::uint64_t session, std::uint64_t now_us) {
+    OpenWrites& open = open_writes_[session];
+    ++open.count;
+    if (open.count > 1) return;
+    put_position(session, last_commit_us(session), true, now_us);
+    open.ticket = store_.ticket();
+}
+
+bool Positions::write_committed(std::uint64_t session, std::uint64_t commit_us, std::uint64_t now_us) {
+    auto open = open_writes_.find(session);
+    bool is_open = open != open_writes_.end();
+    bool noted = is_open && open->second.ticket <= store_.durable() && !store_.failing();
+    put_position(session, std::max(commit_us, last_commit_us(session)), is_open, now_us);
+    if (noted) return true;
+    CrashMarker needed =
+        lease_.covers(commit_us + options_.slack_us) ? CrashMarker::within_lease : CrashMarker::beyond_lease;
+    needed_marker_ = std::max(needed_marker_, needed);
+    uncovered_ticket_ = store_.ticket();
+    if (needed > marker_ && write_marker_(needed)) marker_ = needed;
     return false;
 }
 
-void Positions::ended(std::uint64_t session, std::uint64_t now) {
-    auto hand = in_hand_.find(session);
-    if (hand == in_hand_.end() || --hand->second.count > 0) return;
-    in_hand_.erase(hand);
-    if (auto old = store_.position(session)) keep(session, commit(*old), false, now);
+void Positions::write_ended(std::uint64_t session, std::uint64_t now_us) {
+    auto open = open_writes_.find(session);
+    if (open == open_writes_.end()) return;
+    --open->second.count;
+    if (open->second.count > 0) return;
+    open_writes_.erase(open);
+    if (store_.position(session)) put_position(session, last_commit_us(session), false, now_us);
 }
 
-void Positions::tick(std::uint64_t now) {
-    if (started_ != 0 && started_ <= store_.durable()) {
-        started_ = 0;
-    }
+void Positions::tick(std::uint64_t now_us) {
+    lower_marker();
+    renew_lease(now_us);
+}
+
+void Positions::lower_marker() {
+    if (start_ticket_ <= store_.durable()) start_ticket_ = 0;
     // What was uncovered is on disk by now, and with it all before.
-    if (uncovered_ <= store_.durable() && !store_.failing()) since_start_ = Witness::none;
-    if (started_ == 0 && since_start_ < witness_ && keep_witness_(since_start_)) witness_ = since_start_;
-    while (!asked_.empty() && asked_.front().first <= store_.durable()) {
-        lease_.written(asked_.front().second);
-        asked_.erase(asked_.begin());
+    if (uncovered_ticket_ <= store_.durable() && !store_.failing()) needed_marker_ = CrashMarker::none;
+    if (start_ticket_ == 0 && needed_marker_ < marker_ && write_marker_(needed_marker_))
+        marker_ = needed_marker_;
+}
+
+void Positions::renew_lease(std::uint64_t now_us) {
+    while (!requested_leases_.empty() && requested_leases_.front().ticket <= store_.durable()) {
+        lease_.on_durable(requested_leases_.front().until_us);
+        requested_leases_.erase(requested_leases_.begin());
     }
     if (store_.failing()) {
-        asked_.clear();
-        lease_.refused();
+        requested_leases_.clear();
+        lease_.on_write_failed();
         return;
     }
-    if (auto until = lease_.due(now))
-        asked_.emplace_back(store_.put(Space::system, "lease", encode_u64(*until), Durability::strict),
-                            *until);
+    auto until_us = lease_.renew(now_us);
+    if (!until_us) return;
+    std::uint64_t ticket = store_.put(Space::system, kLeaseKey, encode_u64(*until_us), Durability::strict);
+    requested_leases_.push_back({ticket, *until_us});
 }
 
-void Positions::closed() {
+void Positions::mark_closed() {
     if (store_.failing()) return;
-    store_.put(Space::system, "closed", "1", Durability::strict);
+    store_.put(Space::system, kClosedKey, "1", Durability::strict);
 }
 
 }  // namespace indigovane::store
--- a/src/store/positions.hpp
+++ b/src/store/positions.hpp
@@ -1,14 +1,18 @@
-// What sessions have written, kept so that it lasts: the users' side of floor.hpp. No I/O, no clock.
+// What sessions have written, so that it outlasts a crash. No I/O, no clock; used by the owner's thread.
+// Times are microseconds of the Unix clock.
 //
-// Before a write leaves for a host, its session is noted as having one in hand. Mostly that is on disk long
-// before the commit is acknowledged; if it is not even written then, the witness is raised first.
+// Before a write leaves for a host, its session is noted as having an open write. Mostly that note is on disk
+// long before the commit is acknowledged; if it is not, the crash marker is raised first.
 #pragma once
 
 #include <functional>
+#include <string>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
-#include "store/floor.hpp"
+#include "store/commit_lease.hpp"
+#include "store/position_floor.hpp"
 #include "store/store.hpp"
 
 namespace indigovane::store {
@@ -16,57 +20,75 @@
 class Positions {
   public:
     struct Options {
-        std::uint64_t retention_us = 600'000'000, slack_us = 100'000, lease_us = 500'000;
+        std::uint64_t retention_us = 600'000'000;
+        std::uint64_t slack_us = 100'000;  // what a host's clock may be ahead of ours
+        std::uint64_t lease_us = 500'000;
     };
-    // `keep`: writes the witness down in place of what it was, at once; false where it can't be.
-    Positions(Store& store, Options options, std::function<bool(Witness)> keep)
-        : store_(store), options_(options), keep_witness_(std::move(keep)), lease_(options.lease_us) {}
+    // `write_marker`: replaces the marker, at once; false where that fails.
+    Positions(Store& store, Options options, std::function<bool(CrashMarker)> write_marker)
+        : store_(store),
+          options_(options),
+          write_marker_(std::move(write_marker)),
+          lease_(options.lease_us) {}
 
     struct Start {
-        Floor floor;
-        std::vector<std::pair<std::uint64_t, std::uint64_t>>
-            commits;           // session, position that its reads must see; oldest first
-        std::size_t open = 0;  // of them with a write in hand at the end
+        PositionFloor floor;
+        // Session and the commit that its reads must see; the oldest commit first.
+        std::vector<std::pair<std::uint64_t, std::uint64_t>> commits;
+        std::size_t open_writes = 0;  // sessions with an open write at the end of the last process
     };
-    // After recovery, before anything is served. `boot`: a name of the machine's run.
-    Start start(bool recovered, bool salvaged, Witness witness, const std::string& boot,
+    // Once, after recovery and before anything is served. `boot`: a name of the machine's run.
+    Start start(bool recovered, bool salvaged, CrashMarker marker, const std::string& boot,
                 std::uint64_t now_us);
 
-    void begun(std::uint64_t session, std::uint64_t now_us);
-    // Before the client is told. What it returns holds for this commit: whether a crash right after is
-    // covered by the store alone.
-    bool committed(std::uint64_t session, std::uint64_t commit_us, std::uint64_t now_us);
-    void ended(std::uint64_t session, std::uint64_t now_us);  // of each that has begun, committed or not
-    void tick(std::uint64_t now_us);                          // often: twice a lease at least
-    void closed();                                            // all is answered: the last records
+    // Each write is started and ended once; it may be committed in between.
+    void write_started(std::uint64_t session, std::uint64_t now_us);
+    // Before the client is told. Whether the records on disk alone cover this commit, should a crash follow.
+    bool write_committed(std::uint64_t session, std::uint64_t commit_us, std::uint64_t now_us);
+    void write_ended(std::uint64_t session, std::uint64_t now_us);
+    // At least twice per lease length.
+    void tick(std::uint64_t now_us);
+    // All writes have ended: the last record.
+    void mark_closed();
 
-    // Another process of this pooler may have raised it: it is lowered here once all that is known is on
+    // Another process of this pooler has raised the marker: it is lowered here once all that is known is on
     // disk.
-    void also(Witness raised) { witness_ = witness_ > raised ? witness_ : raised; }
-    Witness witness() const { return witness_; }
-    const Lease& lease() const { return lease_; }
+    void raise_marker(CrashMarker raised) { marker_ = std::max(marker_, raised); }
+    CrashMarker marker() const { return marker_; }
 
-    // As it is stored: the commit in microseconds, and whether a write is in hand.
-    static std::uint64_t value(std::uint64_t commit_us, bool open) { return commit_us << 1 | (open ? 1 : 0); }
-    static std::uint64_t commit(std::uint64_t value) { return value >> 1; }
-    static bool open(std::uint64_t value) { return value & 1; }
+    // A position's value as it is stored.
+    static std::uint64_t encode(std::uint64_t commit_us, bool open_write) {
+        return commit_us << 1 | (open_write ? 1 : 0);
+    }
+    static std::uint64_t commit_us(std::uint64_t value) { return value >> 1; }
+    static bool has_open_write(std::uint64_t value) { return value & 1; }
 
   private:
-    struct InHand {
+    struct OpenWrites {
         unsigned count = 0;
-        std::uint64_t ticket = 0;  // of the record that says so
+        std::uint64_t ticket = 0;  // of the record that notes them
     };
-    void keep(std::uint64_t session, std::uint64_t commit_us, bool open, std::uint64_t now_us);
+    struct RequestedLease {
+        std::uint64_t ticket = 0;
+        std::uint64_t until_us = 0;
+    };
+    PreviousRun previous_run(bool recovered, bool salvaged, CrashMarker marker,
+                             const std::string& boot) const;
+    void put_position(std::uint64_t session, std::uint64_t commit_us, bool open_write, std::uint64_t now_us);
+    std::uint64_t last_commit_us(std::uint64_t session) const;
+    void lower_marker();
+    void renew_lease(std::uint64_t now_us);
 
     Store& store_;
     Options options_;
-    std::function<bool(Witness)> keep_witness_;
-    Lease lease_;
-    std::unordered_map<std::uint64_t, InHand> in_hand_;
-    std::vector<std::pair<std::uint64_t, std::uint64_t>> asked_;  // leases: ticket, until
-    Witness witness_ = Witness::none, since_start_ = Witness::none;
-    std::uint64_t uncovered_ = 0;  // ticket of the last commit that was acknowledged uncovered
-    std::uint64_t started_ = 0;    // ticket of what a start wrote; 0: it is on disk
+    std::function<bool(CrashMarker)> write_marker_;
+    CommitLease lease_;
+    std::unordered_map<std::uint64_t, OpenWrites> open_writes_;  // by session
+    std::vector<RequestedLease> requested_leases_;               // not on disk yet, the oldest first
+    CrashMarker marker_ = CrashMarker::none;                     // as it is written
+    CrashMarker needed_marker_ = CrashMarker::none;              // by what this process acknowledged
+    std::uint64_t uncovered_ticket_ = 0;  // of the last commit that was acknowledged uncovered
+    std::uint64_t start_ticket_ = 0;      // of what start() wrote; 0: it is on disk
 };
 
 }  // namespace indigovane::store
--- a/src/store/posix_environment.cpp
+++ b/src/store/posix_environment.cpp
@@ -3,168 +3,179 @@
 #include <sys/file.h>
 #include <sys/stat.h>
 #include <sys/vfs.h>
-#include <unistd.h>
 
 #include <cerrno>
-#include <cstring>
 #include <utility>
 
 #include "store/environment.hpp"
+#include "store/file_descriptor.hpp"
 
 namespace indigovane::store {
 
 namespace {
 
-IoStatus failed(const char* call, const std::string& name) {
+constexpr mode_t kFolderMode = 0700;
+constexpr mode_t kFileMode = 0600;
+constexpr const char* kLockFile = "LOCK";
+// statfs(2), f_type.
+constexpr std::uint64_t kTmpfsMagic = 0x01021994;
+constexpr std::uint64_t kRamfsMagic = 0x858458f6;
+
+// Of the call that has just failed.
+IoStatus failure(const char* call, const std::string& name) {
     return {errno, std::string(call) + " " + name};
 }
 
 class PosixFile : public File {
   public:
-    PosixFile(int fd, std::string name, std::uint64_t size) : fd_(fd), name_(std::move(name)), size_(size) {}
-    ~PosixFile() override { ::close(fd_); }
+    PosixFile(FileDescriptor descriptor, std::string name, std::uint64_t size)
+        : descriptor_(std::move(descriptor)), name_(std::move(name)), size_(size) {}
+
     IoStatus append(std::string_view bytes) override {
         while (!bytes.empty()) {
-            ssize_t n = ::write(fd_, bytes.data(), bytes.size());
-            if (n < 0 && errno == EINTR) continue;
-            if (n < 0) return failed("write", name_);
-            size_ += std::uint64_t(n);
-            bytes.remove_prefix(std::size_t(n));
+            ssize_t written = ::write(descriptor_.get(), bytes.data(), bytes.size());
+            if (written < 0 && errno == EINTR) continue;
+            if (written < 0) return failure("write", name_);
+            size_ += std::uint64_t(written);
+            bytes.remove_prefix(std::size_t(written));
         }
         return {};
     }
-    IoStatus sync() override { return ::fdatasync(fd_) < 0 ? failed("sync", name_) : IoStatus{}; }
-    IoStatus read(std::uint64_t at, std::size_t length, std::string& out) override {
+    IoStatus sync() override {
+        return ::fdatasync(descriptor_.get()) < 0 ? failure("sync", name_) : IoStatus{};
+    }
+    IoStatus read(std::uint64_t offset, std::size_t length, std::string& out) override {
         out.resize(length);
-        std::size_t got = 0;
-        while (got < length) {
-            ssize_t n = ::pread(fd_, out.data() + got, length - got, off_t(at + got));
-            if (n < 0 && errno == EINTR) continue;
-            if (n < 0) return failed("read", name_);
-            if (n == 0) break;
-            got += std::size_t(n);
+        std::size_t filled = 0;
+        while (filled < length) {
+            ssize_t count =
+                ::pread(descriptor_.get(), out.data() + filled, length - filled, off_t(offset + filled));
+            if (count < 0 && errno == EINTR) continue;
+            if (count < 0) return failure("read", name_);
+            if (count == 0) break;
+            filled += std::size_t(count);
         }
-        out.resize(got);
+        out.resize(filled);
         return {};
     }
     std::uint64_t size() const override { return size_; }
 
   private:
-    int fd_;
+    FileDescriptor descriptor_;
     std::string name_;
     std::uint64_t size_;
 };
 
-class PosixLock : public Lock {
+class PosixFolderLock : public FolderLock {
   public:
-    explicit PosixLock(int fd) : fd_(fd) {}
-    ~PosixLock() override { ::close(fd_); }
+    explicit PosixFolderLock(FileDescriptor descriptor) : descriptor_(std::move(descriptor)) {}
 
   private:
-    int fd_;
+    FileDescriptor descriptor_;  // the lock ends with it
+};
+
+struct CloseFolder {
+    void operator()(DIR* folder) const { ::closedir(folder); }
 };
 
 class PosixEnvironment : public Environment {
   public:
-    explicit PosixEnvironment(int folder) : folder_(folder) {}
-    ~PosixEnvironment() override { ::close(folder_); }
+    explicit PosixEnvironment(FileDescriptor folder) : folder_(std::move(folder)) {}
 
-    IoStatus create(const std::string& name, std::unique_ptr<File>& out) override {
-        int fd = ::openat(folder_, name.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC | O_NOFOLLOW, 0600);
-        if (fd < 0) return failed("create", name);
-        out = std::make_unique<PosixFile>(fd, name, 0);
+    IoStatus create(const std::string& name, std::unique_ptr<File>& file) override {
+        FileDescriptor descriptor = open_at(name, O_WRONLY | O_CREAT | O_TRUNC);
+        if (!descriptor.valid()) return failure("create", name);
+        file = std::make_unique<PosixFile>(std::move(descriptor), name, 0);
         return {};
     }
-    IoStatus open(const std::string& name, std::unique_ptr<File>& out) override {
-        int fd = ::openat(folder_, name.c_str(), O_RDONLY | O_CLOEXEC | O_NOFOLLOW | O_NONBLOCK);
-        if (fd < 0) return failed("open", name);
-        struct stat s {};
-        if (::fstat(fd, &s) < 0 || !S_ISREG(s.st_mode)) {
-            ::close(fd);
+    IoStatus open(const std::string& name, std::unique_ptr<File>& file) override {
+        FileDescriptor descriptor = open_at(name, O_RDONLY | O_NONBLOCK);
+        if (!descriptor.valid()) return failure("open", name);
+        struct stat status {};
+        if (::fstat(descriptor.get(), &status) < 0 || !S_ISREG(status.st_mode))
             return {EINVAL, "open " + name + " (no plain file)"};
-        }
-        out = std::make_unique<PosixFile>(fd, name, std::uint64_t(s.st_size));
+        file = std::make_unique<PosixFile>(std::move(descriptor), name, std::uint64_t(status.st_size));
         return {};
     }
     IoStatus rename(const std::string& from, const std::string& to) override {
-        return ::renameat(folder_, from.c_str(), folder_, to.c_str()) < 0 ? failed("rename", from)
-                                                                          : IoStatus{};
+        int result = ::renameat(folder_.get(), from.c_str(), folder_.get(), to.c_str());
+        return result < 0 ? failure("rename", from) : IoStatus{};
     }
     IoStatus remove(const std::string& name) override {
-        return ::unlinkat(folder_, name.c_str(), 0) < 0 ? failed("remove", name) : IoStatus{};
+        return ::unlinkat(folder_.get(), name.c_str(), 0) < 0 ? failure("remove", name) : IoStatus{};
     }
     IoStatus sync_folder() override {
-        return ::fsync(folder_) < 0 ? failed("sync", "the folder") : IoStatus{};
+        return ::fsync(folder_.get()) < 0 ? failure("sync", "the folder") : IoStatus{};
     }
     IoStatus list(std::vector<std::string>& names) override {
         names.clear();
-        int fd = ::openat(folder_, ".", O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-        DIR* dir = fd < 0 ? nullptr : ::fdopendir(fd);
-        if (!dir) {
-            if (fd >= 0) ::close(fd);
-            return failed("list", "the folder");
-        }
-        while (dirent* e = ::readdir(dir))
-            if (std::string_view name = e->d_name; name != "." && name != "..") names.emplace_back(name);
-        ::closedir(dir);
+        FileDescriptor descriptor(::openat(folder_.get(), ".", O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+        if (!descriptor.valid()) return failure("list", "the folder");
+        std::unique_ptr<DIR, CloseFolder> folder(::fdopendir(descriptor.get()));
+        if (!folder) return failure("list", "the folder");
+        descriptor.release();  // the folder's stream closes it
+        while (dirent* entry = ::readdir(folder.get()))
+            if (std::string_view name = entry->d_name; name != "." && name != "..") names.emplace_back(name);
         return {};
     }
-    IoStatus lock(std::unique_ptr<Lock>& out, bool make) override {
-        int fd =
-            ::openat(folder_, "LOCK", (make ? O_RDWR | O_CREAT : O_RDONLY) | O_CLOEXEC | O_NOFOLLOW, 0600);
-        if (fd < 0 && !make && errno == ENOENT) {
-            out = nullptr;
+    IoStatus lock(std::unique_ptr<FolderLock>& lock, bool create) override {
+        FileDescriptor descriptor = open_at(kLockFile, create ? O_RDWR | O_CREAT : O_RDONLY);
+        if (!descriptor.valid() && !create && errno == ENOENT) {
+            lock = nullptr;
             return {};
         }
-        if (fd < 0) return failed("open", "LOCK");
-        if (::flock(fd, LOCK_EX | LOCK_NB) < 0) {
-            IoStatus s = failed("lock", "LOCK");
-            ::close(fd);
-            return s;
-        }
-        out = std::make_unique<PosixLock>(fd);
+        if (!descriptor.valid()) return failure("open", kLockFile);
+        if (::flock(descriptor.get(), LOCK_EX | LOCK_NB) < 0) return failure("lock", kLockFile);
+        lock = std::make_unique<PosixFolderLock>(std::move(descriptor));
         return {};
     }
 
   private:
-    int folder_;
+    FileDescriptor open_at(const std::string& name, int flags) const {
+        return FileDescriptor(
+            ::openat(folder_.get(), name.c_str(), flags | O_CLOEXEC | O_NOFOLLOW, kFileMode));
+    }
+
+    FileDescriptor folder_;
 };
 
 }  // namespace
 
-std::string IoStatus::text() const {
-    return ok() ? "well" : what + ": " + std::strerror(code);
-}
-
-IoStatus open_folder(const std::string& path, std::unique_ptr<Environment>& out) {
-    if (::mkdir(path.c_str(), 0700) < 0 && errno != EEXIST) return failed("make", path);
-    int fd = ::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
-    if (fd < 0) return failed("open", path);
-    out = std::make_unique<PosixEnvironment>(fd);
+IoStatus open_folder(const std::string& path, std::unique_ptr<Environment>& environment) {
+    if (::mkdir(path.c_str(), kFolderMode) < 0 && errno != EEXIST) return failure("make", path);
+    FileDescriptor folder(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+    if (!folder.valid()) return failure("open", path);
+    environment = std::make_unique<PosixEnvironment>(std::move(folder));
     return {};
 }
 
 FolderCheck check_folder(const std::string& path) {
     FolderCheck check;
-    struct stat s {};
-    if (::stat(path.c_str(), &s) < 0) {
-        check.status = failed("look at", path);
+    struct stat status {};
+    if (::stat(path.c_str(), &status) < 0) {
+        check.status = failure("look at", path);
         return check;
     }
-    if (!S_ISDIR(s.st_mode)) {
+    if (!S_ISDIR(status.st_mode)) {
         check.status = {ENOTDIR, path};
         return check;
     }
-    if (s.st_uid != ::geteuid())
+    if (status.st_uid != ::geteuid())
         check.status = {EPERM, path + " belongs to another user"};
     else if (::access(path.c_str(), R_OK | W_OK | X_OK) < 0)
-        check.status = failed("write to", path);
-    struct statfs f {};
-    constexpr long tmpfs = 0x01021994, ramfs = 0x858458f6;
-    if (::statfs(path.c_str(), &f) == 0)
-        check.in_memory =
-            long(f.f_type) == tmpfs || (std::uint64_t(f.f_type) & 0xffffffffu) == std::uint64_t(ramfs);
+        check.status = failure("write to", path);
+    struct statfs file_system {};
+    if (::statfs(path.c_str(), &file_system) == 0) {
+        std::uint64_t type = std::uint64_t(file_system.f_type) & 0xffffffffu;
+        check.in_memory = type == kTmpfsMagic || type == kRamfsMagic;
+    }
     return check;
 }
 
+IoStatus read_file(Environment& environment, const std::string& name, std::string& contents) {
+    std::unique_ptr<File> file;
+    if (IoStatus status = environment.open(name, file); !status.ok()) return status;
+    return file->read(0, std::size_t(file->size()), contents);
+}
+
 }  // namespace indigovane::store
--- a/src/store/recovery.cpp
+++ b/src/store/recovery.cpp
@@ -1,244 +1,266 @@
 #include "store/recovery.hpp"
 
 #include <algorithm>
-#include <cerrno>
+
+#include "store/log_tail.hpp"
+#include "store/manifest_file.hpp"
 
 namespace indigovane::store {
 
 namespace {
 
-constexpr std::string_view kFrameStart("IGVF", 4);
-
-IoStatus read_all(Environment& environment, const std::string& name, std::string& out) {
-    std::unique_ptr<File> file;
-    if (IoStatus s = environment.open(name, file); !s.ok()) return s;
-    return file->read(0, std::size_t(file->size()), out);
-}
+// Offsets in headers, for findings.
+constexpr std::uint64_t kVersionOffset = 8;
+constexpr std::uint64_t kStoreOffset = 16;
+constexpr std::uint64_t kSegmentOffset = 24;
+constexpr std::uint64_t kFirstSequenceOffset = 32;
+constexpr std::uint64_t kFrameSequenceOffset = 8;
 
 class Recovery {
   public:
     Recovery(Environment& environment, bool salvage, const FrameSink& sink)
         : environment_(environment), salvage_(salvage), sink_(sink) {}
 
-    Recovered run() {
-        if (!read_manifest()) return out_;
-        for (std::size_t i = 0; i < out_.manifest.segments.size(); ++i)
-            if (!read_segment(out_.manifest.segments[i], i + 1 == out_.manifest.segments.size())) return out_;
-        if (out_.outcome == Recovered::Outcome::fresh) out_.outcome = Recovered::Outcome::whole;
-        return out_;
+    RecoveryResult run() {
+        if (!read_manifest()) return result_;
+        const auto& segments = result_.manifest.segments;
+        for (std::size_t i = 0; i < segments.size(); ++i)
+            if (!read_segment(segments[i], i + 1 == segments.size())) return result_;
+        if (result_.outcome == Outcome::no_store) result_.outcome = Outcome::complete;
+        return result_;
     }
 
   private:
-    using Outcome = Recovered::Outcome;
+    using Outcome = RecoveryResult::Outcome;
+
+    // A segment in memory. `bytes`: of a sealed one, up to its sealed length.
+    struct Segment {
+        std::string name;
+        std::string_view bytes;
+        bool sealed = false;
+        std::uint64_t valid_length = 0;  // where its complete frames from the front end
+        bool salvaged = false;
+    };
+
+    // Functions that return bool: false ends the recovery, with the outcome set.
 
     bool stop(Outcome outcome, Finding finding) {
-        out_.outcome = outcome;
-        out_.findings.push_back(std::move(finding));
+        result_.outcome = outcome;
+        result_.findings.push_back(std::move(finding));
         return false;
     }
-    // Damage ends the recovery, or is noted where the operator wants what is left.
+    // Ends the recovery, except of a salvage.
     bool damage(std::string file, std::uint64_t offset, std::string what) {
         if (!salvage_) return stop(Outcome::damaged, {std::move(file), offset, std::move(what)});
-        out_.findings.push_back({std::move(file), offset, std::move(what)});
-        out_.salvaged = true;
+        result_.findings.push_back({std::move(file), offset, std::move(what)});
+        result_.salvaged = true;
         return true;
     }
-    bool failed(const IoStatus& status) {
-        out_.status = status;
-        return stop(Outcome::failed, {"", 0, status.text()});
+    bool io_error(const IoStatus& status) {
+        result_.status = status;
+        return stop(Outcome::io_error, {"", 0, status.text()});
     }
 
     bool read_manifest() {
-        std::string bytes;
         std::vector<std::string> names;
-        if (IoStatus s = environment_.list(names); !s.ok()) return failed(s);
-        bool segments =
-            std::any_of(names.begin(), names.end(), [](auto& n) { return segment_number(n).has_value(); });
-        IoStatus s = read_all(environment_, "MANIFEST", bytes);
-        if (s.code == ENOENT) {
+        if (IoStatus status = environment_.list(names); !status.ok()) return io_error(status);
+        std::string bytes;
+        IoStatus status = read_file(environment_, kManifestName, bytes);
+        if (status.is(std::errc::no_such_file_or_directory)) {
             // The first segment is made before the first manifest: alone and without a frame it is a
             // beginning that was cut short. Anything else without a manifest has lost it.
-            if (!segments || only_a_beginning(names)) return false;
-            return damage("MANIFEST", 0, "it is missing, but there are segments") && rebuild(names);
+            if (only_first_segment_begun(names)) return false;
+            return damage(kManifestName, 0, "it is missing, but there are segments") && rebuild(names);
         }
-        if (!s.ok()) return failed(s);
-        std::size_t at = 0;
-        switch (decode(bytes, out_.manifest, at)) {
-            case Read::well:
+        if (!status.ok()) return io_error(status);
+        std::size_t damaged_at = 0;
+        switch (decode(bytes, result_.manifest, damaged_at)) {
+            case DecodeResult::ok:
                 return true;
-            case Read::newer:
-                return stop(Outcome::newer, {"MANIFEST", 8, "it is of a newer version"});
-            case Read::wrong:
+            case DecodeResult::newer_version:
+                return stop(Outcome::newer_version,
+                            {kManifestName, kVersionOffset, "it is of a newer version"});
+            case DecodeResult::damaged:
                 break;
         }
-        return damage("MANIFEST", at, "it is damaged") && rebuild(names);
+        return damage(kManifestName, damaged_at, "it is damaged") && rebuild(names);
     }
 
-    bool only_a_beginning(const std::vector<std::string>& names) {
-        for (const std::string& n : names) {
-            if (!segment_number(n)) continue;
+    // Also where there is no segment at all.
+    bool only_first_segment_begun(const std::vector<std::string>& names) {
+        return std::all_of(names.begin(), names.end(), [&](const std::string& name) {
+            auto number = segment_number(name);
+            if (!number) return true;
             std::unique_ptr<File> file;
-            if (segment_number(n) != 1 || !environment_.open(n, file).ok() || file->size() > kHeader)
-                return false;
-        }
-        return true;
+            return *number == 1 && environment_.open(name, file).ok() && file->size() <= kSegmentHeaderBytes;
+        });
     }
 
-    // Salvage without a manifest: the segments that are there, in order, of the store that most are of.
+    // Salvage without a manifest: the segments that are there, in order, of the store that the first is of.
     bool rebuild(std::vector<std::string>& names) {
-        out_.manifest = {};
+        Manifest& manifest = result_.manifest;
+        manifest = {};
         std::sort(names.begin(), names.end());
-        for (const std::string& n : names) {
-            auto number = segment_number(n);
+        for (const std::string& name : names) {
+            auto number = segment_number(name);
             std::string bytes;
-            SegmentHeader h;
-            if (!number || !read_all(environment_, n, bytes).ok()) continue;
-            if (decode(bytes, h) != Read::well || h.segment != *number) {
-                out_.findings.push_back({n, 0, "its header is damaged: left out"});
+            if (!number || !read_file(environment_, name, bytes).ok()) continue;
+            SegmentHeader header;
+            if (decode(bytes, header) != DecodeResult::ok || header.segment != *number) {
+                result_.findings.push_back({name, 0, "its header is damaged: left out"});
                 continue;
             }
-            if (out_.manifest.segments.empty()) out_.manifest.store = h.store;
-            if (h.store != out_.manifest.store) {
-                out_.findings.push_back({n, 16, "it is of another store: left out"});
+            if (manifest.segments.empty()) manifest.store = header.store;
+            if (header.store != manifest.store) {
+                result_.findings.push_back({name, kStoreOffset, "it is of another store: left out"});
                 continue;
             }
-            if (!out_.manifest.segments.empty()) out_.manifest.segments.back().sealed = true;
-            out_.manifest.segments.push_back({*number, false, 0, 0});
-            out_.manifest.next = *number + 1;
+            if (!manifest.segments.empty()) manifest.segments.back().sealed = true;
+            manifest.segments.push_back({*number, false, 0, 0});
+            manifest.next_segment = *number + 1;
         }
         rebuilt_ = true;
         return true;
     }
 
-    bool read_segment(const Manifest::Segment& segment, bool last) {
-        std::string name = segment_name(segment.number), bytes;
-        IoStatus s = read_all(environment_, name, bytes);
-        if (s.code == ENOENT) return damage(name, 0, "the segment is missing");
-        if (!s.ok()) return failed(s);
-        out_.bytes += bytes.size();
-        SegmentHeader h;
-        switch (decode(bytes, h)) {
-            case Read::well:
+    bool read_segment(const Manifest::Segment& listed, bool last) {
+        std::string name = segment_name(listed.number);
+        std::string bytes;
+        IoStatus status = read_file(environment_, name, bytes);
+        if (status.is(std::errc::no_such_file_or_directory)) return damage(name, 0, "the segment is missing");
+        if (!status.ok()) return io_error(status);
+        result_.bytes += bytes.size();
+        SegmentHeader header;
+        switch (decode(bytes, header)) {
+            case DecodeResult::ok:
                 break;
-            case Read::newer:
-                return stop(Outcome::newer, {name, 8, "it is of a newer version"});
-            case Read::wrong:
+            case DecodeResult::newer_version:
+                return stop(Outcome::newer_version, {name, kVersionOffset, "it is of a newer version"});
+            case DecodeResult::damaged:
                 return damage(name, 0, "its header is damaged");
         }
-        if (h.store != out_.manifest.store) return damage(name, 16, "it is of another store");
-        if (h.segment != segment.number) return damage(name, 24, "it is another segment");
-        bool sealed = segment.sealed && !rebuilt_;
-        if (sealed && bytes.size() < segment.length)
+        if (header.store != result_.manifest.store)
+            return damage(name, kStoreOffset, "it is of another store");
+        if (header.segment != listed.number) return damage(name, kSegmentOffset, "it is another segment");
+        Segment segment{name, bytes, listed.sealed && !rebuilt_, 0, false};
+        if (segment.sealed && bytes.size() < listed.length)
             if (!damage(name, bytes.size(), "it is shorter than its sealed length")) return false;
-        std::string_view good = bytes;
-        if (sealed) good = good.substr(0, std::size_t(segment.length));
-        if (started_ && h.first != out_.next_sequence && !salvage_)
-            return damage(name, 32, "its first sequence does not follow the segment before");
-        if (!started_ || salvage_) out_.next_sequence = std::max(out_.next_sequence, h.first);
-        started_ = true;
-        bool whole = !sealed || checksum(good) == segment.checksum;
-        std::uint64_t at = 0;
-        if (!frames(name, good, h.store, at)) return false;
-        if (sealed && (!whole || at != good.size())) {
-            if (!salvage_)
-                return stop(Outcome::damaged,
-                            {name, at == good.size() ? 0 : at, "it is not what was sealed"});
-            return salvage_rest(name, good, h.store, at);
-        }
-        // The manifest says how much of an unsealed one was synced when it was written. A copy that took the
-        // manifest later than the segment is found out by that, and so is damage up to there.
-        bool short_of = !sealed && !rebuilt_ && at < segment.length;
-        if (!sealed && (at != good.size() || short_of)) {
-            if (short_of || damage_behind(good, h.store, at)) {
-                if (!damage(name, at, "what was synced is damaged")) return false;
-                return salvage_rest(name, good, h.store, at);
-            }
-            out_.findings.push_back(
-                {name, at,
-                 "cut off: " + std::to_string(good.size() - at) + " bytes that were never acknowledged"});
-            out_.outcome = Outcome::torn;
+        if (segment.sealed) segment.bytes = segment.bytes.substr(0, std::size_t(listed.length));
+        if (replaying_ && header.first_sequence != result_.next_sequence && !salvage_)
+            return damage(name, kFirstSequenceOffset,
+                          "its first sequence does not follow the segment before");
+        if (!replaying_ || salvage_)
+            result_.next_sequence = std::max(result_.next_sequence, header.first_sequence);
+        replaying_ = true;
+        if (!replay_frames(segment)) return false;
+        if (!(segment.sealed ? check_sealed(segment, listed) : check_tail(segment, listed))) return false;
+        if (last && !segment.salvaged) {
+            result_.valid_length = segment.valid_length;
+            result_.valid_checksum = checksum(segment.bytes.substr(0, segment.valid_length));
         }
-        if (last) {
-            out_.good = at;
-            out_.good_checksum = checksum(good.substr(0, at));
+        return true;
+    }
+
+    bool check_sealed(Segment& segment, const Manifest::Segment& listed) {
+        bool all_frames = segment.valid_length == segment.bytes.size();
+        if (all_frames && checksum(segment.bytes) == listed.checksum) return true;
+        if (salvage_) return salvage_rest(segment);
+        return stop(Outcome::damaged,
+                    {segment.name, all_frames ? 0 : segment.valid_length, "it is not what was sealed"});
+    }
+
+    bool check_tail(Segment& segment, const Manifest::Segment& listed) {
+        std::uint64_t synced_length = rebuilt_ ? 0 : listed.length;
+        switch (classify_tail(segment.bytes, result_.manifest.store, segment.valid_length, synced_length)) {
+            case TailState::complete:
+                return true;
+            case TailState::damaged:
+                return damage(segment.name, segment.valid_length, "what was synced is damaged") &&
+                       salvage_rest(segment);
+            case TailState::torn:
+                break;
         }
+        std::uint64_t cut_off = segment.bytes.size() - segment.valid_length;
+        result_.findings.push_back(
+            {segment.name, segment.valid_length,
+             "cut off: " + std::to_string(cut_off) + " bytes that were never acknowledged"});
+        result_.outcome = Outcome::torn_tail;
         return true;
     }
 
-    // Whole frames from the front; `at` is where they end.
-    bool frames(const std::string& name, std::string_view bytes, std::uint64_t store, std::uint64_t& at) {
-        at = kHeader;
-        while (at < bytes.size()) {
-            auto frame = decode_frame(bytes.substr(at), store, at);
+    // Complete frames from the front; sets the segment's valid length.
+    bool replay_frames(Segment& segment) {
+        std::uint64_t& offset = segment.valid_length;
+        offset = kSegmentHeaderBytes;
+        while (offset < segment.bytes.size()) {
+            auto frame = decode_frame(segment.bytes.substr(offset), result_.manifest.store, offset);
             if (!frame) return true;
-            if (frame->sequence != out_.next_sequence) {
-                if (!salvage_) return damage(name, at + 8, "its sequence does not follow the frame before");
-                out_.next_sequence = std::max(out_.next_sequence, frame->sequence);
+            if (frame->sequence != result_.next_sequence) {
+                if (!salvage_)
+                    return damage(segment.name, offset + kFrameSequenceOffset,
+                                  "its sequence does not follow the frame before");
+                result_.next_sequence = std::max(result_.next_sequence, frame->sequence);
             }
-            if (!take(*frame)) return damage(name, at + kFrameHead, "its records can't be read");
-            at += frame->size();
+            if (!replay(*frame))
+                return damage(segment.name, offset + kFrameHeaderBytes, "its records can't be read");
+            offset += frame->size();
         }
         return true;
     }
 
-    bool take(const Frame& frame) {
+    bool replay(const Frame& frame) {
         records_.clear();
         if (!decode_records(frame, records_)) return false;
         sink_(records_, frame.sequence);
-        out_.records += records_.size();
-        out_.next_sequence = std::max(out_.next_sequence, frame.sequence + records_.size());
+        result_.records += records_.size();
+        result_.next_sequence = std::max(result_.next_sequence, frame.sequence + records_.size());
         return true;
     }
 
-    // Whether a frame behind `at` knew that `at` was synced: then what stands there has been changed since.
-    static bool damage_behind(std::string_view bytes, std::uint64_t store, std::uint64_t at) {
-        for (std::size_t i = std::size_t(at); (i = bytes.find(kFrameStart, i)) != std::string_view::npos; ++i)
-            if (auto head = decode_frame_head(bytes.substr(i), store, i); head && head->durable > at)
-                return true;
-        return false;
-    }
-
-    bool salvage_rest(const std::string& name, std::string_view bytes, std::uint64_t store,
-                      std::uint64_t at) {
-        out_.salvaged = true;
-        std::size_t i = std::size_t(at);
-        std::uint64_t dropped_from = at;
-        while ((i = bytes.find(kFrameStart, i)) != std::string_view::npos) {
-            auto frame = decode_frame(bytes.substr(i), store, i);
-            if (!frame || !take(*frame)) {
-                ++i;
-                continue;
+    // Replays the complete frames behind the valid length, wherever they are.
+    bool salvage_rest(Segment& segment) {
+        result_.salvaged = true;
+        segment.salvaged = true;
+        std::uint64_t dropped_from = segment.valid_length;
+        auto note_dropped = [&](std::uint64_t end) {
+            if (end <= dropped_from) return;
+            result_.findings.push_back(
+                {segment.name, dropped_from, "dropped " + std::to_string(end - dropped_from) + " bytes"});
+        };
+        std::size_t offset = segment.bytes.find(kFrameStart, std::size_t(segment.valid_length));
+        while (offset != std::string_view::npos) {
+            std::size_t behind = offset + 1;
+            auto frame = decode_frame(segment.bytes.substr(offset), result_.manifest.store, offset);
+            if (frame && replay(*frame)) {
+                note_dropped(offset);
+                behind = offset + frame->size();
+                dropped_from = behind;
             }
-            if (i > dropped_from)
-                out_.findings.push_back(
-                    {name, dropped_from, "dropped " + std::to_string(i - dropped_from) + " bytes"});
-            i += frame->size();
-            dropped_from = i;
+            offset = segment.bytes.find(kFrameStart, behind);
         }
-        if (bytes.size() > dropped_from)
-            out_.findings.push_back(
-                {name, dropped_from, "dropped " + std::to_string(bytes.size() - dropped_from) + " bytes"});
+        note_dropped(segment.bytes.size());
         return true;
     }
 
     Environment& environment_;
     bool salvage_;
     const FrameSink& sink_;
-    std::vector<RecordView> records_;
-    Recovered out_;
-    bool started_ = false, rebuilt_ = false;
+    std::vector<RecordView> records_;  // of the frame that is replayed
+    RecoveryResult result_;
+    bool replaying_ = false;  // a segment has been read
+    bool rebuilt_ = false;    // the manifest was, by a salvage
 };
 
 }  // namespace
 
-Recovered recover_frames(Environment& environment, bool salvage, const FrameSink& sink) {
+RecoveryResult recover_frames(Environment& environment, bool salvage, const FrameSink& sink) {
     return Recovery(environment, salvage, sink).run();
 }
 
-Recovered recover(Environment& environment, bool salvage, const Sink& sink) {
+RecoveryResult recover(Environment& environment, bool salvage, const RecordSink& sink) {
     return recover_frames(environment, salvage,
                           [&](const std::vector<RecordView>& records, std::uint64_t sequence) {
-                              for (const RecordView& r : records) sink(r.copy(), sequence++);
+                              for (const RecordView& record : records) sink(record.copy(), sequence++);
                           });
 }
 
--- a/src/store/session_table.hpp
+++ b/src/store/session_table.hpp
@@ -107,9 +107,9 @@
         return true;
     }
 
-    // Two looks ahead of a put: where its page is, then the page. For many at once, as in a recovery.
-    void near(std::uint64_t key) const { __builtin_prefetch(&directory_[index(mix(key))]); }
-    void nearer(std::uint64_t key) const {
+    // Ahead of a put: first where its page is, then the page. For many keys at once, as in a recovery.
+    void prefetch_directory(std::uint64_t key) const { __builtin_prefetch(&directory_[index(mix(key))]); }
+    void prefetch_page(std::uint64_t key) const {
         std::uint64_t hash = mix(key);
         const Page* page = directory_[index(hash)].get();
         __builtin_prefetch(page);
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -6,252 +6,281 @@
 
 namespace indigovane::store {
 
-void Store::schedule(Position& p) {
-    if (p.timed || p.expires_s == 0) return;
-    p.timed = 1;
-    wheel_.add(p.key, p.expires_s);
+namespace {
+constexpr std::uint64_t kMillisecondsPerSecond = 1000;
+constexpr std::uint64_t kPositionBytes = record_bytes(8, 8);
+constexpr std::size_t kPrefetchedRecords = 32;
+constexpr std::uint64_t kMaxExpiryS = 0x7fffffff;  // of SessionEntry::expires_s
+// How often expire() does what costs more than what has expired.
+constexpr std::uint64_t kShrinkIntervalS = 64;
+constexpr std::uint64_t kSpaceExpiryIntervalS = 16;
+// A generation is written in batches of so many records; a longer value takes a batch of its own.
+constexpr std::size_t kGenerationBatchRecords = 512;
+constexpr std::size_t kLongValueBytes = 65536;
+}  // namespace
+
+// ---- the index -----------------------------------------------------------------------------------
+
+void Store::schedule_expiry(Position& position) {
+    if (position.timed || position.expires_s == 0) return;
+    position.timed = 1;
+    expiry_.add(position.key, position.expires_s);
 }
 
-template <typename R>
-void Store::apply(const R& r, std::uint64_t sequence) {
-    if (r.space == Space::positions) {
-        auto session = read_position_key(r.key);
-        if (!session) return;
-        if (r.type == Record::Type::remove) {
-            if (sessions_.erase(*session)) live_bytes_ -= cost(8, 8);
-            return;
-        }
-        auto value = decode_u64(r.value);
-        if (!value) return;
-        std::size_t before = sessions_.size();
-        Position& p = sessions_.put(*session);
-        if (sessions_.size() != before) live_bytes_ += cost(8, 8);
-        p.value = *value;
-        p.sequence = std::uint32_t(sequence);
-        p.expires_s = std::uint32_t(std::min<std::uint64_t>((r.expires_ms + 999) / 1000, 0x7fffffff));
-        schedule(p);
+template <typename RecordType>
+void Store::apply_position(const RecordType& record, std::uint64_t sequence) {
+    auto session = parse_position_key(record.key);
+    if (!session) return;
+    if (record.type == Record::Type::remove) {
+        if (sessions_.erase(*session)) live_bytes_ -= kPositionBytes;
         return;
     }
-    OrderedMap& map = spaces_[std::size_t(r.space)];
-    if (const auto* old = map.find(r.key)) live_bytes_ -= cost(r.key.size(), old->bytes.size());
-    if (r.type == Record::Type::remove) {
-        map.erase(r.key);
+    auto value = decode_u64(record.value);
+    if (!value) return;
+    std::size_t size_before = sessions_.size();
+    Position& position = sessions_.put(*session);
+    if (sessions_.size() != size_before) live_bytes_ += kPositionBytes;
+    position.value = *value;
+    position.sequence = std::uint32_t(sequence);
+    std::uint64_t expires_s = (record.expires_ms + kMillisecondsPerSecond - 1) / kMillisecondsPerSecond;
+    position.expires_s = std::uint32_t(std::min(expires_s, kMaxExpiryS));
+    schedule_expiry(position);
+}
+
+template <typename RecordType>
+void Store::apply(const RecordType& record, std::uint64_t sequence) {
+    if (record.space == Space::positions) return apply_position(record, sequence);
+    OrderedMap& space = spaces_[std::size_t(record.space)];
+    if (const auto* replaced = space.find(record.key))
+        live_bytes_ -= record_bytes(record.key.size(), replaced->bytes.size());
+    if (record.type == Record::Type::remove) {
+        space.erase(record.key);
         return;
     }
-    live_bytes_ += cost(r.key.size(), r.value.size());
-    map.put(r.key, {std::string(r.value), sequence, r.expires_ms});
+    live_bytes_ += record_bytes(record.key.size(), record.value.size());
+    space.put(record.key, {std::string(record.value), sequence, record.expires_ms});
+}
+
+bool Store::is_current(const Record& record, std::uint64_t sequence) const {
+    if (record.type != Record::Type::put) return false;
+    if (record.space == Space::positions) {
+        auto session = parse_position_key(record.key);
+        const Position* position = session ? sessions_.find(*session) : nullptr;
+        // Only 32 bits of the sequence are retained: with the same value, writing it once more does no harm.
+        return position && position->sequence == std::uint32_t(sequence) &&
+               encode_u64(position->value) == record.value;
+    }
+    const auto* value = spaces_[std::size_t(record.space)].find(record.key);
+    return value && value->sequence == sequence;
+}
+
+std::optional<std::string> Store::get(Space space, std::string_view key) const {
+    if (space == Space::positions) {
+        auto session = parse_position_key(key);
+        auto value = session ? position(*session) : std::nullopt;
+        return value ? std::optional(encode_u64(*value)) : std::nullopt;
+    }
+    const auto* value = spaces_[std::size_t(space)].find(key);
+    return value ? std::optional(value->bytes) : std::nullopt;
+}
+
+std::optional<std::uint64_t> Store::position(std::uint64_t session) const {
+    const Position* position = sessions_.find(session);
+    return position ? std::optional(position->value) : std::nullopt;
+}
+
+std::size_t Store::size() const {
+    std::size_t total = sessions_.size();
+    for (const OrderedMap& space : spaces_) total += space.size();
+    return total;
+}
+
+// ---- expiry --------------------------------------------------------------------------------------
+
+void Store::expire(std::uint64_t now_ms) {
+    std::uint64_t now_s = now_ms / kMillisecondsPerSecond;
+    expire_positions(now_s);
+    if (now_s % kShrinkIntervalS == 0) sessions_.shrink();
+    if (now_s % kSpaceExpiryIntervalS != 0) return;
+    for (OrderedMap& space : spaces_) expire_space(space, now_ms);
+}
+
+void Store::expire_positions(std::uint64_t now_s) {
+    expiry_.due(now_s, [&](std::uint64_t key, std::uint64_t) {
+        const Position* found = sessions_.find(key);
+        if (!found) return;
+        if (found->expires_s != 0 && found->expires_s <= now_s) {
+            sessions_.erase(key);
+            live_bytes_ -= kPositionBytes;
+            return;
+        }
+        Position& position = sessions_.put(key);  // it was written again since: it expires later
+        position.timed = 0;
+        schedule_expiry(position);
+    });
+}
+
+void Store::expire_space(OrderedMap& space, std::uint64_t now_ms) {
+    std::vector<std::string> expired;
+    space.each([&](std::string_view key, const OrderedMap::Value& value) {
+        if (value.expires_ms != 0 && value.expires_ms <= now_ms) expired.emplace_back(key);
+    });
+    for (const std::string& key : expired) {
+        live_bytes_ -= record_bytes(key.size(), space.find(key)->bytes.size());
+        space.erase(key);
+    }
 }
 
+// ---- recovery ------------------------------------------------------------------------------------
+
 void Store::load(Record&& record, std::uint64_t sequence) {
     apply(record, sequence);
     sequence_ = std::max(sequence_, sequence + 1);
 }
 
-// Pages of many sessions are far apart: they are asked for before they are needed.
-void Store::load(const std::vector<RecordView>& records, std::uint64_t first) {
-    constexpr std::size_t kGroup = 32;
-    std::uint64_t keys[kGroup];
-    for (std::size_t i = 0; i < records.size(); i += kGroup) {
-        std::size_t count = std::min(kGroup, records.size() - i), sessions = 0;
-        for (std::size_t k = i; k < i + count; ++k)
-            if (records[k].space == Space::positions)
-                if (auto session = read_position_key(records[k].key)) keys[sessions++] = *session;
-        for (std::size_t k = 0; k < sessions; ++k) sessions_.near(keys[k]);
-        for (std::size_t k = 0; k < sessions; ++k) sessions_.nearer(keys[k]);
-        for (std::size_t k = i; k < i + count; ++k) apply(records[k], first + k);
+void Store::load(const std::vector<RecordView>& records, std::uint64_t first_sequence) {
+    for (std::size_t i = 0; i < records.size(); i += kPrefetchedRecords) {
+        std::size_t end = std::min(i + kPrefetchedRecords, records.size());
+        prefetch(records.data() + i, records.data() + end);
+        for (std::size_t k = i; k < end; ++k) apply(records[k], first_sequence + k);
     }
-    sequence_ = std::max(sequence_, first + records.size());
+    sequence_ = std::max(sequence_, first_sequence + records.size());
 }
 
-void Store::begin(const Recovered& recovered, std::uint64_t now_ms) {
+// Pages of many sessions are far apart: they are fetched before they are needed. At most kPrefetchedRecords.
+void Store::prefetch(const RecordView* begin, const RecordView* end) const {
+    std::array<std::uint64_t, kPrefetchedRecords> keys{};
+    std::size_t count = 0;
+    for (const RecordView* record = begin; record != end; ++record) {
+        if (record->space != Space::positions) continue;
+        auto session = parse_position_key(record->key);
+        if (session) keys[count++] = *session;
+    }
+    for (std::size_t i = 0; i < count; ++i) sessions_.prefetch_directory(keys[i]);
+    for (std::size_t i = 0; i < count; ++i) sessions_.prefetch_page(keys[i]);
+}
+
+void Store::begin(const RecoveryResult& recovered, std::uint64_t now_ms) {
     sequence_ = std::max(sequence_, recovered.next_sequence);
     log_bytes_ = recovered.bytes;
     expire(now_ms);
 }
 
-std::uint64_t Store::order(std::vector<Record> records, bool strict) {
-    WriteRequest o;
-    o.ticket = ++ticket_;
-    o.strict = strict;
-    o.batch.sequence = sequence_;
-    for (const Record& r : records) apply(r, sequence_++);
-    o.batch.records = std::move(records);
-    // While nothing can be written, the index alone knows: the next generation holds all of it.
-    if (!failing_) orders_.push_back(std::move(o));
+// ---- changes -------------------------------------------------------------------------------------
+
+std::uint64_t Store::enqueue(std::vector<Record> records, Durability durability) {
+    WriteBatch request;
+    request.ticket = ++ticket_;
+    request.strict = durability == Durability::strict;
+    request.batch.sequence = sequence_;
+    for (const Record& record : records) apply(record, sequence_++);
+    request.batch.records = std::move(records);
+    // While nothing can be written the index alone knows: the next generation holds all of it.
+    if (!failing_) write_requests_.emplace_back(std::move(request));
     return ticket_;
 }
 
 std::uint64_t Store::put(Space space, std::string_view key, std::string_view value, Durability durability,
                          std::uint64_t expires_ms) {
-    std::vector<Record> one(1);
-    one[0] = {Record::Type::put, space, std::string(key), std::string(value), expires_ms};
-    return write(std::move(one), durability);
+    std::vector<Record> records(1);
+    records[0] = {Record::Type::put, space, std::string(key), std::string(value), expires_ms};
+    return write(std::move(records), durability);
 }
 
 std::uint64_t Store::remove(Space space, std::string_view key, Durability durability) {
-    std::vector<Record> one(1);
-    one[0] = {Record::Type::remove, space, std::string(key), "", 0};
-    return write(std::move(one), durability);
+    std::vector<Record> records(1);
+    records[0] = {Record::Type::remove, space, std::string(key), "", 0};
+    return write(std::move(records), durability);
 }
 
 std::uint64_t Store::put_position(std::uint64_t session, std::uint64_t value, std::uint64_t expires_ms) {
-    std::vector<Record> one(1);
-    one[0] = {Record::Type::put, Space::positions, position_key(session), encode_u64(value), expires_ms};
-    return order(std::move(one), false);
+    std::vector<Record> records(1);
+    records[0] = {Record::Type::put, Space::positions, position_key(session), encode_u64(value), expires_ms};
+    return enqueue(std::move(records), Durability::relaxed);
 }
 
-// What the format has no room for is a mistake of the caller's: it is kept in memory and in no log, loudly.
 std::uint64_t Store::write(std::vector<Record> records, Durability durability) {
     std::size_t bytes = 0;
-    for (const Record& r : records) {
-        if (r.key.size() > kKeyMost || r.value.size() > kValueMost)
+    for (const Record& record : records) {
+        if (record.key.size() > kMaxKeyBytes || record.value.size() > kMaxValueBytes)
             throw std::length_error("a record is too long");
-        bytes += cost(r.key.size(), r.value.size());
+        bytes += record_bytes(record.key.size(), record.value.size());
     }
-    if (bytes > kPayloadMost) throw std::length_error("a batch is too long");
-    return order(std::move(records), durability == Durability::strict);
+    if (bytes > kMaxPayloadBytes) throw std::length_error("a batch is too long");
+    return enqueue(std::move(records), durability);
 }
 
-std::optional<std::string> Store::get(Space space, std::string_view key) const {
-    if (space == Space::positions) {
-        auto session = read_position_key(key);
-        auto value = session ? position(*session) : std::nullopt;
-        return value ? std::optional(encode_u64(*value)) : std::nullopt;
-    }
-    const auto* v = spaces_[std::size_t(space)].find(key);
-    return v ? std::optional(v->bytes) : std::nullopt;
-}
+// ---- the log -------------------------------------------------------------------------------------
 
-std::optional<std::uint64_t> Store::position(std::uint64_t session) const {
-    const Position* p = sessions_.find(session);
-    return p ? std::optional(p->value) : std::nullopt;
-}
-
-std::size_t Store::size() const {
-    std::size_t sum = sessions_.size();
-    for (const auto& map : spaces_) sum += map.size();
-    return sum;
-}
-
-void Store::expire(std::uint64_t now_ms) {
-    std::uint64_t now_s = now_ms / 1000;
-    wheel_.due(now_s, [&](std::uint64_t key, std::uint64_t) {
-        const Position* found = sessions_.find(key);
-        if (!found) return;
-        if (found->expires_s != 0 && found->expires_s <= now_s) {
-            sessions_.erase(key);
-            live_bytes_ -= cost(8, 8);
-            return;
-        }
-        Position& p = sessions_.put(key);  // it was written again since: it has a later time
-        p.timed = 0;
-        schedule(p);
-    });
-    if (now_s % 64 == 0) sessions_.shrink();
-    for (auto& map : spaces_) {
-        std::vector<std::string> over;
-        if (map.size() > 0 && now_s % 16 == 0)
-            map.each([&](std::string_view key, const OrderedMap::Value& v) {
-                if (v.expires_ms != 0 && v.expires_ms <= now_ms) over.emplace_back(key);
-            });
-        for (const std::string& key : over) {
-            live_bytes_ -= cost(key.size(), map.find(key)->bytes.size());
-            map.erase(key);
-        }
-    }
+std::vector<WriteRequest> Store::take_write_requests() {
+    return std::exchange(write_requests_, {});
 }
 
-bool Store::stands(const Record& r, std::uint64_t sequence) const {
-    if (r.type != Record::Type::put) return false;
-    if (r.space == Space::positions) {
-        auto session = read_position_key(r.key);
-        const Position* p = session ? sessions_.find(*session) : nullptr;
-        // Of the sequence 32 bits are kept: with the same value, writing it once more does no harm.
-        return p && p->sequence == std::uint32_t(sequence) && encode_u64(p->value) == r.value;
-    }
-    const auto* v = spaces_[std::size_t(r.space)].find(r.key);
-    return v && v->sequence == sequence;
+void Store::handle(StoreEvent&& event) {
+    std::visit(Overloaded{
+                   [&](const RecordsDurable& durable) {
+                       if (durable.log_bytes > 0) log_bytes_ = durable.log_bytes;
+                       durable_ = std::max(durable_, durable.ticket);
+                   },
+                   [&](const WritesFailing&) {
+                       failing_ = true;
+                       write_requests_.clear();
+                   },
+                   [&](const WritesRetryable&) {
+                       if (failing_) rewrite();
+                   },
+                   [&](CompactionRead& read) {
+                       if (!failing_) copy_current(std::move(read.chunk));
+                   },
+                   [](const LogFault&) {},
+               },
+               event);
 }
 
-void Store::events(StoreEvent&& n) {
-    if (n.bytes > 0) log_bytes_ = n.bytes;
-    switch (n.kind) {
-        case StoreEvent::Kind::durable:
-            written_ = std::max(written_, n.ticket);
-            durable_ = std::max(durable_, n.ticket);
-            if (durable_heard_) durable_heard_(durable_);
-            return;
-        case StoreEvent::Kind::failing:
-            failing_ = true;
-            orders_.clear();
-            return;
-        case StoreEvent::Kind::able:
-            if (failing_) begin_generation();
-            return;
-        case StoreEvent::Kind::chunk: {
-            if (failing_) return;
-            std::vector<Record> again;
-            for (auto& [record, sequence] : n.chunk.records)
-                if (stands(record, sequence)) again.push_back(std::move(record));
-            if (!again.empty()) order(std::move(again), false);
-            if (n.chunk.last) {
-                WriteRequest o;
-                o.kind = WriteRequest::Kind::compacted;
-                o.ticket = ++ticket_;
-                orders_.push_back(std::move(o));
-            }
-            return;
-        }
-        case StoreEvent::Kind::trouble:
-            return;
-    }
+void Store::copy_current(CompactionChunk&& chunk) {
+    std::vector<Record> current;
+    for (auto& [record, sequence] : chunk.records)
+        if (is_current(record, sequence)) current.push_back(std::move(record));
+    if (!current.empty()) enqueue(std::move(current), Durability::relaxed);
+    if (!chunk.last) return;
+    ++ticket_;
+    write_requests_.emplace_back(OldestSegmentCopied{});
 }
 
-// All that there is, from snapshots: what is put meanwhile comes behind it and counts more.
-void Store::begin_generation() {
+// As a generation, from snapshots: what is put meanwhile comes behind it and counts more.
+void Store::rewrite() {
     failing_ = false;
-    WriteRequest first;
-    first.kind = WriteRequest::Kind::generation;
-    first.batch.sequence = sequence_;
-    first.ticket = ++ticket_;
-    orders_.push_back(std::move(first));
-    std::vector<Record> some;
-    auto add = [&](Record r) {
-        some.push_back(std::move(r));
-        if (some.size() < 512) return;
-        order(std::move(some), false);
-        some.clear();
+    ++ticket_;
+    write_requests_.emplace_back(GenerationBegin{sequence_});
+    std::vector<Record> batch;
+    auto flush = [&] {
+        if (!batch.empty()) enqueue(std::exchange(batch, {}), Durability::relaxed);
+    };
+    auto add = [&](Record record) {
+        batch.push_back(std::move(record));
+        if (batch.size() >= kGenerationBatchRecords) flush();
     };
     auto sessions = sessions_.snapshot();
-    sessions.each([&](const Position& p) {
-        add({Record::Type::put, Space::positions, position_key(p.key), encode_u64(p.value),
-             std::uint64_t(p.expires_s) * 1000});
+    sessions.each([&](const Position& position) {
+        add({Record::Type::put, Space::positions, position_key(position.key), encode_u64(position.value),
+             std::uint64_t(position.expires_s) * kMillisecondsPerSecond});
     });
-    for (std::size_t i = 0; i < kSpaces; ++i)
-        spaces_[i].snapshot().each([&](std::string_view key, const OrderedMap::Value& v) {
-            // A long value takes a batch of its own.
-            if (v.bytes.size() > 65536) {
-                order({{Record::Type::put, Space(i), std::string(key), v.bytes, v.expires_ms}}, false);
-                return;
-            }
-            add({Record::Type::put, Space(i), std::string(key), v.bytes, v.expires_ms});
+    for (std::size_t i = 0; i < kSpaceCount; ++i)
+        spaces_[i].snapshot().each([&](std::string_view key, const OrderedMap::Value& value) {
+            Record record{Record::Type::put, Space(i), std::string(key), value.bytes, value.expires_ms};
+            if (value.bytes.size() > kLongValueBytes)
+                enqueue({std::move(record)}, Durability::relaxed);
+            else
+                add(std::move(record));
         });
-    if (!some.empty()) order(std::move(some), false);
-    WriteRequest last;
-    last.kind = WriteRequest::Kind::complete;
-    last.ticket = ++ticket_;
-    orders_.push_back(std::move(last));
-}
-
-std::vector<WriteRequest> Store::orders() {
-    return std::exchange(orders_, {});
+    flush();
+    ++ticket_;
+    write_requests_.emplace_back(GenerationEnd{ticket_});
 }
 
 void Store::close() {
-    WriteRequest o;
-    o.kind = WriteRequest::Kind::close;
-    o.ticket = ++ticket_;
-    orders_.push_back(std::move(o));
+    ++ticket_;
+    write_requests_.emplace_back(CloseLog{});
 }
 
 }  // namespace indigovane::store
--- a/src/store/thread.cpp
+++ b/src/store/thread.cpp
@@ -2,24 +2,51 @@
 
 #include <concurrentqueue/blockingconcurrentqueue.h>
 
-#include <cerrno>
+#include <algorithm>
 #include <chrono>
+#include <iterator>
+#include <utility>
 
 namespace indigovane::store {
 
 namespace {
+constexpr std::size_t kMaxGatheredBytes = 4u << 20;  // keys and values
+constexpr std::uint64_t kFirstTickMs = 1;
+
 std::uint64_t steady_ms() {
-    return std::uint64_t(std::chrono::duration_cast<std::chrono::milliseconds>(
-                             std::chrono::steady_clock::now().time_since_epoch())
-                             .count());
+    auto since_epoch = std::chrono::steady_clock::now().time_since_epoch();
+    return std::uint64_t(std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count());
+}
+
+// Whether it should not wait for further requests.
+bool is_urgent(const WriteRequest& request) {
+    const auto* write = std::get_if<WriteBatch>(&request);
+    return !write || write->strict;
+}
+
+std::size_t payload_bytes(const WriteRequest& request) {
+    const auto* write = std::get_if<WriteBatch>(&request);
+    if (!write) return 0;
+    std::size_t bytes = 0;
+    for (const Record& record : write->batch.records) bytes += record.key.size() + record.value.size();
+    return bytes;
+}
+
+std::string log_line(const StoreEvent& event) {
+    if (const auto* failing = std::get_if<WritesFailing>(&event))
+        return "nothing is written any more, served from memory: " + failing->text;
+    if (std::holds_alternative<WritesRetryable>(event)) return "trying to write again";
+    if (const auto* fault = std::get_if<LogFault>(&event)) return fault->text;
+    return "";
 }
 }  // namespace
 
 struct StoreThread::Queues {
-    moodycamel::BlockingConcurrentQueue<WriteRequest> orders;
+    moodycamel::BlockingConcurrentQueue<WriteRequest> requests;
     moodycamel::ConcurrentQueue<StoreEvent> events;
     // One token each: with one thread at either end, order is kept.
-    moodycamel::ProducerToken order_token{orders}, store_event_token{events};
+    moodycamel::ProducerToken request_token{requests};
+    moodycamel::ProducerToken event_token{events};
 };
 
 StoreThread::StoreThread(std::unique_ptr<Environment> environment, OpenOptions options,
@@ -33,59 +60,59 @@
 
 std::unique_ptr<StoreThread> StoreThread::open(std::unique_ptr<Environment> environment, OpenOptions options,
                                                std::uint64_t now_ms, std::function<void()> wake,
-                                               Recovered& found, std::string& why) {
+                                               RecoveryResult& found, OpenError& error) {
     std::unique_ptr<StoreThread> self(new StoreThread(std::move(environment), options, std::move(wake)));
-    if (IoStatus s = self->environment_->lock(self->lock_); !s.ok()) {
-        why = s.code == EWOULDBLOCK ? "another process has it open" : s.text();
+    if (IoStatus status = self->environment_->lock(self->lock_); !status.ok()) {
+        error = status.is(std::errc::operation_would_block)
+                    ? OpenError{OpenError::Kind::locked, "another process has it open"}
+                    : OpenError{OpenError::Kind::unusable, status.text()};
         return nullptr;
     }
     found = recover_frames(*self->environment_, options.salvage,
-                           [&](const std::vector<RecordView>& records, std::uint64_t first) {
-                               self->store_.load(records, first);
+                           [&](const std::vector<RecordView>& records, std::uint64_t first_sequence) {
+                               self->store_.load(records, first_sequence);
                            });
     if (!found.usable()) {
-        why = found.findings.empty() ? found.status.text() : found.findings.back().text();
+        error.kind = OpenError::Kind::unusable;
+        error.text = found.findings.empty() ? found.status.text() : found.findings.back().text();
         return nullptr;
     }
     self->store_.begin(found, now_ms);
-    if (IoStatus s = self->log_worker_.begin(found, options.new_store_number); !s.ok()) {
-        why = s.text();
+    if (IoStatus status = self->log_worker_.begin(found, options.new_store_number); !status.ok()) {
+        error = {OpenError::Kind::unusable, status.text()};
         return nullptr;
     }
     if (found.salvaged) self->store_.rewrite();
-    self->live_ = self->store_.live_bytes();
+    self->live_bytes_ = self->store_.live_bytes();
     self->thread_ = std::thread([raw = self.get()] { raw->run(); });
     return self;
 }
 
 StoreThread::~StoreThread() {
     stop_ = true;
-    if (thread_.joinable()) {
-        WriteRequest last;
-        last.kind = WriteRequest::Kind::close;
-        queues_->orders.enqueue(std::move(last));
-        thread_.join();
-    }
+    if (!thread_.joinable()) return;
+    queues_->requests.enqueue(CloseLog{});  // wakes it
+    thread_.join();
 }
 
+// ---- the owner's thread --------------------------------------------------------------------------
+
 void StoreThread::flush() {
-    if (!store_.has_orders()) return;
-    live_.store(store_.live_bytes(), std::memory_order_relaxed);
-    auto orders = store_.orders();
-    queues_->orders.enqueue_bulk(queues_->order_token, std::make_move_iterator(orders.begin()),
-                                 orders.size());
+    if (!store_.has_write_requests()) return;
+    live_bytes_.store(store_.live_bytes(), std::memory_order_relaxed);
+    auto requests = store_.take_write_requests();
+    queues_->requests.enqueue_bulk(queues_->request_token, std::make_move_iterator(requests.begin()),
+                                   requests.size());
 }
 
 std::vector<std::string> StoreThread::poll() {
     std::vector<std::string> lines;
-    StoreEvent n;
-    while (queues_->events.try_dequeue_from_producer(queues_->store_event_token, n)) {
-        if (n.kind == StoreEvent::Kind::failing)
-            lines.push_back("nothing is written any more, served from memory: " + n.text);
-        if (n.kind == StoreEvent::Kind::able) lines.push_back("trying to write again");
-        if (n.kind == StoreEvent::Kind::trouble) lines.push_back(n.text);
-        store_.events(std::move(n));
-        n = StoreEvent{};
+    StoreEvent event;
+    while (queues_->events.try_dequeue_from_producer(queues_->event_token, event)) {
+        std::string line = log_line(event);
+        if (!line.empty()) lines.push_back(std::move(line));
+        store_.handle(std::move(event));
+        event = StoreEvent{};
     }
     flush();
     return lines;
@@ -99,43 +126,50 @@
     poll();
 }
 
-void StoreThread::run() {
+// ---- the log's thread ----------------------------------------------------------------------------
+
+// The first request and those that come within the sync interval. Whatever is taken from the queue is in the
+// group before the group is found large enough: no request is lost in between.
+std::vector<WriteRequest> StoreThread::gather(WriteRequest first) {
+    using Clock = std::chrono::steady_clock;
+    auto deadline = Clock::now() + std::chrono::microseconds(options_.sync_interval_us);
     std::vector<WriteRequest> gathered;
+    bool urgent = false;
+    std::size_t bytes = 0;
+    WriteRequest request = std::move(first);
+    for (;;) {
+        urgent = urgent || is_urgent(request);
+        bytes += payload_bytes(request);
+        gathered.push_back(std::exchange(request, {}));
+        if (bytes >= kMaxGatheredBytes) return gathered;
+        if (queues_->requests.try_dequeue(request)) continue;
+        auto left = std::chrono::duration_cast<std::chrono::microseconds>(deadline - Clock::now());
+        if (urgent || left.count() <= 0) return gathered;
+        if (!queues_->requests.wait_dequeue_timed(request, left.count())) return gathered;
+    }
+}
+
+void StoreThread::publish(std::vector<StoreEvent>& events) {
+    if (events.empty()) return;
+    for (StoreEvent& event : events) queues_->events.enqueue(queues_->event_token, std::move(event));
+    events.clear();
+    if (wake_) wake_();
+}
+
+void StoreThread::run() {
     std::vector<StoreEvent> events;
-    std::uint64_t tick_ms = 1;
+    std::uint64_t tick_ms = kFirstTickMs;
     while (!log_worker_.closed() && !stop_) {
-        WriteRequest order;
-        bool some = queues_->orders.wait_dequeue_timed(order, std::int64_t(tick_ms) * 1000);
-        if (some) {
-            auto deadline =
-                std::chrono::steady_clock::now() + std::chrono::microseconds(options_.sync_interval_us);
-            bool hurry = false;
-            std::size_t bytes = 0;
-            // Whatever is taken from the queue is in the group before the group is found large enough:
-            // nothing is left in the hand.
-            for (;;) {
-                hurry = hurry || order.strict || order.kind != WriteRequest::Kind::batch;
-                for (const Record& r : order.batch.records) bytes += r.key.size() + r.value.size();
-                gathered.push_back(std::move(order));
-                order = WriteRequest{};
-                if (bytes >= (4u << 20)) break;
-                if (queues_->orders.try_dequeue(order)) continue;
-                auto left = std::chrono::duration_cast<std::chrono::microseconds>(
-                    deadline - std::chrono::steady_clock::now());
-                if (hurry || left.count() <= 0 || !queues_->orders.wait_dequeue_timed(order, left.count()))
-                    break;
-            }
+        WriteRequest request;
+        if (queues_->requests.wait_dequeue_timed(request, std::chrono::milliseconds(tick_ms))) {
+            std::vector<WriteRequest> group = gather(std::move(request));
             if (stop_) return;
-            log_worker_.carry(std::move(gathered), live_.load(std::memory_order_relaxed), steady_ms(),
-                              events);
-            gathered.clear();
+            log_worker_.process(std::move(group), live_bytes_.load(std::memory_order_relaxed), steady_ms(),
+                                events);
         }
-        tick_ms = std::max<std::uint64_t>(
-            1, log_worker_.tick(live_.load(std::memory_order_relaxed), steady_ms(), events));
-        if (events.empty()) continue;
-        for (StoreEvent& n : events) queues_->events.enqueue(queues_->store_event_token, std::move(n));
-        events.clear();
-        if (wake_) wake_();
+        std::uint64_t live_bytes = live_bytes_.load(std::memory_order_relaxed);
+        tick_ms = std::max<std::uint64_t>(1, log_worker_.tick(live_bytes, steady_ms(), events));
+        publish(events);
     }
 }
 
--- a/tests/program/persistent_state_test.cpp
+++ b/tests/program/persistent_state_test.cpp
@@ -130,9 +130,9 @@
     REQUIRE(store::open_folder(folder.path, environment).ok());
     std::set<std::uint64_t> sessions;
     auto found = store::recover(*environment, false, [&](store::Record&& r, std::uint64_t) {
-        if (r.space == store::Space::positions) sessions.insert(store::read_position_key(r.key).value_or(0));
+        if (r.space == store::Space::positions) sessions.insert(store::parse_position_key(r.key).value_or(0));
     });
-    CHECK(found.outcome == store::Recovered::Outcome::whole);
+    CHECK(found.outcome == store::RecoveryResult::Outcome::complete);
     for (std::uint64_t s : {7, 8, 9}) CHECK(sessions.count(s));
 }
 
--- a/tests/store/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -115,7 +115,7 @@
         rig.carry();
     }
     Rig again(disk, 3'000);
-    CHECK(again.found.outcome == Recovered::Outcome::whole);
+    CHECK(again.found.outcome == RecoveryResult::Outcome::complete);
     CHECK(again.store.get(Space::hosts, "s-1") == "out");
     CHECK_FALSE(again.store.get(Space::hosts, "s-2"));
     CHECK(again.store.position(7) == 70);
@@ -147,9 +147,9 @@
             rig.carry();
             if (step > 200)
                 REQUIRE(rig.log_worker.writer().bytes() <
-                        2.4 * double(rig.store.live_bytes()) + 4 * options.writer.segment);
+                        2.4 * double(rig.store.live_bytes()) + 4 * options.writer.segment_bytes);
         }
-        CHECK(rig.log_worker.writer().counts().dropped > 0);
+        CHECK(rig.log_worker.writer().counts().segments_dropped > 0);
     }
 }
 
@@ -268,47 +268,48 @@
         for (auto& [name, bytes] : files) copy.set_file(name, bytes);
         spoil(copy);
         auto before = copy.files();
-        Recovered r = recover(copy, false, [](Record&&, std::uint64_t) {});
+        RecoveryResult r = recover(copy, false, [](Record&&, std::uint64_t) {});
         CHECK(copy.files() == before);  // and nothing was changed
         return r;
     };
     auto r = outcome([&](auto& d) { d.remove_file(segment); });
-    CHECK(r.outcome == Recovered::Outcome::damaged);
+    CHECK(r.outcome == RecoveryResult::Outcome::damaged);
     CHECK(r.findings[0].file == segment);
-    CHECK(outcome([&](auto& d) { d.remove_file("MANIFEST"); }).outcome == Recovered::Outcome::damaged);
+    CHECK(outcome([&](auto& d) { d.remove_file("MANIFEST"); }).outcome == RecoveryResult::Outcome::damaged);
     CHECK(outcome([&](auto& d) { d.set_file("MANIFEST", "nonsense"); }).outcome ==
-          Recovered::Outcome::damaged);
+          RecoveryResult::Outcome::damaged);
     Manifest m;
-    std::size_t at;
-    REQUIRE(decode(files["MANIFEST"], m, at) == Read::well);
+    std::size_t damaged_at = 0;
+    REQUIRE(decode(files["MANIFEST"], m, damaged_at) == DecodeResult::ok);
     Manifest other = m;
     ++other.store;
     r = outcome([&](auto& d) { d.set_file("MANIFEST", encode(other)); });
-    CHECK(r.outcome == Recovered::Outcome::damaged);
+    CHECK(r.outcome == RecoveryResult::Outcome::damaged);
     CHECK(r.findings[0].what.find("another store") != std::string::npos);
     std::string newer = files["MANIFEST"];
     newer[8] = 9;
     newer.resize(newer.size() - 8);
     newer += encode_u64(checksum(newer));
-    CHECK(outcome([&](auto& d) { d.set_file("MANIFEST", newer); }).outcome == Recovered::Outcome::newer);
+    CHECK(outcome([&](auto& d) { d.set_file("MANIFEST", newer); }).outcome ==
+          RecoveryResult::Outcome::newer_version);
     // Salvage keeps what is provable and says what it dropped.
     FaultEnvironment copy;
     for (auto& [name, bytes] : files) copy.set_file(name, bytes);
     copy.remove_file(segment);
     std::size_t kept = 0;
-    Recovered salvaged = recover(copy, true, [&](Record&&, std::uint64_t) { ++kept; });
+    RecoveryResult salvaged = recover(copy, true, [&](Record&&, std::uint64_t) { ++kept; });
     CHECK(salvaged.usable());
     CHECK(salvaged.findings.size() == 1);
     CHECK(kept > 0);
     CHECK(kept < 60);
 
-    Recovered found;
-    std::string why;
+    RecoveryResult found;
+    OpenError error;
     auto folder = std::make_unique<FaultEnvironment>();
-    std::unique_ptr<Lock> held;
-    folder->lock(held, true);
-    CHECK_FALSE(StoreThread::open(std::move(folder), {}, 0, {}, found, why));
-    CHECK(why == "another process has it open");
+    std::unique_ptr<FolderLock> held;
+    REQUIRE(folder->lock(held, true).ok());
+    CHECK_FALSE(StoreThread::open(std::move(folder), {}, 0, {}, found, error));
+    CHECK(error.text == "another process has it open");
 }
 
 // Found by fuzzing: a salvaged store was sealed as it was, so that the next start refused it again. What is
@@ -329,18 +330,18 @@
         if (how == 1) folder->set_file("MANIFEST", "nonsense");
         if (how == 2) {
             std::string malformed = last->second;
-            malformed[kHeader + 60] = char(~malformed[kHeader + 60]);
+            malformed[kSegmentHeaderBytes + 60] = char(~malformed[kSegmentHeaderBytes + 60]);
             folder->set_file(last->first, malformed);
         }
         REQUIRE(recover(*folder, false, [](Record&&, std::uint64_t) {}).outcome ==
-                Recovered::Outcome::damaged);
-        Recovered found;
-        std::string why;
+                RecoveryResult::Outcome::damaged);
+        RecoveryResult found;
+        OpenError error;
         OpenOptions options;
         options.salvage = true;
         FaultEnvironment* disk = folder.get();
-        auto thread = StoreThread::open(std::move(folder), options, 0, {}, found, why);
-        REQUIRE_MESSAGE(thread, why);
+        auto thread = StoreThread::open(std::move(folder), options, 0, {}, found, error);
+        REQUIRE_MESSAGE(thread, error.text);
         CHECK(found.salvaged);
         std::size_t kept = thread->store().size();
         CHECK(kept >= (how == 1 ? 60 : 20));
@@ -349,7 +350,7 @@
         auto after = disk->crash([](std::size_t) { return std::size_t(0); });
         thread.reset();
         Rig rig(*after);
-        CHECK(rig.found.outcome == Recovered::Outcome::whole);
+        CHECK(rig.found.outcome == RecoveryResult::Outcome::complete);
         CHECK(rig.store.size() == kept + 1);
     }
 }
@@ -378,7 +379,7 @@
                 if (auto it = later.find(name); it != later.end()) copied.set_file(name, it->second);
             }
             Store store;
-            Recovered r =
+            RecoveryResult r =
                 recover(copied, false, [&](Record&& x, std::uint64_t s) { store.load(std::move(x), s); });
             if (!r.usable()) {
                 ++refused;
@@ -405,7 +406,7 @@
     Store store(3);
     for (std::uint64_t i = 0; i < 300000; ++i) store.put_position(i, i, 100'000 + i % 1000);
     for (std::uint64_t i = 0; i < 10; ++i) store.put_position(i, i, 10'000'000);
-    store.orders();
+    store.take_write_requests();
     std::size_t before = store.sessions().bytes();
     for (std::uint64_t now = 0; now <= 256'000; now += 1000) store.expire(now);
     CHECK(store.sessions().size() == 10);
@@ -429,11 +430,11 @@
 TEST_CASE("on a thread: strict records are told of, the rest follows, closing leaves all on disk") {
     auto folder = std::make_unique<FaultEnvironment>();
     FaultEnvironment* disk = folder.get();
-    Recovered found;
-    std::string why;
+    RecoveryResult found;
+    OpenError error;
     std::map<std::string, std::string> files;
     {
-        auto thread = StoreThread::open(std::move(folder), {}, 0, {}, found, why);
+        auto thread = StoreThread::open(std::move(folder), {}, 0, {}, found, error);
         REQUIRE(thread);
         for (int i = 0; i < 5000; ++i) {
             thread->store().put_position(std::uint64_t(i), 5, 0);
@@ -461,9 +462,9 @@
 TEST_CASE("on a thread: more than a group holds, at once, is all on disk in the end") {
     auto folder = std::make_unique<FaultEnvironment>();
     FaultEnvironment* disk = folder.get();
-    Recovered found;
-    std::string why;
-    auto thread = StoreThread::open(std::move(folder), {}, 0, {}, found, why);
+    RecoveryResult found;
+    OpenError error;
+    auto thread = StoreThread::open(std::move(folder), {}, 0, {}, found, error);
     REQUIRE(thread);
     for (int i = 0; i < 12000; ++i)
         thread->store().put(Space::hosts, "h" + std::to_string(i), std::string(1000, char('a' + i % 26)));
@@ -479,24 +480,26 @@
 
 TEST_CASE("the floor: what each way to end lets the next start trust") {
     constexpr std::uint64_t now = 1'000'000'000, slack = 100'000, keep = 600'000'000;
-    auto level = [&](Found f) { return decide(f, now, slack, keep).level; };
-    Found f;
-    CHECK(level(f) == Floor::Level::present);
-    f.store = true, f.clean = true;
-    CHECK(level(f) ==
-          Floor::Level::present);  // another boot: one that wrote nothing down may have served since
-    f.same_boot = true;
-    CHECK(level(f) == Floor::Level::none);
-    f.clean = false;
-    CHECK(level(f) == Floor::Level::open_writes);
-    f.witness = Witness::uncovered, f.lease_us = now - 3'000'000;
-    CHECK(decide(f, now, slack, keep).floor_us == now - 3'000'000 + slack);
-    f.witness = Witness::lapsed;
-    CHECK(decide(f, now, slack, keep).floor_us == now + slack);
-    f.salvaged = true, f.witness = Witness::none;
-    CHECK(level(f) == Floor::Level::present);
-    f.salvaged = false, f.latest_us = now + 5'000'000;  // the clock has stepped back since
-    CHECK(decide(f, now, slack, keep).open_us >= now + 5'000'000);
+    auto level = [&](const PreviousRun& run) { return decide_floor(run, now, slack, keep).level; };
+    PreviousRun previous;
+    CHECK(level(previous) == PositionFloor::Level::present);
+    previous.recovered = true;
+    previous.closed = true;
+    CHECK(level(previous) ==
+          PositionFloor::Level::present);  // another boot: one that wrote nothing down may have served since
+    previous.same_boot = true;
+    CHECK(level(previous) == PositionFloor::Level::none);
+    previous.closed = false;
+    CHECK(level(previous) == PositionFloor::Level::open_writes);
+    previous.marker = CrashMarker::within_lease, previous.lease_us = now - 3'000'000;
+    CHECK(decide_floor(previous, now, slack, keep).floor_us == now - 3'000'000 + slack);
+    previous.marker = CrashMarker::beyond_lease;
+    CHECK(decide_floor(previous, now, slack, keep).floor_us == now + slack);
+    previous.salvaged = true, previous.marker = CrashMarker::none;
+    CHECK(level(previous) == PositionFloor::Level::present);
+    previous.salvaged = false,
+    previous.latest_commit_us = now + 5'000'000;  // the clock has stepped back since
+    CHECK(decide_floor(previous, now, slack, keep).open_write_us >= now + 5'000'000);
 }
 
 // Sessions write and read through crashes at any moment, by kill and by power, with disks that stall or fail.
@@ -507,7 +510,7 @@
     for (std::uint64_t seed = 1; seed <= 120; ++seed) {
         std::mt19937_64 random(seed);
         auto disk = std::make_unique<FaultEnvironment>();
-        Witness witness = Witness::none;
+        CrashMarker witness = CrashMarker::none;
         std::map<std::uint64_t, std::uint64_t> told;  // session: latest commit that its client has heard of
         std::uint64_t now = 1'000'000'000;
         std::string boot = "b1";
@@ -518,12 +521,12 @@
             };
             Rig rig(*disk, now / 1000);
             if (!rig.usable) break;
-            Positions positions(rig.store, {}, [&](Witness w) {
+            Positions positions(rig.store, {}, [&](CrashMarker w) {
                 witness = w;
                 return true;
             });
-            auto start =
-                positions.start(rig.found.outcome != Recovered::Outcome::fresh, false, witness, boot, now);
+            auto start = positions.start(rig.found.outcome != RecoveryResult::Outcome::no_store, false,
+                                         witness, boot, now);
             ++by_level[std::size_t(start.floor.level)];
             std::map<std::uint64_t, std::uint64_t> needs(start.commits.begin(), start.commits.end());
             for (auto& [session, commit] : told) {
@@ -539,14 +542,14 @@
                 now += random() % 20'000;
                 std::uint64_t session = random() % 30;
                 if (in_hand.insert(session).second) {
-                    positions.begun(session, now);
+                    positions.write_started(session, now);
                 } else {
                     if (random() % 4) {  // its commit, heard of; the client is told after committed()
                         std::uint64_t commit = now - random() % 2000;
-                        positions.committed(session, commit, now);
+                        positions.write_committed(session, commit, now);
                         told[session] = std::max(told[session], commit);
                     }
-                    positions.ended(session, now);
+                    positions.write_ended(session, now);
                     in_hand.erase(session);
                 }
                 positions.tick(now);
@@ -556,15 +559,15 @@
             switch (random() % 4) {
                 case 0:  // power
                     next = disk->crash([&](std::size_t n) { return std::size_t(random() % n); });
-                    witness = Witness::none;  // scratch is gone with the machine
+                    witness = CrashMarker::none;  // scratch is gone with the machine
                     boot = "b" + std::to_string(random());
                     now += 20'000'000;
                     break;
                 case 1:  // closed
-                    for (std::uint64_t s : in_hand) positions.ended(s, now);
+                    for (std::uint64_t s : in_hand) positions.write_ended(s, now);
                     fails = false;
                     rig.pass(10'000);
-                    positions.closed();
+                    positions.mark_closed();
                     rig.carry(now / 1000);
                     next = disk->kill();
                     break;
@@ -590,14 +593,14 @@
     for (std::uint64_t lag_ms : {20, 1000, 4000}) {
         struct Way {
             const char* name;
-            Witness witness;
+            CrashMarker witness;
             bool store;
             double share = 0;
             int stale = 0;
-        } ways[] = {{"writes in hand", Witness::none, true},
-                    {"lease", Witness::uncovered, true},
-                    {"plain floor", Witness::lapsed, true},
-                    {"no store", Witness::none, false}};
+        } ways[] = {{"writes in hand", CrashMarker::none, true},
+                    {"lease", CrashMarker::within_lease, true},
+                    {"plain floor", CrashMarker::beyond_lease, true},
+                    {"no store", CrashMarker::none, false}};
         for (Way& way : ways) {
             std::mt19937_64 random(lag_ms);
             FaultEnvironment disk;
@@ -605,13 +608,13 @@
             std::map<std::uint64_t, std::uint64_t> told;
             {
                 Rig rig(disk, now / 1000, {});
-                Positions positions(rig.store, {}, [](Witness) { return true; });
-                positions.start(false, false, Witness::none, "b", now);
+                Positions positions(rig.store, {}, [](CrashMarker) { return true; });
+                positions.start(false, false, CrashMarker::none, "b", now);
                 std::map<std::uint64_t, std::uint64_t> ends;
                 for (int step = 0; step < 8000; ++step, now += 1250) {
                     std::uint64_t session = random() % 400;
                     if (random() % 5 == 0 && !ends.count(session)) {
-                        positions.begun(session, now);
+                        positions.write_started(session, now);
                         ends[session] = now + 50'000;
                     }
                     for (auto it = ends.begin(); it != ends.end();) {
@@ -619,9 +622,9 @@
                             ++it;
                             continue;
                         }
-                        positions.committed(it->first, now - 1000, now);
+                        positions.write_committed(it->first, now - 1000, now);
                         told[it->first] = now - 1000;
-                        positions.ended(it->first, now);
+                        positions.write_ended(it->first, now);
                         it = ends.erase(it);
                     }
                     positions.tick(now);
@@ -631,7 +634,7 @@
             now += 1'000'000;
             auto after = disk.kill();
             Rig rig(*after, now / 1000, {});
-            Positions positions(rig.store, {}, [](Witness) { return true; });
+            Positions positions(rig.store, {}, [](CrashMarker) { return true; });
             auto start = positions.start(true, false, way.witness, "b", now);
             std::map<std::uint64_t, std::uint64_t> needs(start.commits.begin(), start.commits.end());
             std::uint64_t floor = start.floor.floor_us;
--- a/tests/store/store_torture.cpp
+++ b/tests/store/store_torture.cpp
@@ -19,12 +19,12 @@
     for (auto& [name, content] : specimen.files) bytes += content.size();
     std::printf("%zu files, %llu bytes, %zu threads\n", specimen.files.size(),
                 static_cast<unsigned long long>(bytes), threads);
-    std::vector<Specimen::Result> results(threads);
+    std::vector<Specimen::AttemptResult> results(threads);
     std::vector<std::thread> all;
     for (std::size_t i = 0; i < threads; ++i)
         all.emplace_back([&, i] { results[i] = specimen.torture(i, threads); });
     for (auto& t : all) t.join();
-    Specimen::Result sum;
+    Specimen::AttemptResult sum;
     for (auto& r : results) {
         sum.tried += r.tried, sum.refused += r.refused, sum.earlier += r.earlier;
         sum.whole += r.whole, sum.wrong += r.wrong;
--- a/tests/support/store_rig.hpp
+++ b/tests/support/store_rig.hpp
@@ -10,20 +10,21 @@
 
 #include "store/fault_environment.hpp"
 #include "store/log_worker.hpp"
+#include "store/store.hpp"
 
 namespace indigovane::store {
 
 inline LogWorker::Options small_options() {
     LogWorker::Options o;
-    o.writer.segment = 512;
-    o.compact_per_second = 1u << 30;
+    o.writer.segment_bytes = 512;
+    o.compact_bytes_per_second = 1u << 30;
     return o;
 }
 
 struct Rig {
     FaultEnvironment& disk;
     Store store;
-    Recovered found;
+    RecoveryResult found;
     LogWorker log_worker;
     std::uint64_t now_ms;
     bool usable = false;
@@ -41,10 +42,11 @@
         now_ms = std::max(now_ms, now);
         for (int round = 0; round < 200; ++round) {
             std::vector<StoreEvent> events;
-            if (store.has_orders()) log_worker.carry(store.orders(), store.live_bytes(), now_ms, events);
+            if (store.has_write_requests())
+                log_worker.process(store.take_write_requests(), store.live_bytes(), now_ms, events);
             log_worker.tick(store.live_bytes(), now_ms, events);
-            if (events.empty() && !store.has_orders()) return;
-            for (StoreEvent& n : events) store.events(std::move(n));
+            if (events.empty() && !store.has_write_requests()) return;
+            for (StoreEvent& event : events) store.handle(std::move(event));
         }
     }
     void pass(std::uint64_t ms) {
@@ -53,7 +55,7 @@
     std::map<std::string, std::string> state() const { return state_of(store); }
     static std::map<std::string, std::string> state_of(const Store& store) {
         std::map<std::string, std::string> out;
-        for (std::size_t i = 0; i < kSpaces; ++i)
+        for (std::size_t i = 0; i < kSpaceCount; ++i)
             store.each(Space(i), [&](const std::string& key, const std::string& value) {
                 out[std::string(name(Space(i))) + "/" + key] = value;
             });
@@ -104,7 +106,7 @@
     // After a crash the state is one that there was, no earlier than what was acknowledged.
     void check(FaultEnvironment& after) const {
         Store store;
-        Recovered found = recover(
+        RecoveryResult found = recover(
             after, false, [&](Record&& r, std::uint64_t sequence) { store.load(std::move(r), sequence); });
         REQUIRE_MESSAGE(found.usable(),
                         (found.findings.empty() ? found.status.text() : found.findings.back().text()));
@@ -141,8 +143,8 @@
     Specimen(int batches, std::size_t value, std::size_t segment) {
         FaultEnvironment disk;
         LogWorker::Options options;
-        options.writer.segment = segment;
-        options.amplification = 1000;
+        options.writer.segment_bytes = segment;
+        options.max_amplification = 1000;
         Rig rig(disk, 0, options);
         states.insert(rig.state());
         std::mt19937_64 random(9);
@@ -171,12 +173,12 @@
         std::map<std::string, std::string> whole;
         auto look = [&](bool harmed) {
             Store store;
-            Recovered found = recover(
+            RecoveryResult found = recover(
                 disk, false, [&](Record&& r, std::uint64_t sequence) { store.load(std::move(r), sequence); });
             ++out.tried;
-            if (!found.usable() || found.outcome == Recovered::Outcome::fresh) {
+            if (!found.usable() || found.outcome == RecoveryResult::Outcome::no_store) {
                 ++out.refused;
-                if (found.findings.empty() && found.outcome != Recovered::Outcome::fresh) ++out.wrong;
+                if (found.findings.empty() && found.outcome != RecoveryResult::Outcome::no_store) ++out.wrong;
                 return;
             }
             auto state = Rig::state_of(store);
