--- a/src/store/compaction_reader.cpp
+++ b/src/store/compaction_reader.cpp
@@ -20,8 +20,8 @@
     chunk = {};
     if (segment_ != segment.number)
         if (IoStatus status = open(environment, segment); !status.ok()) return status;
-    std::size_t taken = 0;
-    while (offset_ < contents_.size() && taken < bytes) {
+    std::size_t read_bytes = 0;
+    while (offset_ < contents_.size() && read_bytes < bytes) {
         auto frame = decode_frame(std::string_view(contents_).substr(std::size_t(offset_)), store, offset_);
         std::vector<Record> records;
         if (!frame || !decode_records(*frame, records))
@@ -29,7 +29,7 @@
         std::uint64_t sequence = frame->sequence;
         for (Record& record : records) chunk.records.emplace_back(std::move(record), sequence++);
         offset_ += frame->size();
-        taken += frame->size();
+        read_bytes += frame->size();
     }
     chunk.last = offset_ >= contents_.size();
     return {};
--- a/src/store/fault_environment.cpp
+++ b/src/store/fault_environment.cpp
@@ -27,27 +27,26 @@
         int error = owner_.step(FaultEnvironment::Step::sync, name_);
         if (owner_.out_of_power()) return {EIO, "no power"};
         if (error) {
-            // What was loose may be lost for good, and stays so whatever comes after.
-            node_->given_up = true;
+            // What was not synced may be lost for good, whatever comes after.
+            node_->sync_failed = true;
             return {error, "sync " + name_};
         }
-        ++owner_.syncs;
-        if (node_->given_up) return {};  // as kernels do: the next sync succeeds, though the pages are gone
-        for (const auto& w : node_->loose) owner_.synced_bytes += w.bytes.size();
-        node_->synced = node_->all;
-        node_->loose.clear();
+        if (node_->sync_failed) return {};  // as kernels do: it succeeds, though the pages are gone
+        node_->synced = node_->contents;
+        node_->unsynced.clear();
         return {};
     }
-    IoStatus read(std::uint64_t at, std::size_t length, std::string& out) override {
-        out = at < node_->all.size() ? node_->all.substr(std::size_t(at), length) : std::string();
+    IoStatus read(std::uint64_t offset, std::size_t length, std::string& out) override {
+        bool inside = offset < node_->contents.size();
+        out = inside ? node_->contents.substr(std::size_t(offset), length) : std::string();
         return {};
     }
-    std::uint64_t size() const override { return node_->all.size(); }
+    std::uint64_t size() const override { return node_->contents.size(); }
 
   private:
     void write(std::string_view bytes) {
-        node_->loose.push_back({node_->all.size(), std::string(bytes)});
-        node_->all += bytes;
+        node_->unsynced.push_back({node_->contents.size(), std::string(bytes)});
+        node_->contents += bytes;
     }
     FaultEnvironment& owner_;
     std::shared_ptr<FaultEnvironment::Node> node_;
@@ -59,34 +58,34 @@
     return fail ? fail(what, name) : 0;
 }
 
-IoStatus FaultEnvironment::create(const std::string& name, std::unique_ptr<File>& out) {
+IoStatus FaultEnvironment::create(const std::string& name, std::unique_ptr<File>& file) {
     int error = step(Step::create, name);
     if (out_of_power()) return {EIO, "no power"};
     if (error) return {error, "create " + name};
     auto node = std::make_shared<Node>();
-    now_[name] = node;
-    loose_.push_back({Change::Kind::create, "", name, node});
-    out = std::make_unique<FaultFile>(*this, node, name);
+    current_[name] = node;
+    unsynced_changes_.push_back({FolderChange::Kind::create, "", name, node});
+    file = std::make_unique<FaultFile>(*this, node, name);
     return {};
 }
 
-IoStatus FaultEnvironment::open(const std::string& name, std::unique_ptr<File>& out) {
-    auto it = now_.find(name);
-    if (it == now_.end()) return {ENOENT, "open " + name};
-    out = std::make_unique<FaultFile>(*this, it->second, name);
+IoStatus FaultEnvironment::open(const std::string& name, std::unique_ptr<File>& file) {
+    auto it = current_.find(name);
+    if (it == current_.end()) return {ENOENT, "open " + name};
+    file = std::make_unique<FaultFile>(*this, it->second, name);
     return {};
 }
 
 IoStatus FaultEnvironment::rename(const std::string& from, const std::string& to) {
     int error = step(Step::rename, from);
     if (out_of_power()) return {EIO, "no power"};
-    auto it = now_.find(from);
-    if (it == now_.end()) return {ENOENT, "rename " + from};
+    auto it = current_.find(from);
+    if (it == current_.end()) return {ENOENT, "rename " + from};
     if (error) return {error, "rename " + from};
     auto node = it->second;
-    now_.erase(it);
-    now_[to] = node;
-    loose_.push_back({Change::Kind::rename, from, to, node});
+    current_.erase(it);
+    current_[to] = node;
+    unsynced_changes_.push_back({FolderChange::Kind::rename, from, to, node});
     return {};
 }
 
@@ -94,8 +93,8 @@
     int error = step(Step::remove, name);
     if (out_of_power()) return {EIO, "no power"};
     if (error) return {error, "remove " + name};
-    if (!now_.erase(name)) return {ENOENT, "remove " + name};
-    loose_.push_back({Change::Kind::remove, name, "", nullptr});
+    if (!current_.erase(name)) return {ENOENT, "remove " + name};
+    unsynced_changes_.push_back({FolderChange::Kind::remove, name, "", nullptr});
     return {};
 }
 
@@ -103,85 +102,88 @@
     int error = step(Step::sync_folder, "");
     if (out_of_power()) return {EIO, "no power"};
     if (error) return {error, "sync the folder"};
-    disk_ = now_;
-    loose_.clear();
+    synced_ = current_;
+    unsynced_changes_.clear();
     return {};
 }
 
 IoStatus FaultEnvironment::list(std::vector<std::string>& names) {
     names.clear();
-    for (auto& [name, node] : now_) names.push_back(name);
+    for (auto& [name, node] : current_) names.push_back(name);
     return {};
 }
 
-IoStatus FaultEnvironment::lock(std::unique_ptr<FolderLock>& out, bool) {
+IoStatus FaultEnvironment::lock(std::unique_ptr<FolderLock>& lock, bool) {
     struct OwnedLock : FolderLock {
-        explicit OwnedLock(std::shared_ptr<bool> l) : locked(std::move(l)) { *locked = true; }
+        explicit OwnedLock(std::shared_ptr<bool> flag) : locked(std::move(flag)) { *locked = true; }
         ~OwnedLock() override { *locked = false; }
         std::shared_ptr<bool> locked;
     };
     if (*locked_) return {EWOULDBLOCK, "lock"};
-    out = std::make_unique<OwnedLock>(locked_);
+    lock = std::make_unique<OwnedLock>(locked_);
     return {};
 }
 
-std::unique_ptr<FaultEnvironment> FaultEnvironment::crash(
-    const std::function<std::size_t(std::size_t)>& choose) const {
-    auto after = std::make_unique<FaultEnvironment>();
+// Each unsynced write is lost, complete, its first half, or its second half with zeros before it.
+std::string FaultEnvironment::contents_after_crash(const Node& node, const Choose& choose) {
+    enum Fate : std::size_t { lost, complete, first_half, second_half, fates };
+    std::string contents = node.synced;
+    for (const Write& write : node.unsynced) {
+        std::size_t fate = choose(fates);
+        if (fate == lost) continue;
+        auto offset = std::size_t(write.offset);
+        std::string part = write.bytes;
+        std::size_t half = part.size() / 2;
+        if (fate == first_half) part.resize(half);
+        if (fate == second_half) std::fill_n(part.begin(), half, '\0');
+        std::size_t end = offset + part.size();
+        if (contents.size() < end) contents.resize(end, '\0');
+        contents.replace(offset, part.size(), part);
+    }
+    return contents;
+}
+
+std::unique_ptr<FaultEnvironment> FaultEnvironment::crash(const Choose& choose) const {
     // The folder's changes reach the disk in order, up to any of them.
-    auto folder = disk_;
-    std::size_t done = loose_.empty() ? 0 : choose(loose_.size() + 1);
+    Folder folder = synced_;
+    std::size_t done = unsynced_changes_.empty() ? 0 : choose(unsynced_changes_.size() + 1);
     for (std::size_t i = 0; i < done; ++i) {
-        const Change& c = loose_[i];
-        if (c.kind == Change::Kind::create) folder[c.to] = c.node;
-        if (c.kind == Change::Kind::remove) folder.erase(c.from);
-        if (c.kind == Change::Kind::rename) {
-            folder.erase(c.from);
-            folder[c.to] = c.node;
-        }
+        const FolderChange& change = unsynced_changes_[i];
+        if (change.kind != FolderChange::Kind::create) folder.erase(change.from);
+        if (change.kind != FolderChange::Kind::remove) folder[change.to] = change.node;
     }
+    auto after = std::make_unique<FaultEnvironment>();
     std::map<const Node*, std::string> contents;
     for (auto& [name, node] : folder) {
-        auto [it, fresh] = contents.try_emplace(node.get(), node->synced);
-        if (fresh)
-            for (const Write& w : node->loose) {
-                std::string& bytes = it->second;
-                std::size_t how =
-                    choose(4);  // lost, whole, its first half, its second half (and zeros before it)
-                if (how == 0) continue;
-                if (bytes.size() < w.at) bytes.resize(std::size_t(w.at), '\0');
-                std::string part = w.bytes;
-                if (how == 2) part.resize(part.size() / 2);
-                if (how == 3) std::fill(part.begin(), part.begin() + std::ptrdiff_t(part.size() / 2), '\0');
-                if (bytes.size() < w.at + part.size()) bytes.resize(std::size_t(w.at) + part.size(), '\0');
-                bytes.replace(std::size_t(w.at), part.size(), part);
-            }
-        after->set_file(name, it->second);
+        if (contents.count(node.get()) == 0) contents[node.get()] = contents_after_crash(*node, choose);
+        after->set_file(name, contents[node.get()]);
     }
     return after;
 }
 
 std::unique_ptr<FaultEnvironment> FaultEnvironment::kill() const {
     auto after = std::make_unique<FaultEnvironment>();
-    for (auto& [name, node] : now_) after->set_file(name, node->all);
+    for (auto& [name, node] : current_) after->set_file(name, node->contents);
     return after;
 }
 
 std::map<std::string, std::string> FaultEnvironment::files() const {
     std::map<std::string, std::string> out;
-    for (auto& [name, node] : now_) out[name] = node->all;
+    for (auto& [name, node] : current_) out[name] = node->contents;
     return out;
 }
 
 void FaultEnvironment::set_file(const std::string& name, const std::string& bytes) {
     auto node = std::make_shared<Node>();
-    node->synced = node->all = bytes;
-    now_[name] = disk_[name] = node;
+    node->synced = bytes;
+    node->contents = bytes;
+    current_[name] = node;
+    synced_[name] = node;
 }
 
 void FaultEnvironment::remove_file(const std::string& name) {
-    now_.erase(name);
-    disk_.erase(name);
+    current_.erase(name);
+    synced_.erase(name);
 }
 
 }  // namespace indigovane::store
--- a/src/store/fault_environment.hpp
+++ b/src/store/fault_environment.hpp
@@ -1,12 +1,14 @@
 // A folder in memory that loses, tears and refuses as a bad disk does: for tests, and for whoever wants to
-// rehearse one. A crash keeps what was synced and any part of what was not: each unsynced write whole, torn
-// or lost, in any combination, each unsynced rename, creation and removal done or not, in order (as a
-// journalling file system has it).
+// rehearse a fault. A crash leaves what was synced and any part of what was not: each unsynced write
+// complete, torn or lost, in any combination; unsynced renames, creations and removals done in order up to
+// any of them (as a journalling file system has it). Used by one thread at a time.
 #pragma once
 
 #include <functional>
 #include <map>
-#include <random>
+#include <memory>
+#include <string>
+#include <vector>
 
 #include "store/environment.hpp"
 
@@ -14,24 +16,8 @@
 
 class FaultEnvironment : public Environment {
   public:
-    struct Write {
-        std::uint64_t at = 0;
-        std::string bytes;
-    };
-    struct Node {
-        std::string synced;        // what is on disk for certain
-        std::vector<Write> loose;  // since the last sync that succeeded
-        std::string all;           // what a reader sees now
-        bool given_up = false;     // a sync has failed: later ones make nothing certain
-    };
-    struct Change {  // of the folder, since it was last synced
-        enum class Kind { create, rename, remove } kind;
-        std::string from, to;
-        std::shared_ptr<Node> node;
-    };
-
-    IoStatus create(const std::string& name, std::unique_ptr<File>& out) override;
-    IoStatus open(const std::string& name, std::unique_ptr<File>& out) override;
+    IoStatus create(const std::string& name, std::unique_ptr<File>& file) override;
+    IoStatus open(const std::string& name, std::unique_ptr<File>& file) override;
     IoStatus rename(const std::string& from, const std::string& to) override;
     IoStatus remove(const std::string& name) override;
     IoStatus sync_folder() override;
@@ -39,31 +25,52 @@
     using Environment::lock;
     IoStatus lock(std::unique_ptr<FolderLock>& lock, bool create) override;
 
-    // Called before each step that changes something; an errno makes it fail. A `write` that fails leaves its
-    // first half.
-    enum class Step { create, write, sync, rename, remove, sync_folder };
+    // Called before each step that changes something; an errno makes it fail, 0 lets it go on. A write that
+    // fails leaves its first half.
+    enum class Step : std::uint8_t { create, write, sync, rename, remove, sync_folder };
     std::function<int(Step, const std::string& name)> fail;
-    // Every step counts; after `stop_at` of them nothing reaches the disk any more: the power is gone. 0:
-    // never.
-    std::uint64_t steps = 0, stop_at = 0;
+    // Every step counts; from the `stop_at`th on nothing reaches the disk: the power is gone. 0: never.
+    std::uint64_t steps = 0;
+    std::uint64_t stop_at = 0;
     bool out_of_power() const { return stop_at != 0 && steps >= stop_at; }
 
-    // What may be found after a crash now. `choose(n)` gives a number below n: all its answers together are
+    // What may be found after a crash now. `choose(n)` gives a number below n: all its answers together give
     // all states.
-    std::unique_ptr<FaultEnvironment> crash(const std::function<std::size_t(std::size_t)>& choose) const;
-    // The process dies, the machine does not: all that was written is there.
+    using Choose = std::function<std::size_t(std::size_t)>;
+    std::unique_ptr<FaultEnvironment> crash(const Choose& choose) const;
+    // What is found after the process has died and the machine has not: all that was written.
     std::unique_ptr<FaultEnvironment> kill() const;
 
     std::map<std::string, std::string> files() const;  // as readers see them
     void set_file(const std::string& name, const std::string& bytes);
     void remove_file(const std::string& name);
-    std::uint64_t synced_bytes = 0, syncs = 0;
 
   private:
     friend class FaultFile;
+    struct Write {
+        std::uint64_t offset = 0;
+        std::string bytes;
+    };
+    struct Node {
+        std::string synced;           // what is on disk for certain
+        std::vector<Write> unsynced;  // since the last sync that succeeded
+        std::string contents;         // as readers see it
+        bool sync_failed = false;     // later syncs make nothing certain
+    };
+    struct FolderChange {
+        enum class Kind : std::uint8_t { create, rename, remove } kind;
+        std::string from;
+        std::string to;
+        std::shared_ptr<Node> node;
+    };
+    using Folder = std::map<std::string, std::shared_ptr<Node>>;
+
     int step(Step what, const std::string& name);
-    std::map<std::string, std::shared_ptr<Node>> now_, disk_;  // the folder as it is; as it is on disk
-    std::vector<Change> loose_;
+    static std::string contents_after_crash(const Node& node, const Choose& choose);
+
+    Folder current_;
+    Folder synced_;
+    std::vector<FolderChange> unsynced_changes_;
     std::shared_ptr<bool> locked_ = std::make_shared<bool>(false);
 };
 
--- a/src/store/ordered_map.hpp
+++ b/src/store/ordered_map.hpp
@@ -1,35 +1,45 @@
-// String keys in order: a treap whose nodes are shared with snapshots and copied on the way to a change,
-// where a snapshot holds them. A snapshot is one pointer; it sees the map as it was, for as long as it lives,
-// and holds up nobody.
+// String keys in order: a treap (Seidel and Aragon, 1996) whose nodes are shared with snapshots, and copied
+// on the way to a change where a snapshot refers to them. A snapshot is one pointer; it sees the map as it
+// was, for as long as it lives, and delays nobody. The map is used by one thread; a snapshot may be read by
+// another.
 #pragma once
 
 #include <cstdint>
 #include <memory>
 #include <string>
 #include <string_view>
+#include <utility>
 #include <vector>
 
 namespace indigovane::store {
 
 class OrderedMap {
+  private:
+    struct Node;
+    using Link = std::shared_ptr<const Node>;
+
   public:
     struct Value {
         std::string bytes;
-        std::uint64_t sequence = 0, expires_ms = 0;
+        std::uint64_t sequence = 0;    // of its record
+        std::uint64_t expires_ms = 0;  // Unix; 0: never
     };
+
+    // Null where there is none. Valid until the next change.
     const Value* find(std::string_view key) const {
-        const Node* n = root_.get();
-        while (n) {
-            if (key == n->key) return &n->value;
-            n = key < n->key ? n->left.get() : n->right.get();
+        const Node* node = root_.get();
+        while (node) {
+            if (key == node->key) return &node->value;
+            node = key < node->key ? node->left.get() : node->right.get();
         }
         return nullptr;
     }
     void put(std::string_view key, Value value) {
-        bool fresh = false;
-        put(root_, true, key, std::move(value), fresh);
-        size_ += fresh ? 1 : 0;
+        bool inserted = false;
+        put(root_, true, key, std::move(value), inserted);
+        size_ += inserted ? 1 : 0;
     }
+    // Whether it was there.
     bool erase(std::string_view key) {
         if (!find(key)) return false;
         erase(root_, true, key);
@@ -38,98 +48,111 @@
     }
     std::size_t size() const { return size_; }
 
-    template <typename F>
-    void each(F&& f) const {
-        Snapshot{root_}.each(f);
+    class Snapshot {
+      public:
+        Snapshot() = default;
+        // Calls visit(key, value) in order of keys.
+        template <typename Visitor>
+        void each(Visitor&& visit) const {
+            std::vector<const Node*> path;
+            const Node* node = root_.get();
+            while (node || !path.empty()) {
+                for (; node; node = node->left.get()) path.push_back(node);
+                node = path.back();
+                path.pop_back();
+                visit(std::string_view(node->key), node->value);
+                node = node->right.get();
+            }
+        }
+
+      private:
+        friend class OrderedMap;
+        explicit Snapshot(Link root) : root_(std::move(root)) {}
+        Link root_;
+    };
+    Snapshot snapshot() const { return Snapshot(root_); }
+
+    template <typename Visitor>
+    void each(Visitor&& visit) const {
+        snapshot().each(visit);
     }
 
   private:
-    struct Node;
-    using Link = std::shared_ptr<const Node>;
     struct Node {
         std::string key;
         Value value;
         std::uint64_t priority = 0;
-        Link left, right;
-    };
-
-  public:
-    struct Snapshot {
-        Link root;
-        template <typename F>
-        void each(F&& f) const {  // in order of keys
-            std::vector<const Node*> path;
-            const Node* n = root.get();
-            while (n || !path.empty()) {
-                for (; n; n = n->left.get()) path.push_back(n);
-                n = path.back();
-                path.pop_back();
-                f(std::string_view(n->key), n->value);
-                n = n->right.get();
-            }
-        }
+        Link left;
+        Link right;
     };
-    Snapshot snapshot() const { return {root_}; }
 
-  private:
-    static std::uint64_t priority(
-        std::string_view key) {  // by the key alone: the same tree for the same keys
-        std::uint64_t h = 0xcbf29ce484222325u;
-        for (char c : key) h = (h ^ std::uint8_t(c)) * 0x100000001b3u;
-        h ^= h >> 29;
-        return h * 0xbf58476d1ce4e5b9u;
+    // By the key alone: the same tree for the same keys. FNV-1a, mixed.
+    static std::uint64_t priority(std::string_view key) {
+        std::uint64_t hash = 0xcbf29ce484222325u;
+        for (char c : key) hash = (hash ^ std::uint8_t(c)) * 0x100000001b3u;
+        hash ^= hash >> 29;
+        return hash * 0xbf58476d1ce4e5b9u;
     }
-    // The node itself where nobody else holds it, nor anything above it; else a copy in its place.
-    static Node& own(Link& n, bool& alone) {
-        alone = alone && n.use_count() == 1;
-        if (!alone) n = std::make_shared<Node>(*n);
-        return const_cast<Node&>(*n);
+    // The node itself where nobody else refers to it or to a node above it (`exclusive`); else a copy in its
+    // place.
+    static Node& writable(Link& link, bool& exclusive) {
+        exclusive = exclusive && link.use_count() == 1;
+        if (!exclusive) link = std::make_shared<Node>(*link);
+        return const_cast<Node&>(*link);
     }
-    static void put(Link& n, bool alone, std::string_view key, Value&& value, bool& fresh) {
-        if (!n) {
-            fresh = true;
-            auto made = std::make_shared<Node>();
-            made->key = key;
-            made->value = std::move(value);
-            made->priority = priority(key);
-            n = std::move(made);
+    static Link make_node(std::string_view key, Value&& value) {
+        auto node = std::make_shared<Node>();
+        node->key = key;
+        node->value = std::move(value);
+        node->priority = priority(key);
+        return node;
+    }
+    static void put(Link& link, bool exclusive, std::string_view key, Value&& value, bool& inserted) {
+        if (!link) {
+            inserted = true;
+            link = make_node(key, std::move(value));
             return;
         }
-        Node& node = own(n, alone);
+        Node& node = writable(link, exclusive);
         if (key == node.key) {
             node.value = std::move(value);
             return;
         }
         bool left = key < node.key;
         Link& child = left ? node.left : node.right;
-        put(child, alone, key, std::move(value), fresh);
-        if (child->priority <= node.priority) return;
-        Link top = std::move(child);  // it rises; it is ours, since it has just been changed or made
+        put(child, exclusive, key, std::move(value), inserted);
+        if (child->priority > node.priority) rotate(link, node, left);
+    }
+    // Puts the left or right child of `node` in its place. The child has just been changed or made, so nobody
+    // else refers to it.
+    static void rotate(Link& link, Node& node, bool left) {
+        Link& child = left ? node.left : node.right;
+        Link top = std::move(child);
         Node& risen = const_cast<Node&>(*top);
-        child = std::move(left ? risen.right : risen.left);
-        (left ? risen.right : risen.left) = std::move(n);
-        n = std::move(top);
+        Link& inner = left ? risen.right : risen.left;
+        child = std::move(inner);
+        inner = std::move(link);
+        link = std::move(top);
     }
-    static Link merge(Link a, Link b, bool alone) {
-        if (!a) return b;
-        if (!b) return a;
-        bool first = a->priority > b->priority;
-        Link& top = first ? a : b;
-        bool mine = alone;
-        Node& node = own(top, mine);
-        if (first)
-            node.right = merge(std::move(node.right), std::move(b), mine);
+    static Link merge(Link left, Link right, bool exclusive) {
+        if (!left) return right;
+        if (!right) return left;
+        bool left_on_top = left->priority > right->priority;
+        Link& top = left_on_top ? left : right;
+        Node& node = writable(top, exclusive);
+        if (left_on_top)
+            node.right = merge(std::move(node.right), std::move(right), exclusive);
         else
-            node.left = merge(std::move(a), std::move(node.left), mine);
+            node.left = merge(std::move(left), std::move(node.left), exclusive);
         return std::move(top);
     }
-    static void erase(Link& n, bool alone, std::string_view key) {
-        Node& node = own(n, alone);
+    static void erase(Link& link, bool exclusive, std::string_view key) {
+        Node& node = writable(link, exclusive);
         if (key == node.key) {
-            n = merge(node.left, node.right, false);
+            link = merge(node.left, node.right, false);
             return;
         }
-        erase(key < node.key ? node.left : node.right, alone, key);
+        erase(key < node.key ? node.left : node.right, exclusive, key);
     }
 
     Link root_;
