--- a/tests/limits/limits_test.cpp
+++ b/tests/limits/limits_test.cpp
@@ -2,119 +2,19 @@
 #include <doctest/doctest.h>
 
 #include <algorithm>
-#include <functional>
 #include <map>
-#include <queue>
 #include <random>
 #include <set>
 
-#include "limits/limiter.hpp"
+#include "support/limiter_simulation.hpp"
 
 namespace indigovane::limits {
 namespace {
 
-using namespace std::chrono_literals;
-constexpr Time kStart{std::chrono::seconds(1000)};
-
-Settings settings() {
-    Settings s;
-    s.enabled = true;
-    s.work = 1000ms, s.reserve = 0.25, s.queue = 1000, s.wait = 10s;
-    s.shares = {{"vilaine", 0.59}, {"rance", 0.21}, {"odet", 0.20}};
-    s.other_share = 0.05;
-    return s;
-}
-
-// A limiter in virtual time, with hosts that take the given time for each request, however many there are.
-struct Simulation {
-    Limiter limiter;
-    Time now = kStart;
-    std::uint64_t ids = 0;
-    struct Running {
-        Time ends;
-        std::uint64_t id;
-        bool operator>(const Running& other) const { return ends > other.ends; }
-    };
-    std::priority_queue<Running, std::vector<Running>, std::greater<>> running;
-    struct Request {
-        std::string tenant;
-        Duration service{}, wait{};
-        Time submitted_at{};
-        Admission admission = Admission::queue;
-        AdmissionDecision decision;
-        bool ended = false;
-    };
-    std::map<std::uint64_t, Request> requests;
-    std::map<std::string, Duration> served;  // work, by tenant
-    std::function<void(Request&)> on_end;
-
-    explicit Simulation(const Settings& s = settings()) : limiter(s) {}
-
-    std::uint64_t submit(const std::string& tenant, Duration service, std::uint64_t shape = 1,
-                         bool privileged = false, Duration client_timeout = 20s, Duration estimate = 20ms) {
-        std::uint64_t id = ++ids;
-        Request& r = requests[id];
-        r.tenant = tenant, r.service = service, r.submitted_at = now;
-        r.decision =
-            limiter.arrive({id, 1, tenant, {shape, shape}, estimate, privileged, now + client_timeout}, now);
-        apply(r.decision);
-        release_due();
-        return id;
-    }
-    void apply(const AdmissionDecision& v) {
-        Request& r = requests.at(v.id);
-        r.admission = v.admission;
-        r.decision = v;
-        if (v.admission == Admission::admit) {
-            r.wait = now - r.submitted_at;
-            running.push({now + r.service, v.id});
-        }
-        if (v.admission == Admission::reject) r.ended = true;
-    }
-    void release_due() {
-        std::vector<AdmissionDecision> due;
-        do {
-            due.clear();
-            limiter.release(now, due);
-            for (const AdmissionDecision& v : due) apply(v);
-        } while (!due.empty());
-    }
-    void run(Time until) {
-        for (;;) {
-            auto next = limiter.next();
-            Time at = running.empty() ? Time::max() : running.top().ends;
-            if (next) at = std::min(at, std::max(now, *next));
-            if (at > until) break;
-            now = std::max(now, at);
-            while (!running.empty() && running.top().ends <= now) {
-                std::uint64_t id = running.top().id;
-                running.pop();
-                auto it = requests.find(id);
-                if (it == requests.end() || it->second.ended) continue;
-                Request& r = it->second;
-                r.ended = true;
-                served[r.tenant] += r.service;
-                limiter.finish(id, Outcome::served, 100, now);
-                if (on_end) on_end(r);
-            }
-            release_due();
-        }
-        now = until;
-        release_due();
-    }
-    // Makes a shape known: what it costs is then no guess.
-    void teach(std::uint64_t shape, Duration service, int times = 12) {
-        for (int i = 0; i < times; ++i) {
-            submit("vilaine", service, shape);
-            run(now + service + 1ms);
-        }
-    }
-};
-
 TEST_CASE("with all busy each tenant has its share of the work, within 5% over any second") {
     Simulation simulation;
     simulation.teach(1, 40ms);
-    simulation.on_end = [&](Simulation::Request& r) { simulation.submit(r.tenant, 40ms); };
+    simulation.on_end = [&](Simulation::Request& request) { simulation.submit(request.tenant, 40ms); };
     for (int i = 0; i < 60; ++i)
         for (const char* t : {"vilaine", "rance", "odet"}) simulation.submit(t, 40ms);
     simulation.run(simulation.now + 2s);
@@ -135,8 +35,8 @@
     Simulation simulation;
     simulation.teach(1, 20ms);
     simulation.teach(2, 160ms);
-    simulation.on_end = [&](Simulation::Request& r) {
-        simulation.submit(r.tenant, r.service, r.service > 100ms ? 2 : 1);
+    simulation.on_end = [&](Simulation::Request& request) {
+        simulation.submit(request.tenant, request.service, request.service > 100ms ? 2 : 1);
     };
     for (int i = 0; i < 100; ++i) {
         simulation.submit("rance", 160ms, 2);
@@ -153,7 +53,7 @@
 TEST_CASE("an unused share goes to the others, and back to its tenant within a second") {
     Simulation simulation;
     simulation.teach(1, 40ms);
-    simulation.on_end = [&](Simulation::Request& r) { simulation.submit(r.tenant, 40ms); };
+    simulation.on_end = [&](Simulation::Request& request) { simulation.submit(request.tenant, 40ms); };
     for (int i = 0; i < 100; ++i) simulation.submit("rance", 40ms);  // at ten times its share
     simulation.run(simulation.now + 5s);
     CHECK(simulation.limiter.work_in_flight(1) > 700ms);  // nearly all that plain reads may have
@@ -169,7 +69,7 @@
 TEST_CASE("idling earns no credit: a tenant that becomes active does not shut the others out") {
     Simulation simulation;
     simulation.teach(1, 40ms);
-    simulation.on_end = [&](Simulation::Request& r) { simulation.submit(r.tenant, 40ms); };
+    simulation.on_end = [&](Simulation::Request& request) { simulation.submit(request.tenant, 40ms); };
     for (int i = 0; i < 60; ++i) simulation.submit("odet", 40ms);
     simulation.run(simulation.now + 60s);
     for (int i = 0; i < 200; ++i) simulation.submit("rance", 40ms);
@@ -192,7 +92,9 @@
 TEST_CASE("nobody starves: plain reads go on beside a tenant's endless writes") {
     Simulation simulation;
     simulation.teach(1, 40ms);
-    simulation.on_end = [&](Simulation::Request& r) { simulation.submit(r.tenant, 40ms, 1, true); };
+    simulation.on_end = [&](Simulation::Request& request) {
+        simulation.submit(request.tenant, 40ms, 1, true);
+    };
     for (int i = 0; i < 60; ++i) simulation.submit("rance", 40ms, 1, true);
     simulation.run(simulation.now + 1s);
     simulation.on_end = nullptr;
@@ -207,8 +109,8 @@
     Simulation simulation;
     simulation.teach(1, 10ms);
     simulation.teach(2, 240ms);
-    simulation.on_end = [&](Simulation::Request& r) {
-        if (r.service == 10ms) simulation.submit(r.tenant, 10ms, 1);
+    simulation.on_end = [&](Simulation::Request& request) {
+        if (request.service == 10ms) simulation.submit(request.tenant, 10ms, 1);
     };
     for (int i = 0; i < 300; ++i) simulation.submit("rance", 10ms, 1);
     std::uint64_t large = simulation.submit("vilaine", 240ms, 2);
@@ -219,9 +121,10 @@
 TEST_CASE(
     "what can't meet its deadline is rejected at once, what was queued too long then, both with "
     "Retry-After") {
-    Settings s = settings();
-    s.queue = 20, s.wait = 100ms;
-    Simulation simulation(s);
+    Settings settings = three_tenants();
+    settings.queue = 20;
+    settings.wait = 100ms;
+    Simulation simulation(settings);
     simulation.teach(1, 40ms);
     for (int i = 0; i < 25; ++i) simulation.submit("rance", 5s, 1);
     std::uint64_t waits = simulation.submit("rance", 40ms, 1, false, 2s);
@@ -247,8 +150,8 @@
 TEST_CASE("names that nobody knows share one share: a new name a request wins nothing") {
     Simulation simulation;
     simulation.teach(1, 40ms);
-    simulation.on_end = [&](Simulation::Request& r) {
-        simulation.submit(r.tenant == "odet" ? "odet" : "x" + std::to_string(simulation.ids), 40ms);
+    simulation.on_end = [&](Simulation::Request& request) {
+        simulation.submit(request.tenant == "odet" ? "odet" : "x" + std::to_string(simulation.ids), 40ms);
     };
     for (int i = 0; i < 100; ++i) {
         simulation.submit("odet", 40ms);
@@ -368,10 +271,10 @@
     const char* tenants[] = {"vilaine", "rance", "odet", "unnamed", ""};
     for (unsigned seed = 1; seed <= 8; ++seed) {
         std::mt19937_64 random(seed);
-        Settings s = settings();
-        s.queue = 40;
-        s.wait = 300ms;
-        Simulation simulation(s);
+        Settings settings = three_tenants();
+        settings.queue = 40;
+        settings.wait = 300ms;
+        Simulation simulation(settings);
         std::set<std::uint64_t> open;
         for (int step = 0; step < 6000; ++step) {
             std::uint64_t kind = random() % 8;
@@ -383,8 +286,8 @@
                 withdraw_random(simulation, open, random);
             } else if (kind == 5) {
                 if (random() % 50 == 0) {
-                    s.work = Duration(400000 + random() % 1000000);
-                    simulation.limiter.set(s);
+                    settings.work = Duration(400000 + random() % 1000000);
+                    simulation.limiter.set(settings);
                     simulation.release_due();
                 }
             } else {
@@ -395,7 +298,7 @@
             std::size_t in_flight = simulation.requests.size() - queued;
             REQUIRE(simulation.limiter.queued() == queued);
             REQUIRE(simulation.limiter.in_flight() == in_flight);
-            REQUIRE(queued <= s.queue);
+            REQUIRE(queued <= settings.queue);
             if (in_flight == 0) REQUIRE(queued == 0);
         }
         simulation.run(simulation.now + 60s);
--- a/tests/support/store_rig.hpp
+++ b/tests/support/store_rig.hpp
@@ -21,7 +21,7 @@
     return o;
 }
 
-struct Rig {
+struct StoreHarness {
     FaultEnvironment& disk;
     Store store;
     RecoveryResult found;
@@ -29,7 +29,8 @@
     std::uint64_t now_ms;
     bool usable = false;
 
-    explicit Rig(FaultEnvironment& d, std::uint64_t now = 0, LogWorker::Options options = small_options())
+    explicit StoreHarness(FaultEnvironment& d, std::uint64_t now = 0,
+                          LogWorker::Options options = small_options())
         : disk(d), log_worker(d, options), now_ms(now) {
         found = recover(disk, false,
                         [&](Record&& r, std::uint64_t sequence) { store.load(std::move(r), sequence); });
@@ -38,7 +39,7 @@
         usable = log_worker.begin(found, 77).ok();
     }
     // All that was ordered, and what follows from it, at once.
-    void carry(std::uint64_t now = 0) {
+    void process(std::uint64_t now = 0) {
         now_ms = std::max(now_ms, now);
         for (int round = 0; round < 200; ++round) {
             std::vector<StoreEvent> events;
@@ -49,8 +50,8 @@
             for (StoreEvent& event : events) store.handle(std::move(event));
         }
     }
-    void pass(std::uint64_t ms) {
-        for (std::uint64_t end = now_ms + ms; now_ms < end; now_ms += 100) carry();
+    void advance(std::uint64_t ms) {
+        for (std::uint64_t end = now_ms + ms; now_ms < end; now_ms += 100) process();
     }
     std::map<std::string, std::string> state() const { return state_of(store); }
     static std::map<std::string, std::string> state_of(const Store& store) {
@@ -75,8 +76,8 @@
     History(std::uint64_t stop_at, std::uint64_t seed) : random(seed) { disk.stop_at = stop_at; }
 
     void run(int batches) {
-        Rig rig(disk);
-        if (!rig.usable) return;
+        StoreHarness harness(disk);
+        if (!harness.usable) return;
         for (int i = 0; i < batches; ++i) {
             std::vector<Record> records;
             for (std::size_t n = 1 + random() % 3; n > 0; --n) {
@@ -93,12 +94,12 @@
             }
             bool strict = random() % 3 == 0;
             tickets.push_back(
-                rig.store.write(std::move(records), strict ? Durability::strict : Durability::relaxed));
-            states.push_back(rig.state());
-            if (random() % 2) rig.carry(rig.now_ms + 300);
-            // Acknowledged is what a strict caller would have been told.
-            for (std::size_t k = acknowledged + 1; k < tickets.size() && tickets[k] <= rig.store.durable();
-                 ++k)
+                harness.store.write(std::move(records), strict ? Durability::strict : Durability::relaxed));
+            states.push_back(harness.state());
+            if (random() % 2) harness.process(harness.now_ms + 300);
+            // Acknowledged is what a strict caller would have been acknowledged.
+            for (std::size_t k = acknowledged + 1;
+                 k < tickets.size() && tickets[k] <= harness.store.durable(); ++k)
                 acknowledged = k;
         }
     }
@@ -110,7 +111,7 @@
             after, false, [&](Record&& r, std::uint64_t sequence) { store.load(std::move(r), sequence); });
         REQUIRE_MESSAGE(found.usable(),
                         (found.findings.empty() ? found.status.text() : found.findings.back().text()));
-        auto state = Rig::state_of(store);
+        auto state = StoreHarness::state_of(store);
         for (std::size_t i = states.size(); i-- > acknowledged;)
             if (states[i] == state) return;
         FAIL_CHECK("no state that there was since " << acknowledged << " of " << states.size());
@@ -145,20 +146,20 @@
         LogWorker::Options options;
         options.writer.segment_bytes = segment;
         options.max_amplification = 1000;
-        Rig rig(disk, 0, options);
-        states.insert(rig.state());
+        StoreHarness harness(disk, 0, options);
+        states.insert(harness.state());
         std::mt19937_64 random(9);
         for (int i = 0; i < batches; ++i) {
             std::string bytes(value, char('a' + i % 26));
             for (int k = 0; k < 8; ++k) bytes[random() % value] = char(random());
             // Few keys of long values: what is compared stays small.
-            rig.store.put(Space::shapes, "k" + std::to_string(i % 8), bytes);
-            states.insert(rig.state());
-            if (i % 4 == 3) rig.store.remove(Space::shapes, "k" + std::to_string((i + 3) % 8));
-            if (i % 3 != 0) rig.carry();  // some groups hold several batches
-            states.insert(rig.state());
+            harness.store.put(Space::shapes, "k" + std::to_string(i % 8), bytes);
+            states.insert(harness.state());
+            if (i % 4 == 3) harness.store.remove(Space::shapes, "k" + std::to_string((i + 3) % 8));
+            if (i % 3 != 0) harness.process();  // some groups hold several batches
+            states.insert(harness.state());
         }
-        rig.carry();
+        harness.process();
         files = disk.files();
     }
 
@@ -181,7 +182,7 @@
                 if (found.findings.empty() && found.outcome != RecoveryResult::Outcome::no_store) ++out.wrong;
                 return;
             }
-            auto state = Rig::state_of(store);
+            auto state = StoreHarness::state_of(store);
             if (!harmed)
                 whole = state;
             else if (state == whole)
