--- a/src/store/log_worker.hpp
+++ b/src/store/log_worker.hpp
@@ -41,9 +41,11 @@
     // Batches that are to be written together.
     struct Group {
         std::vector<Batch> batches;
-        std::uint64_t ticket = 0;       // of the last batch
-        std::uint64_t bytes = 0;        // since the last flush
-        std::uint64_t total_bytes = 0;  // of the call
+        std::uint64_t ticket = 0;  // of the last batch
+        std::uint64_t bytes = 0;   // since the last flush
+        // Sum of `bytes` after each batch of the call, so the first ones count several times: what urgent
+        // compaction reads by.
+        std::uint64_t total_bytes = 0;
     };
     bool accepts(const WriteRequest& request) const;
     void add(Group& group, WriteBatch&& request, std::uint64_t now_ms, std::vector<StoreEvent>& events);
