--- a/src/store/compaction_reader.cpp
+++ b/src/store/compaction_reader.cpp
@@ -1,6 +1,7 @@
 #include "store/compaction_reader.hpp"
 
 #include <cerrno>
+#include <utility>
 
 namespace indigovane::store {
 
@@ -27,7 +28,7 @@
         if (!frame || !decode_records(*frame, records))
             return {EIO, segment_name(segment.number) + " can't be read"};
         std::uint64_t sequence = frame->sequence;
-        for (Record& record : records) chunk.records.emplace_back(std::move(record), sequence++);
+        for (Record& record : records) chunk.records.push_back({std::move(record), sequence++});
         offset_ += frame->size();
         read_bytes += frame->size();
     }
--- a/src/store/compaction_reader.hpp
+++ b/src/store/compaction_reader.hpp
@@ -3,7 +3,6 @@
 
 #include <cstdint>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "store/environment.hpp"
@@ -11,9 +10,14 @@
 
 namespace indigovane::store {
 
+struct SequencedRecord {
+    Record record;
+    std::uint64_t sequence = 0;
+};
+
 struct CompactionChunk {
-    std::vector<std::pair<Record, std::uint64_t>> records;  // with their sequences
-    bool last = false;                                      // of its segment
+    std::vector<SequencedRecord> records;
+    bool last = false;  // of its segment
 };
 
 class CompactionReader {
--- a/src/store/positions.cpp
+++ b/src/store/positions.cpp
@@ -45,12 +45,13 @@
             open.push_back(position.key);
             commit = std::max(commit, start.floor.open_write_us);
         }
-        start.commits.emplace_back(position.key, commit);
+        start.commits.push_back({position.key, commit});
     });
     start.open_writes = open.size();
-    std::erase_if(start.commits, [&](const auto& item) { return item.second <= start.floor.floor_us; });
+    std::erase_if(start.commits,
+                  [&](const SessionCommit& item) { return item.commit_us <= start.floor.floor_us; });
     std::sort(start.commits.begin(), start.commits.end(),
-              [](const auto& a, const auto& b) { return a.second < b.second; });
+              [](const SessionCommit& a, const SessionCommit& b) { return a.commit_us < b.commit_us; });
     // From here on the store speaks of this process. The last one's open writes count as commits at the
     // present.
     std::sort(open.begin(), open.end());
--- a/src/store/positions.hpp
+++ b/src/store/positions.hpp
@@ -31,11 +31,14 @@
           write_marker_(std::move(write_marker)),
           lease_(options.lease_us) {}
 
+    struct SessionCommit {
+        std::uint64_t session = 0;
+        std::uint64_t commit_us = 0;  // that the session's reads must see
+    };
     struct Start {
         PositionFloor floor;
-        // Session and the commit that its reads must see; the oldest commit first.
-        std::vector<std::pair<std::uint64_t, std::uint64_t>> commits;
-        std::size_t open_writes = 0;  // sessions with an open write at the end of the last process
+        std::vector<SessionCommit> commits;  // the oldest first
+        std::size_t open_writes = 0;         // sessions with an open write at the end of the last process
     };
     // Once, after recovery and before anything is served. `boot`: a name of the machine's run.
     Start start(bool recovered, bool salvaged, CrashMarker marker, const std::string& boot,
--- a/tests/store/log_tail_test.cpp
+++ b/tests/store/log_tail_test.cpp
@@ -89,10 +89,10 @@
     CompactionChunk chunk;
     REQUIRE(reader.read(disk, kStore, sealed, 1, chunk).ok());
     REQUIRE(chunk.records.size() == 1);
-    CHECK(chunk.records[0].second == 1);
+    CHECK(chunk.records[0].sequence == 1);
     CHECK_FALSE(chunk.last);
     REQUIRE(reader.read(disk, kStore, sealed, 1, chunk).ok());
-    CHECK(chunk.records[0].second == 2);
+    CHECK(chunk.records[0].sequence == 2);
     CHECK(chunk.last);
     segment.bytes[kSegmentHeaderBytes] ^= 1;
     disk.set_file(segment_name(1), segment.bytes);
--- a/tests/store/positions_test.cpp
+++ b/tests/store/positions_test.cpp
@@ -40,6 +40,12 @@
     CHECK(decide_floor(previous, now, slack, keep).open_write_us >= now + 5'000'000);
 }
 
+std::map<std::uint64_t, std::uint64_t> commits_by_session(const Positions::Start& start) {
+    std::map<std::uint64_t, std::uint64_t> commits;
+    for (auto [session, commit_us] : start.commits) commits[session] = commit_us;
+    return commits;
+}
+
 // Sessions that write and read through crashes at random moments, by kill and by power, with disks that stall
 // or fail.
 struct CrashSimulation {
@@ -58,7 +64,7 @@
     // session was told.
     void check_reads(const Positions::Start& start) {
         ++starts_by_level[std::size_t(start.floor.level)];
-        std::map<std::uint64_t, std::uint64_t> needs(start.commits.begin(), start.commits.end());
+        std::map<std::uint64_t, std::uint64_t> needs = commits_by_session(start);
         for (auto& [session, commit] : acknowledged) {
             ++reads;
             std::uint64_t allowed = std::max(start.floor.floor_us, needs.count(session) ? needs[session] : 0);
@@ -197,7 +203,7 @@
             StoreHarness harness(*after, now / 1000, {});
             Positions positions(harness.store, {}, [](CrashMarker) { return true; });
             auto start = positions.start(true, false, way.witness, "b", now);
-            std::map<std::uint64_t, std::uint64_t> needs(start.commits.begin(), start.commits.end());
+            std::map<std::uint64_t, std::uint64_t> needs = commits_by_session(start);
             std::uint64_t floor = start.floor.floor_us;
             if (!way.store) needs.clear(), floor = 0;
             int reads = 0, primary = 0;
