--- a/tests/support/store_rig.hpp
+++ b/tests/support/store_rig.hpp
@@ -10,25 +10,27 @@
 
 #include "store/fault_environment.hpp"
 #include "store/log_worker.hpp"
+#include "store/store.hpp"
 
 namespace indigovane::store {
 
 inline LogWorker::Options small_options() {
     LogWorker::Options o;
-    o.writer.segment = 512;
-    o.compact_per_second = 1u << 30;
+    o.writer.segment_bytes = 512;
+    o.compact_bytes_per_second = 1u << 30;
     return o;
 }
 
-struct Rig {
+struct StoreHarness {
     FaultEnvironment& disk;
     Store store;
-    Recovered found;
+    RecoveryResult found;
     LogWorker log_worker;
     std::uint64_t now_ms;
     bool usable = false;
 
-    explicit Rig(FaultEnvironment& d, std::uint64_t now = 0, LogWorker::Options options = small_options())
+    explicit StoreHarness(FaultEnvironment& d, std::uint64_t now = 0,
+                          LogWorker::Options options = small_options())
         : disk(d), log_worker(d, options), now_ms(now) {
         found = recover(disk, false,
                         [&](Record&& r, std::uint64_t sequence) { store.load(std::move(r), sequence); });
@@ -37,23 +39,24 @@
         usable = log_worker.begin(found, 77).ok();
     }
     // All that was ordered, and what follows from it, at once.
-    void carry(std::uint64_t now = 0) {
+    void process(std::uint64_t now = 0) {
         now_ms = std::max(now_ms, now);
         for (int round = 0; round < 200; ++round) {
             std::vector<StoreEvent> events;
-            if (store.has_orders()) log_worker.carry(store.orders(), store.live_bytes(), now_ms, events);
+            if (store.has_write_requests())
+                log_worker.process(store.take_write_requests(), store.live_bytes(), now_ms, events);
             log_worker.tick(store.live_bytes(), now_ms, events);
-            if (events.empty() && !store.has_orders()) return;
-            for (StoreEvent& n : events) store.events(std::move(n));
+            if (events.empty() && !store.has_write_requests()) return;
+            for (StoreEvent& event : events) store.handle(std::move(event));
         }
     }
-    void pass(std::uint64_t ms) {
-        for (std::uint64_t end = now_ms + ms; now_ms < end; now_ms += 100) carry();
+    void advance(std::uint64_t ms) {
+        for (std::uint64_t end = now_ms + ms; now_ms < end; now_ms += 100) process();
     }
     std::map<std::string, std::string> state() const { return state_of(store); }
     static std::map<std::string, std::string> state_of(const Store& store) {
         std::map<std::string, std::string> out;
-        for (std::size_t i = 0; i < kSpaces; ++i)
+        for (std::size_t i = 0; i < kSpaceCount; ++i)
             store.each(Space(i), [&](const std::string& key, const std::string& value) {
                 out[std::string(name(Space(i))) + "/" + key] = value;
             });
@@ -73,8 +76,8 @@
     History(std::uint64_t stop_at, std::uint64_t seed) : random(seed) { disk.stop_at = stop_at; }
 
     void run(int batches) {
-        Rig rig(disk);
-        if (!rig.usable) return;
+        StoreHarness harness(disk);
+        if (!harness.usable) return;
         for (int i = 0; i < batches; ++i) {
             std::vector<Record> records;
             for (std::size_t n = 1 + random() % 3; n > 0; --n) {
@@ -91,12 +94,12 @@
             }
             bool strict = random() % 3 == 0;
             tickets.push_back(
-                rig.store.write(std::move(records), strict ? Durability::strict : Durability::relaxed));
-            states.push_back(rig.state());
-            if (random() % 2) rig.carry(rig.now_ms + 300);
-            // Acknowledged is what a strict caller would have been told.
-            for (std::size_t k = acknowledged + 1; k < tickets.size() && tickets[k] <= rig.store.durable();
-                 ++k)
+                harness.store.write(std::move(records), strict ? Durability::strict : Durability::relaxed));
+            states.push_back(harness.state());
+            if (random() % 2) harness.process(harness.now_ms + 300);
+            // Acknowledged is what a strict caller would have been acknowledged.
+            for (std::size_t k = acknowledged + 1;
+                 k < tickets.size() && tickets[k] <= harness.store.durable(); ++k)
                 acknowledged = k;
         }
     }
@@ -104,11 +107,11 @@
     // After a crash the state is one that there was, no earlier than what was acknowledged.
     void check(FaultEnvironment& after) const {
         Store store;
-        Recovered found = recover(
+        RecoveryResult found = recover(
             after, false, [&](Record&& r, std::uint64_t sequence) { store.load(std::move(r), sequence); });
         REQUIRE_MESSAGE(found.usable(),
                         (found.findings.empty() ? found.status.text() : found.findings.back().text()));
-        auto state = Rig::state_of(store);
+        auto state = StoreHarness::state_of(store);
         for (std::size_t i = states.size(); i-- > acknowledged;)
             if (states[i] == state) return;
         FAIL_CHECK("no state that there was since " << acknowledged << " of " << states.size());
@@ -141,22 +144,22 @@
     Specimen(int batches, std::size_t value, std::size_t segment) {
         FaultEnvironment disk;
         LogWorker::Options options;
-        options.writer.segment = segment;
-        options.amplification = 1000;
-        Rig rig(disk, 0, options);
-        states.insert(rig.state());
+        options.writer.segment_bytes = segment;
+        options.max_amplification = 1000;
+        StoreHarness harness(disk, 0, options);
+        states.insert(harness.state());
         std::mt19937_64 random(9);
         for (int i = 0; i < batches; ++i) {
             std::string bytes(value, char('a' + i % 26));
             for (int k = 0; k < 8; ++k) bytes[random() % value] = char(random());
             // Few keys of long values: what is compared stays small.
-            rig.store.put(Space::shapes, "k" + std::to_string(i % 8), bytes);
-            states.insert(rig.state());
-            if (i % 4 == 3) rig.store.remove(Space::shapes, "k" + std::to_string((i + 3) % 8));
-            if (i % 3 != 0) rig.carry();  // some groups hold several batches
-            states.insert(rig.state());
+            harness.store.put(Space::shapes, "k" + std::to_string(i % 8), bytes);
+            states.insert(harness.state());
+            if (i % 4 == 3) harness.store.remove(Space::shapes, "k" + std::to_string((i + 3) % 8));
+            if (i % 3 != 0) harness.process();  // some groups hold several batches
+            states.insert(harness.state());
         }
-        rig.carry();
+        harness.process();
         files = disk.files();
     }
 
@@ -171,15 +174,15 @@
         std::map<std::string, std::string> whole;
         auto look = [&](bool harmed) {
             Store store;
-            Recovered found = recover(
+            RecoveryResult found = recover(
                 disk, false, [&](Record&& r, std::uint64_t sequence) { store.load(std::move(r), sequence); });
             ++out.tried;
-            if (!found.usable() || found.outcome == Recovered::Outcome::fresh) {
+            if (!found.usable() || found.outcome == RecoveryResult::Outcome::no_store) {
                 ++out.refused;
-                if (found.findings.empty() && found.outcome != Recovered::Outcome::fresh) ++out.wrong;
+                if (found.findings.empty() && found.outcome != RecoveryResult::Outcome::no_store) ++out.wrong;
                 return;
             }
-            auto state = Rig::state_of(store);
+            auto state = StoreHarness::state_of(store);
             if (!harmed)
                 whole = state;
             else if (state == whole)
