--- a/src/lab/fleet_options.hpp
+++ b/src/lab/fleet_options.hpp
@@ -9,7 +9,7 @@
 
 #include "policy/routing_policy.hpp"
 #include "routing/types.hpp"
-#include "site/types.hpp"
+#include "site/settings.hpp"
 
 namespace indigovane::lab {
 
