--- a/src/policy/routing_policy.cpp
+++ b/src/policy/routing_policy.cpp
@@ -226,7 +226,8 @@
 
 }  // namespace
 
-struct RoutingPolicy::State {
+class RoutingPolicy::Engine {
+  public:
     Settings set;
     std::vector<std::shared_ptr<Class>> classes;
     std::mt19937_64 random;
@@ -251,7 +252,7 @@
 
     // Missing settings take the meaning that can break no rule: unsafe, no second copies, no cancels, no
     // advice, one attempt more than none, a list that need not be asked for.
-    State(const Settings& s, std::uint64_t seed, Time t) : random(seed), now(t) { apply(s); }
+    Engine(const Settings& s, std::uint64_t seed, Time t) : random(seed), now(t) { apply(s); }
 
     void apply(const Settings& s) {
         set = s;
@@ -1064,24 +1065,24 @@
 };
 
 RoutingPolicy::RoutingPolicy(const Settings& settings, std::uint64_t seed, Time now)
-    : state_(std::make_unique<State>(settings, seed, now)) {}
+    : engine_(std::make_unique<Engine>(settings, seed, now)) {}
 RoutingPolicy::~RoutingPolicy() = default;
 RoutingPolicy::RoutingPolicy(RoutingPolicy&&) noexcept = default;
 RoutingPolicy& RoutingPolicy::operator=(RoutingPolicy&&) noexcept = default;
 
 SessionTokens RoutingPolicy::tokens() const {
-    SessionTokens all{{}, state_->token_floor};
-    for (auto& [key, commit] : state_->token_order)
-        if (auto it = state_->tokens.find(key); it != state_->tokens.end() && it->second == commit)
+    SessionTokens all{{}, engine_->token_floor};
+    for (auto& [key, commit] : engine_->token_order)
+        if (auto it = engine_->tokens.find(key); it != engine_->tokens.end() && it->second == commit)
             all.commits.push_back({key, commit});
     return all;
 }
 
 void RoutingPolicy::handle(Time now, const Event& event, Actions& out) {
-    state_->now = now;
-    state_->acts = &out;
-    state_->begin();
-    std::visit([this](const auto& e) { state_->on(e); }, event);
+    engine_->now = now;
+    engine_->acts = &out;
+    engine_->begin();
+    std::visit([this](const auto& e) { engine_->on(e); }, event);
 }
 
 }  // namespace indigovane::policy
