--- /dev/null
+++ b/src/policy/admission.cpp
@@ -0,0 +1,86 @@
+#include "policy/admission.hpp"
+
+#include <algorithm>
+
+#include "policy/retry_policy.hpp"
+#include "policy/time_units.hpp"
+
+namespace indigovane::policy {
+namespace {
+
+using std::chrono::milliseconds;
+
+/// Of a request's time: rejected later, it leaves its client no time to come again.
+constexpr double kQueueShare = 0.45;
+/// Enough for an inquiry at a replica or two: else a class of slow answers would be rejected on arrival.
+constexpr Duration kLeastQueueTime = milliseconds(50);
+/// Usual answer times that a queued read keeps in hand.
+constexpr double kAnswerTimesInHand = 4;
+/// A read is to be on a connection after this part of what is left of its objective.
+constexpr int kStartsPerObjective = 4;
+constexpr Duration kLeastStartTime = milliseconds(25);
+/// A replication lag or a primary change lasts longer.
+constexpr Duration kRetryAfter = milliseconds(250);
+
+Time latest_useful_dispatch(const Request& request) {
+    return request.arrived +
+           from_milliseconds(to_milliseconds(request.deadline - request.arrived) * kQueueShare);
+}
+
+Duration usual_latency(const Request& request) {
+    return from_milliseconds(request.request_class->usual_latency_ms);
+}
+
+bool is_late(const Request& request, Time now) {
+    return now > request.latency_objective - usual_latency(request);
+}
+
+double value_per_time(const Request& request) {
+    return request.request_class->priority_weight / request.request_class->usual_latency_ms;
+}
+
+}  // namespace
+
+bool is_worth_admitting(const Request& request, Time now) {
+    const RequestClass& request_class = *request.request_class;
+    Duration usual = request_class.has_latency_samples()
+                         ? std::min(usual_latency(request), request_class.latency_objective / 2)
+                         : Duration::zero();
+    if (request.answer_due() <= now + usual) return false;
+    return request_class.late_share > 0 || request.latency_objective > now;
+}
+
+Time queue_deadline(const Request& request) {
+    if (request.request_class->needs_primary())
+        return std::min(request.answer_due() - usual_latency(request), latest_useful_dispatch(request));
+    Duration in_hand = from_milliseconds(request.request_class->usual_latency_ms * kAnswerTimesInHand);
+    return std::max(request.arrived + kLeastQueueTime, request.latency_objective - in_hand);
+}
+
+Time attempt_start_deadline(const Request& request, Time now) {
+    Time start_by = std::min(latest_useful_dispatch(request), retry_deadline(request));
+    // Others can serve a read within its objective: it does not wait out a connection that does not come up.
+    if (!request.request_class->needs_primary()) {
+        Duration part = (request.latency_objective - now) / kStartsPerObjective;
+        start_by = std::min(start_by, now + std::max(kLeastStartTime, part));
+    }
+    return start_by;
+}
+
+void sort_for_dispatch(std::vector<Request*>& queue, Time now) {
+    std::stable_sort(queue.begin(), queue.end(), [now](const Request* one, const Request* other) {
+        bool one_is_late = is_late(*one, now);
+        bool other_is_late = is_late(*other, now);
+        if (one_is_late != other_is_late) return other_is_late;
+        double one_value = value_per_time(*one);
+        double other_value = value_per_time(*other);
+        return one_value != other_value ? one_value > other_value : one->arrived > other->arrived;
+    });
+}
+
+std::optional<Duration> retry_after(const Settings& settings) {
+    if (!settings.retry_after.value_or(false)) return std::nullopt;
+    return std::min(kRetryAfter, settings.max_retry_after.value_or(kRetryAfter));
+}
+
+}  // namespace indigovane::policy
--- /dev/null
+++ b/src/policy/concurrency_limit.cpp
@@ -0,0 +1,88 @@
+#include "policy/concurrency_limit.hpp"
+
+#include <algorithm>
+
+#include "policy/time_units.hpp"
+
+namespace indigovane::policy {
+namespace {
+
+/// After a restart or a fault: the way back is gradual.
+constexpr double kRestartWindow = 2;
+constexpr double kMaxWindow = 64;
+
+/// Mean latency ratio below which a window grows, and above which it shrinks.
+constexpr double kGrowBelowLatencyRatio = 0.5;
+constexpr double kShrinkAboveLatencyRatio = 0.75;
+/// Weight of one answer in the means.
+constexpr double kSampleWeight = 0.12;
+/// One answer counts as at most so many objectives.
+constexpr double kMaxLatencyRatio = 2;
+
+/// Replication lag ratio below which a window may grow, and above which it shrinks on busy cores.
+constexpr double kGrowBelowLagRatio = 0.5;
+constexpr double kShrinkAboveLagRatio = 0.6;
+/// CPU utilization at which a lagging replica's cores count as busy.
+constexpr double kBusyWhileLagging = 0.7;
+/// CPU utilization at which a replica will fall behind, lagging or not.
+constexpr double kBusyInAnyCase = 0.85;
+/// Requests in flight that stand for fully used cores, where no utilization is reported.
+constexpr double kInFlightOfBusyCores = 6;
+
+constexpr double kReduction = 0.8;
+constexpr double kReductionOnRejection = 0.7;
+
+}  // namespace
+
+bool ConcurrencyLimit::admits(int in_flight, double share) const {
+    return in_flight < std::max(1.0, window_ * share);
+}
+
+void ConcurrencyLimit::record_latency(const Sample& sample, Time now) {
+    double latency_ms = to_milliseconds(sample.latency);
+    if (sample.answered)
+        usual_latency_ms_ += (usual_latency_ms_ > 0 ? kSampleWeight : 1) * (latency_ms - usual_latency_ms_);
+    double objective_ms = std::max(1.0, to_milliseconds(sample.latency_objective));
+    latency_ratio_ +=
+        kSampleWeight * (std::min(latency_ms / objective_ms, kMaxLatencyRatio) - latency_ratio_);
+    if (latency_ratio_ > kShrinkAboveLatencyRatio) {
+        reduce(kReduction, sample.in_flight, now);
+        return;
+    }
+    bool healthy = latency_ratio_ < kGrowBelowLatencyRatio && lag_ratio_ < kGrowBelowLagRatio;
+    bool window_in_use = sample.in_flight + 1 >= window_ - 1;
+    if (healthy && sample.answered && window_in_use)
+        window_ = std::min(kMaxWindow, window_ + (fast_growth_ ? 1 : 1 / window_));
+}
+
+void ConcurrencyLimit::record_replication_lag(const LoadReport& report, Duration strictest_bound,
+                                              int in_flight, Time now) {
+    lag_ratio_ = to_milliseconds(now - *report.position) / to_milliseconds(strictest_bound);
+    double utilization = report.cpu_utilization.value_or(report.in_flight.value_or(0) / kInFlightOfBusyCores);
+    double busy = lag_ratio_ > kShrinkAboveLagRatio ? kBusyWhileLagging : kBusyInAnyCase;
+    if (utilization > busy) reduce(kReduction, in_flight, now);
+}
+
+void ConcurrencyLimit::record_rejection(int in_flight, Time now) {
+    reduce(kReductionOnRejection, in_flight, now);
+}
+
+void ConcurrencyLimit::restart() {
+    window_ = std::min(window_, kRestartWindow);
+    fast_growth_ = true;
+}
+
+void ConcurrencyLimit::recover() {
+    latency_ratio_ = 0;
+    restart();
+}
+
+void ConcurrencyLimit::reduce(double factor, int in_flight, Time now) {
+    fast_growth_ = false;
+    // One reduction for the requests that were in flight together.
+    if (now - reduced_at_ < from_milliseconds(usual_latency_ms_)) return;
+    reduced_at_ = now;
+    window_ = std::max(1.0, std::min(window_, in_flight + 1.0) * factor);
+}
+
+}  // namespace indigovane::policy
--- /dev/null
+++ b/src/policy/endpoint_list_poll.cpp
@@ -0,0 +1,36 @@
+#include "policy/endpoint_list_poll.hpp"
+
+#include <algorithm>
+
+#include "policy/time_units.hpp"
+
+namespace indigovane::policy {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+constexpr Duration kLongestBackoff = seconds(4);
+/// The first requests are spread over this time a pooler of the fleet...
+constexpr Duration kSpreadPerPooler = milliseconds(60);
+/// ...and over that of so many poolers at least.
+constexpr double kLeastFleet = 10;
+
+}  // namespace
+
+Duration EndpointListPoll::first_delay(double fleet_size, Random& random) {
+    return from_milliseconds(to_milliseconds(kSpreadPerPooler) * (kLeastFleet + fleet_size) *
+                             uniform(random));
+}
+
+Duration EndpointListPoll::retry_delay(Random& random) {
+    Duration delay = from_milliseconds(to_milliseconds(backoff_) * (0.5 + uniform(random)));
+    backoff_ = std::min(backoff_ * 2, kLongestBackoff);
+    return delay;
+}
+
+void EndpointListPoll::record_list(EndpointListKind kind) {
+    if (requested_ && kind != EndpointListKind::cached) backoff_ = kFirstBackoff;
+}
+
+}  // namespace indigovane::policy
--- /dev/null
+++ b/src/policy/endpoint_table.cpp
@@ -0,0 +1,95 @@
+#include "policy/endpoint_table.hpp"
+
+#include <cmath>
+#include <iterator>
+
+#include "policy/time_units.hpp"
+
+namespace indigovane::policy {
+namespace {
+
+using std::chrono::seconds;
+
+/// After an endpoint left the list.
+constexpr Duration kRetention = seconds(60);
+/// Over which a group's reads are averaged.
+constexpr Duration kReadRatePeriod = seconds(1);
+
+}  // namespace
+
+void ReadRate::record(Time now) {
+    count_ = per_second(now) + 1;
+    counted_at_ = now;
+}
+
+double ReadRate::per_second(Time now) const {
+    return count_ * std::exp(-to_milliseconds(now - counted_at_) / to_milliseconds(kReadRatePeriod));
+}
+
+Endpoint* known_primary(const ReplicaGroup& group) {
+    Endpoint* newest = nullptr;
+    for (Endpoint* endpoint : group.endpoints) {
+        const std::optional<Time>& claim = endpoint->replication.primary_as_of;
+        if (claim && (!newest || *claim > *newest->replication.primary_as_of)) newest = endpoint;
+    }
+    return newest;
+}
+
+Endpoint* EndpointTable::find(EndpointId id) {
+    auto it = endpoints_.find(id);
+    return it == endpoints_.end() ? nullptr : &it->second;
+}
+
+ReplicaGroup* EndpointTable::find_group(GroupId id) {
+    auto it = groups_.find(id);
+    return it == groups_.end() ? nullptr : &it->second;
+}
+
+void EndpointTable::apply(const EndpointList& list, bool removal_binds) {
+    if (list.kind != EndpointListKind::changes)
+        for (auto& [id, endpoint] : endpoints_) endpoint.listed = !removal_binds && !endpoint.draining;
+    for (const EndpointEntry& entry : list.entries) apply(entry, removal_binds);
+}
+
+void EndpointTable::apply(const EndpointEntry& entry, bool removal_binds) {
+    auto [it, is_new] = endpoints_.try_emplace(entry.endpoint);
+    Endpoint& endpoint = it->second;
+    if (is_new) {
+        endpoint.id = entry.endpoint;
+        endpoint.group = entry.group;
+        endpoint.zone = entry.zone;
+        groups_[entry.group].endpoints.push_back(&endpoint);
+        // A hint: any claim of a role that is observed later outweighs it.
+        if (entry.primary) endpoint.replication.primary_as_of = Time::min();
+    }
+    if (entry.started && endpoint.started != entry.started) {
+        endpoint.started = entry.started;
+        endpoint.limit.restart();
+    }
+    bool ready = entry.state == EndpointState::ready;
+    bool gone = entry.state == EndpointState::gone;
+    endpoint.draining = entry.state == EndpointState::draining || (endpoint.draining && gone);
+    endpoint.listed = ready || (gone && !removal_binds && !endpoint.draining);
+}
+
+void EndpointTable::forget_endpoints(Time now, const std::function<bool(const Endpoint&)>& is_referenced) {
+    for (auto it = endpoints_.begin(); it != endpoints_.end();) {
+        Endpoint& endpoint = it->second;
+        if (endpoint.listed) endpoint.unlisted_since.reset();
+        if (!endpoint.listed && !endpoint.unlisted_since) endpoint.unlisted_since = now;
+        bool expired = endpoint.unlisted_since && now - *endpoint.unlisted_since > kRetention;
+        bool idle = endpoint.in_flight == 0 && !endpoint.health_check.in_flight();
+        if (expired && idle && !is_referenced(endpoint)) {
+            std::erase(group_of(endpoint).endpoints, &endpoint);
+            it = endpoints_.erase(it);
+        } else {
+            ++it;
+        }
+    }
+}
+
+void EndpointTable::forget_groups() {
+    std::erase_if(groups_, [](const auto& group) { return group.second.forgettable(); });
+}
+
+}  // namespace indigovane::policy
--- /dev/null
+++ b/src/policy/engine_observations.cpp
@@ -0,0 +1,112 @@
+#include <string>
+
+#include "policy/engine.hpp"
+#include "policy/health_check_schedule.hpp"
+#include "policy/time_units.hpp"
+
+namespace indigovane::policy {
+namespace {
+
+std::string endpoint_text(EndpointId id) {
+    return std::to_string(std::uint32_t(id));
+}
+
+/// The endpoint itself has said something.
+bool is_answer(AttemptStatus status) {
+    switch (status) {
+        case AttemptStatus::ok:
+        case AttemptStatus::error:
+        case AttemptStatus::rejected:
+        case AttemptStatus::miss:
+        case AttemptStatus::stale:
+            return true;
+        case AttemptStatus::timeout:
+        case AttemptStatus::unreachable:
+        case AttemptStatus::reset:
+        case AttemptStatus::cancelled:
+        case AttemptStatus::not_started:
+            break;
+    }
+    return false;
+}
+
+}  // namespace
+
+/// Position and role, as the answer tells them.
+void Engine::observe_answer(Endpoint& endpoint, const AttemptOutcome& outcome,
+                            const RequestClass* request_class) {
+    observe_report(endpoint, outcome.report);
+    bool is_commit = request_class && request_class->consistency == Consistency::write &&
+                     outcome.status == AttemptStatus::ok;
+    ReplicationState& replication = endpoint.replication;
+    if (outcome.position && !is_commit) replication.record_position(*outcome.position, now_);
+    if (outcome.role == Role::primary) replication.record_primary(now_);
+    if (outcome.role == Role::replica) replication.record_replica(now_);
+}
+
+void Engine::observe_report(Endpoint& endpoint, const LoadReport& report) {
+    ReplicationState& replication = endpoint.replication;
+    if (report.position) {
+        replication.record_position(*report.position, now_);
+        bool tells_load = report.cpu_utilization || report.in_flight;
+        if (tells_load && &endpoint != known_primary(endpoints_.group_of(endpoint)))
+            endpoint.limit.record_replication_lag(report, strictest_bound(health_check_interval_),
+                                                  endpoint.in_flight, now_);
+    }
+    if (!report.primary) return;
+    // A primary's position is the time of its report.
+    Time as_of = report.position.value_or(now_);
+    if (*report.primary)
+        replication.record_primary(as_of);
+    else if (replication.primary_as_of && as_of > *replication.primary_as_of)
+        replication.record_replica(as_of);
+}
+
+/// What an attempt's end tells of the endpoint: whether it answers, whether it errs, how loaded it is.
+void Engine::observe_health(Endpoint& endpoint, const AttemptOutcome& outcome, RequestClass* request_class) {
+    AttemptStatus status = outcome.status;
+    bool answered = is_answer(status);
+    bool ok = status == AttemptStatus::ok;
+    bool reset = status == AttemptStatus::reset;
+    bool unreachable = status == AttemptStatus::unreachable;
+    if (ok) endpoint.rejection_backoff.record_success();
+    if (answered) {
+        endpoint.ejection.record_answer(now_);
+        Fault fault = endpoint.ejection.fault();
+        if (fault != Fault::none && (fault != Fault::erring || ok)) readmit(endpoint);
+    }
+    if (answered || reset) {
+        bool is_outlier = endpoint.ejection.record_error(status == AttemptStatus::error || reset);
+        if (is_outlier) eject(endpoint, Fault::erring);
+    }
+    if (unreachable) eject(endpoint, Fault::unreachable);
+    if (unreachable || reset) check_health(endpoint, HealthCheckPurpose::scheduled);
+    if (status == AttemptStatus::not_started) endpoint.rejection_backoff.record_no_connection(now_);
+    if (status == AttemptStatus::rejected) {
+        endpoint.rejection_backoff.record_rejection(now_, random_);
+        endpoint.limit.record_rejection(endpoint.in_flight, now_);
+    }
+    if (request_class) observe_latency(endpoint, outcome, *request_class);
+}
+
+void Engine::observe_latency(Endpoint& endpoint, const AttemptOutcome& outcome, RequestClass& request_class) {
+    bool answered = outcome.status == AttemptStatus::ok;
+    bool given_up = outcome.status == AttemptStatus::timeout || outcome.status == AttemptStatus::cancelled;
+    if (!answered && !given_up) return;
+    if (answered) request_class.record_latency(to_milliseconds(outcome.latency));
+    endpoint.limit.record_latency(
+        {outcome.latency, request_class.latency_objective, answered, endpoint.in_flight}, now_);
+}
+
+void Engine::eject(Endpoint& endpoint, Fault fault) {
+    if (endpoint.ejection.eject(fault, now_))
+        log("member " + endpoint_text(endpoint.id) + " " + describe(fault));
+}
+
+void Engine::readmit(Endpoint& endpoint) {
+    log("member " + endpoint_text(endpoint.id) + " is back");
+    endpoint.ejection.readmit(now_);
+    endpoint.limit.recover();
+}
+
+}  // namespace indigovane::policy
--- /dev/null
+++ b/src/policy/engine_requests.cpp
@@ -0,0 +1,147 @@
+#include <algorithm>
+#include <utility>
+
+#include "policy/admission.hpp"
+#include "policy/engine.hpp"
+#include "policy/engine_timers.hpp"
+#include "policy/retry_policy.hpp"
+
+namespace indigovane::policy {
+
+void Engine::enqueue(ReplicaGroup& group, Request& request) {
+    request.enqueue();
+    group.queue.push_back(request.id);
+}
+
+/// Sends what is queued, as far as endpoints have capacity.
+void Engine::dispatch_queued(ReplicaGroup& group) {
+    if (group.queue.empty()) return;
+    std::vector<Request*> queue;
+    queue.reserve(group.queue.size());
+    for (RequestId id : group.queue) queue.push_back(&requests_.at(id));
+    group.queue.clear();
+    sort_for_dispatch(queue, now_);
+    for (Request* request : queue) dispatch(group, *request);
+}
+
+void Engine::dispatch(ReplicaGroup& group, Request& request) {
+    // The deduplication window of a retry may have closed while it was queued.
+    if (!may_retry(request, now_)) return conclude(request);
+    Selection selection = select_endpoint(group, request);
+    if (selection.kind == Selection::Kind::send) return send(request, *selection.endpoint);
+    if (selection.kind == Selection::Kind::inquire) inquire_position(request, *selection.endpoint);
+    if (selection.kind == Selection::Kind::reject || now_ >= queue_deadline(request))
+        return conclude(request);
+    group.queue.push_back(request.id);
+    set_review_timer(request, queue_deadline(request));
+}
+
+Selection Engine::select_endpoint(const ReplicaGroup& group, const Request& request) {
+    bool needs_token =
+        request.request_class->consistency == Consistency::session || endpoints_check_staleness(settings_);
+    Time token = needs_token ? session_token(request) : Time{};
+    return ReplicaSelector({settings_, health_check_interval_, now_, random_}, group, request, token)
+        .select();
+}
+
+void Engine::inquire_position(Request& request, Endpoint& endpoint) {
+    request.inquiry.endpoint = &endpoint;
+    request.inquiry.sent = now_;
+    ++request.inquiry.count;
+    check_health(endpoint, HealthCheckPurpose::on_demand);
+}
+
+void Engine::send(Request& request, Endpoint& endpoint) {
+    Time start_by = attempt_start_deadline(request, now_);
+    request.start_attempt(endpoint, now_);
+    endpoint.ejection.record_attempt_sent(endpoint.in_flight, request.request_class->usual_latency_ms, now_);
+    ++endpoint.in_flight;
+    act(SendAttempt{request.id, endpoint.id, std::nullopt, required_position_of(request), start_by - now_});
+    set_review_timer(request, request.answer_due());
+}
+
+/// As the client carries it, or as it is remembered now: a session may write while a read of it is queued.
+/// Where endpoints don't check positions, a write in flight may have been answered already.
+Time Engine::session_token(const Request& request) const {
+    if (settings_.tokens.value_or(TokenSource::carried) == TokenSource::carried) return request.carried_token;
+    bool may_be_unseen = !endpoints_check_staleness(settings_) && request.session &&
+                         requests_.has_unresolved_write(*request.session);
+    return may_be_unseen ? now_ : session_tokens_.token(request.session);
+}
+
+std::optional<Time> Engine::required_position_of(const Request& request) const {
+    bool is_session_read = request.request_class->consistency == Consistency::session;
+    return required_position(request, is_session_read ? session_token(request) : Time{}, now_);
+}
+
+void Engine::complete_attempt(ReplicaGroup& group, Request& request, const AttemptOutcome& outcome) {
+    request.end_attempt(outcome.attempt, outcome.execution());
+    remember_write(request, outcome);
+    if (outcome.finished || request.phase() == Request::Phase::finished) return finish(request);
+    if (request.attempts_in_flight() > 0) return;
+    if (may_retry(request, now_))
+        enqueue(group, request);
+    else
+        conclude(request);
+}
+
+/// A write's commit, or, where endpoints don't check positions, that a write may have committed up to now.
+void Engine::remember_write(const Request& request, const AttemptOutcome& outcome) {
+    if (!request.session || !request.is_write_of(*request.session)) return;
+    bool ok = outcome.status == AttemptStatus::ok;
+    bool unresolved =
+        !endpoints_check_staleness(settings_) && !ok && outcome.execution() != Execution::never_ran;
+    if (unresolved)
+        session_tokens_.remember(*request.session, now_, now_);
+    else if (outcome.finished && ok && outcome.position)
+        session_tokens_.remember(*request.session, *outcome.position, now_);
+}
+
+/// An open request is looked at again: its time is up, or it may be.
+void Engine::review(Request& request) {
+    if (request.phase() == Request::Phase::finished || request.response_started()) return;
+    bool queued = request.phase() == Request::Phase::queued;
+    Time next = queued ? queue_deadline(request) : request.answer_due();
+    if (now_ >= next || now_ >= request.answer_due())
+        conclude(request);
+    else
+        set_review_timer(request, next);
+}
+
+/// The final answer, at once: none is held back once it is decided.
+void Engine::conclude(Request& request) {
+    cancel_attempts(request);
+    bool late = now_ >= request.answer_due();
+    if (rejection_is_harmless(request))
+        act(RejectRequest{request.id, retry_after(settings_), late});
+    else
+        act(FailRequest{request.id, late});
+    finish(request);
+}
+
+/// Nobody waits for their answers any more.
+void Engine::cancel_attempts(const Request& request) {
+    if (!settings_.cancels.value_or(false)) return;
+    std::uint32_t number = 0;
+    for (const Attempt& attempt : request.attempts()) {
+        if (attempt.in_flight()) act(CancelAttempt{request.id, number});
+        ++number;
+    }
+}
+
+void Engine::finish(Request& request) {
+    if (request.phase() == Request::Phase::queued)
+        if (ReplicaGroup* group = endpoints_.find_group(request.group)) std::erase(group->queue, request.id);
+    request.finish();
+    if (request.attempts_in_flight() == 0) requests_.erase(request.id);
+}
+
+/// Keeps an earlier timer that is still to come.
+void Engine::set_review_timer(Request& request, Time at) {
+    at = std::max(std::min(at, request.answer_due()), now_);
+    if (request.timer && *request.timer <= at && *request.timer > now_) return;
+    request.timer = at;
+    act(SetTimer{request_timer(request.id), at - now_});
+}
+
+}  // namespace indigovane::policy
--- /dev/null
+++ b/src/policy/health_check_budget.cpp
@@ -0,0 +1,33 @@
+#include "policy/health_check_budget.hpp"
+
+#include <algorithm>
+
+namespace indigovane::policy {
+namespace {
+
+/// Of what requests earn, the share that may go into health checks.
+constexpr double kShareOfEarnings = 0.015;
+/// A request earns at most ten checks.
+constexpr double kLeastCost = 0.1;
+
+}  // namespace
+
+double health_check_cost(const Settings& settings) {
+    return std::max(0.0, settings.health_check_price.value_or(0)) / kShareOfEarnings;
+}
+
+void HealthCheckBudget::record_request(double cost) {
+    double earned = 1 / std::max(cost, kLeastCost);
+    scheduled_ = std::min(scheduled_ + earned, kMaxCredit);
+    on_demand_ = std::min(on_demand_ + earned, kMaxCredit);
+}
+
+bool HealthCheckBudget::spend(HealthCheckPurpose purpose, double cost) {
+    if (cost <= 0) return true;
+    double& credit = purpose == HealthCheckPurpose::on_demand ? on_demand_ : scheduled_;
+    if (credit < 1) return false;
+    credit -= 1;
+    return true;
+}
+
+}  // namespace indigovane::policy
--- /dev/null
+++ b/src/policy/outlier_ejection.cpp
@@ -0,0 +1,93 @@
+#include "policy/outlier_ejection.hpp"
+
+#include <algorithm>
+
+#include "policy/time_units.hpp"
+
+namespace indigovane::policy {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+/// Weight of one answer in the error share, and the share above which an endpoint is ejected.
+constexpr double kErrorWeight = 0.15;
+constexpr double kMaxErrorShare = 0.5;
+
+/// Silence is a fault after this time (longer than a usual pause)...
+constexpr Duration kLeastSilence = milliseconds(350);
+/// ...in which this many answers were to be expected...
+constexpr double kMissedAnswers = 12;
+/// ...of at least so many requests in flight: one long request alone proves nothing.
+constexpr int kLeastInFlight = 2;
+
+/// A request that must not run twice is a trial only this long after the ejection.
+constexpr Duration kUnsafeTrialPause = seconds(2);
+
+}  // namespace
+
+bool Ejection::eject(Fault fault, Time now) {
+    bool newly = !ejected();
+    if (newly) {
+        ejected_at_ = now;
+        trial_pause_ = kFirstTrialPause;
+    }
+    fault_ = fault;
+    trial_at_ = now + trial_pause_;
+    return newly;
+}
+
+void Ejection::readmit(Time now) {
+    fault_ = Fault::none;
+    error_share_ = 0;
+    silent_since_ = now;
+}
+
+void Ejection::start_trial(Time now) {
+    trial_pause_ = std::min(trial_pause_ * 2, kLongestTrialPause);
+    trial_at_ = now + trial_pause_;
+}
+
+void Ejection::record_attempt_sent(int others_in_flight, double usual_latency_ms, Time now) {
+    if (others_in_flight == 0) {
+        awaited_latency_ms_ = usual_latency_ms;
+        silent_since_ = now;
+    } else {
+        awaited_latency_ms_ = std::max(awaited_latency_ms_, usual_latency_ms);
+    }
+    if (ejected()) start_trial(now);
+}
+
+bool Ejection::record_error(bool is_error) {
+    error_share_ += kErrorWeight * (is_error - error_share_);
+    return error_share_ > kMaxErrorShare;
+}
+
+bool Ejection::is_unresponsive(int in_flight, double usual_latency_ms, Time now) const {
+    if (ejected() || in_flight < kLeastInFlight) return false;
+    double expected_ms = std::max(usual_latency_ms, awaited_latency_ms_);
+    Duration limit = std::max(kLeastSilence, from_milliseconds(expected_ms * kMissedAnswers / in_flight));
+    return now - silent_since_ > limit;
+}
+
+bool admits_trial(const Ejection& ejection, Idempotency idempotency, bool health_checks, Time now) {
+    if (!ejection.ejected()) return true;
+    if (ejection.fault() == Fault::unreachable && health_checks) return false;
+    if (!ejection.trial_due(now)) return false;
+    return idempotency == Idempotency::idempotent || now - ejection.ejected_at() >= kUnsafeTrialPause;
+}
+
+const char* describe(Fault fault) {
+    switch (fault) {
+        case Fault::unresponsive:
+            return "takes work and answers nothing";
+        case Fault::erring:
+            return "answers with errors";
+        case Fault::unreachable:
+        case Fault::none:
+            break;
+    }
+    return "can't be reached";
+}
+
+}  // namespace indigovane::policy
--- /dev/null
+++ b/src/policy/replication_state.cpp
@@ -0,0 +1,57 @@
+#include "policy/replication_state.hpp"
+
+#include <algorithm>
+
+namespace indigovane::policy {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+/// A report may be this old: less is no proof of lag.
+constexpr Duration kReportAge = milliseconds(400);
+/// An endpoint that waits for the log before a read does so about this long.
+constexpr Duration kEndpointWait = milliseconds(50);
+/// An endpoint that is behind applies the log about so much faster than time passes.
+constexpr int kCatchUpSpeed = 2;
+/// Waited longer than catching up takes, since misses keep an endpoint from it.
+constexpr Duration kCatchUpMargin = seconds(1);
+/// A new endpoint begins with a copy that may be so old.
+constexpr Duration kInitialCopyAge = seconds(6);
+
+}  // namespace
+
+void ReplicationState::record_position(Time reported, Time now) {
+    reported_at = now;
+    position = std::max(position.value_or(reported), reported);
+}
+
+void ReplicationState::record_primary(Time as_of) {
+    if (replica_as_of && *replica_as_of >= as_of) return;
+    primary_as_of = std::max(primary_as_of.value_or(as_of), as_of);
+}
+
+void ReplicationState::record_replica(Time as_of) {
+    replica_as_of = std::max(replica_as_of.value_or(as_of), as_of);
+    primary_as_of.reset();
+}
+
+bool ReplicationState::surely_behind(Duration bound, Time now) const {
+    return position && now - reported_at < kReportAge && reported_at - *position > bound + kReportAge;
+}
+
+bool ReplicationState::falls_short(Time needed, Time now) const {
+    return needed > Time{} && position && now - reported_at < kReportAge &&
+           estimated_position(now) + kEndpointWait < needed;
+}
+
+bool expected_to_have(const ReplicationState& state, std::optional<Time> started, Time needed, Duration bound,
+                      Time now) {
+    if (!state.position)
+        return started && *started - kInitialCopyAge + kCatchUpSpeed * (now - *started) >= needed;
+    if (state.estimated_position(now) >= needed) return true;
+    Time caught_up_to = *state.position + kCatchUpSpeed * (now - state.reported_at);
+    return bound != Duration::zero() && caught_up_to >= needed + kCatchUpMargin;
+}
+
+}  // namespace indigovane::policy
--- /dev/null
+++ b/src/policy/request_state.cpp
@@ -0,0 +1,92 @@
+#include "policy/request_state.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace indigovane::policy {
+namespace {
+
+/// A final answer is due this long before the deadline.
+constexpr Duration kAnswerMargin = std::chrono::milliseconds(10);
+
+}  // namespace
+
+Request::Request(const RequestArrival& arrival, std::shared_ptr<RequestClass> its_class,
+                 std::size_t attempt_limit, Duration elapsed, double uniform_draw, Time now)
+    : id(arrival.id),
+      request_class(std::move(its_class)),
+      max_attempts(attempt_limit),
+      group(arrival.group),
+      session(arrival.session),
+      draw(uniform_draw),
+      arrived(now),
+      deadline(now + arrival.client_timeout),
+      latency_objective(std::min(now + request_class->latency_objective - elapsed, deadline)) {
+    if (arrival.since_last_write) carried_token = now - *arrival.since_last_write;
+}
+
+Time Request::answer_due() const {
+    return deadline - kAnswerMargin;
+}
+
+int Request::attempts_in_flight() const {
+    return int(std::ranges::count_if(attempts_, &Attempt::in_flight));
+}
+
+int Request::attempts_that_may_have_run() const {
+    return int(std::ranges::count_if(attempts_, &Attempt::may_have_run));
+}
+
+bool Request::was_sent_to(const Endpoint& endpoint) const {
+    return std::ranges::any_of(attempts_,
+                               [&](const Attempt& attempt) { return attempt.endpoint == &endpoint; });
+}
+
+bool Request::response_started() const {
+    return !attempts_.empty() && attempts_.back().progress == Attempt::Progress::response_started;
+}
+
+bool Request::is_write_of(SessionKey key) const {
+    return session == key && request_class->consistency == Consistency::write;
+}
+
+void Request::start_attempt(Endpoint& endpoint, Time now) {
+    phase_ = Phase::in_flight;
+    attempts_.push_back({&endpoint, now});
+}
+
+bool Request::start_response() {
+    if (attempts_.empty() || attempts_.back().progress != Attempt::Progress::awaiting_response) return false;
+    attempts_.back().progress = Attempt::Progress::response_started;
+    return true;
+}
+
+void Request::end_attempt(std::uint32_t number, Execution execution) {
+    if (number >= attempts_.size()) return;
+    attempts_[number].progress = Attempt::Progress::ended;
+    attempts_[number].execution = execution;
+}
+
+Request& RequestTable::insert(Request request) {
+    RequestId id = request.id;
+    return requests_.insert_or_assign(id, std::move(request)).first->second;
+}
+
+Request* RequestTable::find(RequestId id) {
+    auto it = requests_.find(id);
+    return it == requests_.end() ? nullptr : &it->second;
+}
+
+bool RequestTable::has_unresolved_write(SessionKey session) const {
+    return std::ranges::any_of(requests_, [&](const auto& entry) {
+        return entry.second.is_write_of(session) && entry.second.attempts_that_may_have_run() > 0;
+    });
+}
+
+bool RequestTable::refers_to(const Endpoint& endpoint) const {
+    return std::ranges::any_of(requests_, [&](const auto& entry) {
+        return entry.second.inquiry.endpoint == &endpoint || entry.second.was_sent_to(endpoint);
+    });
+}
+
+}  // namespace indigovane::policy
--- a/src/policy/routing_policy.hpp
+++ b/src/policy/routing_policy.hpp
@@ -28,6 +28,8 @@
 
 namespace indigovane::policy {
 
+class Engine;  // engine.hpp
+
 /// Not thread-safe: one thread at a time may call into one object.
 class RoutingPolicy {
   public:
@@ -44,7 +46,6 @@
     SessionTokens tokens() const;
 
   private:
-    class Engine;
     std::unique_ptr<Engine> engine_;
 };
 
--- /dev/null
+++ b/src/policy/session_tokens.cpp
@@ -0,0 +1,51 @@
+#include "policy/session_tokens.hpp"
+
+#include <algorithm>
+#include <cstddef>
+
+namespace indigovane::policy {
+namespace {
+
+constexpr std::size_t kMaxTokens = 50000;
+/// No replica in use is further behind.
+constexpr Duration kMaxTokenAge = std::chrono::seconds(60);
+
+}  // namespace
+
+void SessionTokenStore::remember(SessionKey session, Time commit, Time now) {
+    Time& token = tokens_[session];
+    token = std::max(token, commit);
+    order_.push_back({session, commit});
+    while (must_forget_oldest(now)) {
+        auto [oldest, oldest_commit] = order_.front();
+        order_.pop_front();
+        auto it = tokens_.find(oldest);
+        if (it == tokens_.end() || it->second != oldest_commit) continue;
+        raise_floor(oldest_commit);
+        tokens_.erase(it);
+    }
+}
+
+bool SessionTokenStore::must_forget_oldest(Time now) const {
+    return !order_.empty() && (order_.size() > kMaxTokens || now - order_.front().second > kMaxTokenAge);
+}
+
+void SessionTokenStore::raise_floor(Time floor) {
+    floor_ = std::max(floor_, floor);
+}
+
+Time SessionTokenStore::token(std::optional<SessionKey> session) const {
+    auto it = session ? tokens_.find(*session) : tokens_.end();
+    return it == tokens_.end() ? floor_ : std::max(it->second, floor_);
+}
+
+SessionTokens SessionTokenStore::snapshot() const {
+    SessionTokens all{{}, floor_};
+    for (const auto& [session, commit] : order_) {
+        auto it = tokens_.find(session);
+        if (it != tokens_.end() && it->second == commit) all.commits.push_back({session, commit});
+    }
+    return all;
+}
+
+}  // namespace indigovane::policy
--- /dev/null
+++ b/src/policy/slow_start.cpp
@@ -0,0 +1,27 @@
+#include "policy/slow_start.hpp"
+
+#include <algorithm>
+
+#include "policy/time_units.hpp"
+
+namespace indigovane::policy {
+namespace {
+
+/// Of what would break the endpoint down: draws come in runs, and hosts differ.
+constexpr double kSafetyFactor = 0.56;
+
+}  // namespace
+
+bool in_slow_start(std::optional<Time> started, const Settings& settings, Time now) {
+    return started && now < *started + settings.ramp.value_or(Duration::zero());
+}
+
+double ready_share(Time started, const Settings& settings, Time now) {
+    double initial = settings.slow_start_share.value_or(0);
+    double multiple = settings.overload_multiple.value_or(0);
+    double factor = kSafetyFactor * (multiple > 0 ? multiple : 1);  // zero: no multiple is known
+    double progress = std::max(0.0, to_milliseconds(now - started) / to_milliseconds(*settings.ramp));
+    return factor * (initial + (1 - initial) * progress);
+}
+
+}  // namespace indigovane::policy
