--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-bool is_worth_admitting(const Request& request, Time now) {
+bool should_admit(const Request& request, Time now) {
     const RequestClass& request_class = *request.request_class;
     Duration usual = request_class.has_latency_samples()
                          ? std::min(usual_latency(request), request_class.latency_objective / 2)
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -19,7 +19,7 @@
 namespace indigovane::policy {
 
 /// False: an answer would come too late, or the client leaves before one usually comes.
-bool is_worth_admitting(const Request& request, Time now);
+bool should_admit(const Request& request, Time now);
 
 /// After this a queued request is rejected.
 Time queue_deadline(const Request& request);
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -34,10 +34,6 @@
 
 }  // namespace
 
-bool ConcurrencyLimit::admits(int in_flight, double share) const {
-    return in_flight < std::max(1.0, window_ * share);
-}
-
 void ConcurrencyLimit::record_latency(const Sample& sample, Time now) {
     double latency_ms = to_milliseconds(sample.latency);
     if (sample.answered)
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -12,6 +12,8 @@
 // bound.
 #pragma once
 
+#include <algorithm>
+
 #include "policy/events.hpp"
 #include "policy/types.hpp"
 
@@ -20,7 +22,7 @@
 class ConcurrencyLimit {
   public:
     /// `share`: of the window, that is open to the request at hand.
-    bool admits(int in_flight, double share) const;
+    bool admits(int in_flight, double share) const { return in_flight < std::max(1.0, window_ * share); }
 
     /// An attempt's end; `answered`: with an answer, else by a timeout or a cancellation.
     struct Sample {
--- a/src/policy/endpoint_capacity.hpp
+++ b/src/policy/endpoint_capacity.hpp
@@ -12,8 +12,13 @@
 
 namespace indigovane::policy {
 
-/// `candidates`: endpoints among which the request is drawn, this one included.
-bool has_capacity(const Endpoint& endpoint, const ReplicaGroup& group, const Request& request,
-                  std::size_t candidates, const Settings& settings, Time now);
+/// Among which endpoints of its group one is asked for.
+struct CapacityContext {
+    const ReplicaGroup& group;
+    const Endpoint* primary;  ///< last known; nullptr: none
+    std::size_t candidates;   ///< among which the request is drawn, the endpoint included
+};
+bool has_capacity(const Endpoint& endpoint, const CapacityContext& context, const Request& request,
+                  const Settings& settings, Time now);
 
 }  // namespace indigovane::policy
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -35,11 +35,6 @@
     return newest;
 }
 
-Endpoint* EndpointTable::find(EndpointId id) {
-    auto it = endpoints_.find(id);
-    return it == endpoints_.end() ? nullptr : &it->second;
-}
-
 ReplicaGroup* EndpointTable::find_group(GroupId id) {
     auto it = groups_.find(id);
     return it == groups_.end() ? nullptr : &it->second;
--- a/src/policy/endpoint_table.hpp
+++ b/src/policy/endpoint_table.hpp
@@ -70,7 +70,10 @@
 
 class EndpointTable {
   public:
-    Endpoint* find(EndpointId id);
+    Endpoint* find(EndpointId id) {
+        auto it = endpoints_.find(id);
+        return it == endpoints_.end() ? nullptr : &it->second;
+    }
     ReplicaGroup* find_group(GroupId id);
     /// Every endpoint has one.
     ReplicaGroup& group_of(const Endpoint& endpoint) { return groups_.find(endpoint.group)->second; }
--- a/src/policy/engine.cpp
+++ b/src/policy/engine.cpp
@@ -91,7 +91,7 @@
                                  elapsed, uniform(random_), now_));
     health_check_budget_.record_request(health_check_cost(settings_));
     record_use(*group, request);
-    if (!is_worth_admitting(request, now_)) return conclude(request);
+    if (!should_admit(request, now_)) return conclude(request);
     enqueue(*group, request);
     dispatch_queued(*group);
 }
--- a/src/policy/engine_requests.cpp
+++ b/src/policy/engine_requests.cpp
@@ -30,10 +30,11 @@
     Selection selection = select_endpoint(group, request);
     if (selection.kind == Selection::Kind::send) return send(request, *selection.endpoint);
     if (selection.kind == Selection::Kind::inquire) inquire_position(request, *selection.endpoint);
-    if (selection.kind == Selection::Kind::reject || now_ >= queue_deadline(request))
-        return conclude(request);
+    if (selection.kind == Selection::Kind::reject) return conclude(request);
+    Time give_up_at = queue_deadline(request);
+    if (now_ >= give_up_at) return conclude(request);
     group.queue.push_back(request.id);
-    set_review_timer(request, queue_deadline(request));
+    set_review_timer(request, give_up_at);
 }
 
 Selection Engine::select_endpoint(const ReplicaGroup& group, const Request& request) {
--- a/src/policy/health_check_schedule.cpp
+++ b/src/policy/health_check_schedule.cpp
@@ -44,7 +44,7 @@
 }
 
 bool is_in_steady_use(const ReplicaGroup& group, Duration interval, double cost, Time now) {
-    double replicas = double(group.endpoints.size() - 1);
+    auto replicas = double(group.endpoints.size() - 1);
     return group.position_reads.per_second(now) * to_milliseconds(interval) >=
            to_milliseconds(kUsePeriod) * replicas * std::max(1.0, cost);
 }
--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -14,8 +14,8 @@
 constexpr double kErrorWeight = 0.15;
 constexpr double kMaxErrorShare = 0.5;
 
-/// Silence is a fault after this time (longer than a usual pause)...
-constexpr Duration kLeastSilence = milliseconds(350);
+/// No answer is a fault after this time (longer than a usual pause)...
+constexpr Duration kLeastUnresponsiveTime = milliseconds(350);
 /// ...in which this many answers were to be expected...
 constexpr double kMissedAnswers = 12;
 /// ...of at least so many requests in flight: one long request alone proves nothing.
@@ -40,7 +40,7 @@
 void Ejection::readmit(Time now) {
     fault_ = Fault::none;
     error_share_ = 0;
-    silent_since_ = now;
+    unanswered_since_ = now;
 }
 
 void Ejection::start_trial(Time now) {
@@ -51,7 +51,7 @@
 void Ejection::record_attempt_sent(int others_in_flight, double usual_latency_ms, Time now) {
     if (others_in_flight == 0) {
         awaited_latency_ms_ = usual_latency_ms;
-        silent_since_ = now;
+        unanswered_since_ = now;
     } else {
         awaited_latency_ms_ = std::max(awaited_latency_ms_, usual_latency_ms);
     }
@@ -66,8 +66,9 @@
 bool Ejection::is_unresponsive(int in_flight, double usual_latency_ms, Time now) const {
     if (ejected() || in_flight < kLeastInFlight) return false;
     double expected_ms = std::max(usual_latency_ms, awaited_latency_ms_);
-    Duration limit = std::max(kLeastSilence, from_milliseconds(expected_ms * kMissedAnswers / in_flight));
-    return now - silent_since_ > limit;
+    Duration limit =
+        std::max(kLeastUnresponsiveTime, from_milliseconds(expected_ms * kMissedAnswers / in_flight));
+    return now - unanswered_since_ > limit;
 }
 
 bool admits_trial(const Ejection& ejection, Idempotency idempotency, bool health_checks, Time now) {
--- a/src/policy/outlier_ejection.hpp
+++ b/src/policy/outlier_ejection.hpp
@@ -34,7 +34,7 @@
     /// An attempt goes out; `others_in_flight` beside it, `usual_latency_ms` of its class.
     void record_attempt_sent(int others_in_flight, double usual_latency_ms, Time now);
     /// The endpoint has answered something.
-    void record_answer(Time now) { silent_since_ = now; }
+    void record_answer(Time now) { unanswered_since_ = now; }
     /// An answer that is or isn't an error; true if errors are now so many that the endpoint is an outlier.
     bool record_error(bool is_error);
     /// Work is in flight and for too long nothing has been answered: hung, cut off, or its answers are lost.
@@ -49,7 +49,7 @@
     Time trial_at_{};
     Duration trial_pause_ = kFirstTrialPause;
     double error_share_ = 0;         // mean over recent answers, 0 to 1
-    Time silent_since_{};            // the last answer, or when work went out after none was in flight
+    Time unanswered_since_{};        // the last answer, or when work went out after none was in flight
     double awaited_latency_ms_ = 0;  // usual latency of the slowest class sent since nothing was in flight
 };
 
--- a/src/policy/replica_selection.cpp
+++ b/src/policy/replica_selection.cpp
@@ -27,10 +27,6 @@
 
 }  // namespace
 
-bool endpoints_check_staleness(const Settings& settings) {
-    return settings.staleness_check.value_or(StalenessCheck::none) != StalenessCheck::none;
-}
-
 std::optional<Time> required_position(const Request& request, Time token, Time now) {
     const RequestClass& request_class = *request.request_class;
     if (request_class.consistency == Consistency::bounded) return now - request_class.staleness_bound;
@@ -44,31 +40,31 @@
 
 /// Writes, fresh reads, and session reads that no replica can serve. Without a usable primary they wait.
 Selection ReplicaSelector::select_primary() const {
-    Endpoint* primary = known_primary(group_);
-    if (!primary || !admits(*primary) || !has_capacity(*primary, 1)) return {Selection::Kind::wait};
-    return {Selection::Kind::send, primary};
+    if (!primary_ || !admits(*primary_) || !has_capacity(*primary_, 1)) return {Selection::Kind::wait};
+    return {Selection::Kind::send, primary_};
 }
 
 Selection ReplicaSelector::select_replica() {
     std::vector<Endpoint*> candidates = candidate_replicas();
+    std::optional<Time> needed = required_position(request_, token_, context_.now);
     std::vector<Endpoint*> fit;
     for (Endpoint* endpoint : candidates)
-        if (may_have_position(*endpoint)) fit.push_back(endpoint);
+        if (!needed || may_have_position(*endpoint, *needed)) fit.push_back(endpoint);
     return fit.empty() ? select_without_fit(candidates) : select_among_fit(std::move(fit));
 }
 
 std::vector<Endpoint*> ReplicaSelector::candidate_replicas() const {
     std::vector<Endpoint*> healthy;
     std::vector<Endpoint*> doubtful;
-    const Endpoint* primary = known_primary(group_);
     for (Endpoint* endpoint : group_.endpoints) {
-        if (endpoint == primary || request_.was_sent_to(*endpoint)) continue;
+        if (endpoint == primary_ || request_.was_sent_to(*endpoint)) continue;
         if (admits(*endpoint))
             healthy.push_back(endpoint);
         else if (endpoint->listed && endpoint->ejection.fault() != Fault::unreachable)
             doubtful.push_back(endpoint);
     }
-    return healthy.empty() ? doubtful : healthy;
+    if (healthy.empty()) return doubtful;
+    return healthy;
 }
 
 Selection ReplicaSelector::select_among_fit(std::vector<Endpoint*> fit) {
@@ -139,9 +135,9 @@
     if (!is(Consistency::bounded) && inquiry.count >= kSessionInquiries) return std::nullopt;
     if (inquiry.endpoint && inquiry.endpoint->health_check.in_flight()) {
         double round_trip_ms = to_milliseconds(inquiry.endpoint->round_trip.average());
-        Duration patience =
+        Duration longest_wait =
             std::max(kLeastInquiryWait, from_milliseconds(round_trip_ms * kInquiryRoundTrips));
-        if (context_.now < inquiry.sent + patience) return Selection{Selection::Kind::wait};
+        if (context_.now < inquiry.sent + longest_wait) return Selection{Selection::Kind::wait};
     }
     std::erase_if(hopeful, [&](const Endpoint* endpoint) {
         return endpoint->health_check.in_flight() ||
@@ -153,19 +149,20 @@
 
 bool ReplicaSelector::admits(const Endpoint& endpoint) const {
     if (!endpoint.listed || endpoint.rejection_backoff.paused(context_.now)) return false;
-    return admits_trial(endpoint.ejection, request_.request_class->idempotency,
+    return !endpoint.ejection.ejected() ||
+           admits_trial(endpoint.ejection, request_.request_class->idempotency,
                         context_.settings.probes.value_or(false), context_.now);
 }
 
 bool ReplicaSelector::has_capacity(const Endpoint& endpoint, std::size_t candidates) const {
-    return policy::has_capacity(endpoint, group_, request_, candidates, context_.settings, context_.now);
+    return policy::has_capacity(endpoint, {group_, primary_, candidates}, request_, context_.settings,
+                                context_.now);
 }
 
-bool ReplicaSelector::may_have_position(const Endpoint& endpoint) const {
-    std::optional<Time> needed = required_position(request_, token_, context_.now);
-    if (!needed || endpoint.replication.position >= needed) return true;
+bool ReplicaSelector::may_have_position(const Endpoint& endpoint, Time needed) const {
+    if (endpoint.replication.position >= needed) return true;
     return endpoints_check_staleness(context_.settings) && !must_be_proven() &&
-           expected_to_have(endpoint.replication, endpoint.started, *needed,
+           expected_to_have(endpoint.replication, endpoint.started, needed,
                             request_.request_class->staleness_bound, context_.now);
 }
 
--- a/src/policy/replica_selection.hpp
+++ b/src/policy/replica_selection.hpp
@@ -41,7 +41,9 @@
 };
 
 /// Endpoints check by themselves whether they are too far behind for a read.
-bool endpoints_check_staleness(const Settings& settings);
+inline bool endpoints_check_staleness(const Settings& settings) {
+    return settings.staleness_check.value_or(StalenessCheck::none) != StalenessCheck::none;
+}
 
 /// The position that the request's data must have reached. `token`: of its session; Time{}: no commit known.
 std::optional<Time> required_position(const Request& request, Time token, Time now);
@@ -57,7 +59,11 @@
     };
 
     ReplicaSelector(const Context& context, const ReplicaGroup& group, const Request& request, Time token)
-        : context_(context), group_(group), request_(request), token_(token) {}
+        : context_(context),
+          group_(group),
+          request_(request),
+          primary_(known_primary(group)),
+          token_(token) {}
 
     /// Draws for the choice among several.
     Selection select();
@@ -73,7 +79,7 @@
     std::vector<Endpoint*> candidate_replicas() const;
     bool admits(const Endpoint& endpoint) const;
     bool has_capacity(const Endpoint& endpoint, std::size_t candidates) const;
-    bool may_have_position(const Endpoint& endpoint) const;
+    bool may_have_position(const Endpoint& endpoint, Time needed) const;
     bool must_be_proven() const;
     void prefer_lagging(std::vector<Endpoint*>& fit) const;
     bool is(Consistency consistency) const { return request_.request_class->consistency == consistency; }
@@ -81,6 +87,7 @@
     Context context_;
     const ReplicaGroup& group_;
     const Request& request_;
+    Endpoint* primary_;  // last known; nullptr: none
     Time token_;
 };
 
--- a/src/policy/request_state.cpp
+++ b/src/policy/request_state.cpp
@@ -4,12 +4,6 @@
 #include <utility>
 
 namespace indigovane::policy {
-namespace {
-
-/// A final answer is due this long before the deadline.
-constexpr Duration kAnswerMargin = std::chrono::milliseconds(10);
-
-}  // namespace
 
 Request::Request(const RequestArrival& arrival, std::shared_ptr<RequestClass> its_class,
                  std::size_t attempt_limit, Duration elapsed, double uniform_draw, Time now)
@@ -25,27 +19,6 @@
     if (arrival.since_last_write) carried_token = now - *arrival.since_last_write;
 }
 
-Time Request::answer_due() const {
-    return deadline - kAnswerMargin;
-}
-
-int Request::attempts_in_flight() const {
-    return int(std::ranges::count_if(attempts_, &Attempt::in_flight));
-}
-
-int Request::attempts_that_may_have_run() const {
-    return int(std::ranges::count_if(attempts_, &Attempt::may_have_run));
-}
-
-bool Request::was_sent_to(const Endpoint& endpoint) const {
-    return std::ranges::any_of(attempts_,
-                               [&](const Attempt& attempt) { return attempt.endpoint == &endpoint; });
-}
-
-bool Request::response_started() const {
-    return !attempts_.empty() && attempts_.back().progress == Attempt::Progress::response_started;
-}
-
 bool Request::is_write_of(SessionKey key) const {
     return session == key && request_class->consistency == Consistency::write;
 }
@@ -72,11 +45,6 @@
     return requests_.insert_or_assign(id, std::move(request)).first->second;
 }
 
-Request* RequestTable::find(RequestId id) {
-    auto it = requests_.find(id);
-    return it == requests_.end() ? nullptr : &it->second;
-}
-
 bool RequestTable::has_unresolved_write(SessionKey session) const {
     return std::ranges::any_of(requests_, [&](const auto& entry) {
         return entry.second.is_write_of(session) && entry.second.attempts_that_may_have_run() > 0;
--- a/src/policy/request_state.hpp
+++ b/src/policy/request_state.hpp
@@ -7,6 +7,7 @@
 // Settings read: none.
 #pragma once
 
+#include <algorithm>
 #include <cstdint>
 #include <memory>
 #include <optional>
@@ -65,12 +66,19 @@
     const std::vector<Attempt>& attempts() const { return attempts_; }
 
     /// When a final answer is due, so that it reaches the client before the deadline.
-    Time answer_due() const;
-    int attempts_in_flight() const;
+    Time answer_due() const { return deadline - kAnswerMargin; }
+    int attempts_in_flight() const { return int(std::ranges::count_if(attempts_, &Attempt::in_flight)); }
     /// Attempts that may have run, those in flight among them.
-    int attempts_that_may_have_run() const;
-    bool was_sent_to(const Endpoint& endpoint) const;
-    bool response_started() const;
+    int attempts_that_may_have_run() const {
+        return int(std::ranges::count_if(attempts_, &Attempt::may_have_run));
+    }
+    bool was_sent_to(const Endpoint& endpoint) const {
+        return std::ranges::any_of(attempts_,
+                                   [&](const Attempt& attempt) { return attempt.endpoint == &endpoint; });
+    }
+    bool response_started() const {
+        return !attempts_.empty() && attempts_.back().progress == Attempt::Progress::response_started;
+    }
     bool is_write_of(SessionKey key) const;
 
     void enqueue() { phase_ = Phase::queued; }
@@ -81,6 +89,8 @@
     void finish() { phase_ = Phase::finished; }
 
   private:
+    static constexpr Duration kAnswerMargin = std::chrono::milliseconds(10);
+
     Phase phase_ = Phase::arrived;
     std::vector<Attempt> attempts_;
 };
@@ -89,7 +99,10 @@
 class RequestTable {
   public:
     Request& insert(Request request);
-    Request* find(RequestId id);
+    Request* find(RequestId id) {
+        auto it = requests_.find(id);
+        return it == requests_.end() ? nullptr : &it->second;
+    }
     Request& at(RequestId id) { return requests_.at(id); }
     void erase(RequestId id) { requests_.erase(id); }
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -5,8 +5,8 @@
 namespace indigovane::policy {
 namespace {
 
-/// Further attempts after ones that may have run: failures multiply no load.
-constexpr int kMaxRepeats = 2;
+/// Retries of a request that may have run: failures multiply no load.
+constexpr int kMaxRetriesAfterExecution = 2;
 /// A repeat begins this long before the deduplication window ends.
 constexpr Duration kWindowMargin = std::chrono::milliseconds(20);
 
@@ -15,7 +15,7 @@
 bool may_retry(const Request& request, Time now) {
     if (request.attempts().size() >= request.max_attempts || now >= request.answer_due()) return false;
     int may_have_run = request.attempts_that_may_have_run();
-    if (may_have_run > kMaxRepeats) return false;
+    if (may_have_run > kMaxRetriesAfterExecution) return false;
     const RequestClass& request_class = *request.request_class;
     if (request_class.idempotency == Idempotency::idempotent || may_have_run == 0) return true;
     if (request_class.idempotency == Idempotency::not_idempotent) return false;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -12,10 +12,6 @@
 
 }  // namespace
 
-bool in_slow_start(std::optional<Time> started, const Settings& settings, Time now) {
-    return started && now < *started + settings.ramp.value_or(Duration::zero());
-}
-
 double ready_share(Time started, const Settings& settings, Time now) {
     double initial = settings.slow_start_share.value_or(0);
     double multiple = settings.overload_multiple.value_or(0);
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -16,7 +16,9 @@
 
 namespace indigovane::policy {
 
-bool in_slow_start(std::optional<Time> started, const Settings& settings, Time now);
+inline bool in_slow_start(std::optional<Time> started, const Settings& settings, Time now) {
+    return started && now < *started + settings.ramp.value_or(Duration::zero());
+}
 
 /// The share of its full work that an endpoint in slow start can surely do now.
 double ready_share(Time started, const Settings& settings, Time now);
