--- /dev/null
+++ b/tests/policy/endpoint_list_poll_test.cpp
@@ -0,0 +1,38 @@
+#include "policy/endpoint_list_poll.hpp"
+
+#include <doctest/doctest.h>
+
+#include "policy/fixtures.hpp"
+
+using namespace indigovane::policy;
+using namespace indigovane::policy::testing;
+
+TEST_CASE("first requests are spread over 60 ms a pooler, of ten poolers at least") {
+    Random random(1);
+    for (int i = 0; i < 100; ++i) {
+        Duration delay = EndpointListPoll::first_delay(30, random);
+        CHECK(delay >= 0ms);
+        CHECK(delay < 2400ms);
+    }
+}
+
+TEST_CASE("a failed request is made again after a backoff with jitter that doubles up to four seconds") {
+    EndpointListPoll poll;
+    Random random(1);
+    for (Duration backoff : {400ms, 800ms, 1600ms, 3200ms, 4000ms, 4000ms}) {
+        Duration delay = poll.retry_delay(random);
+        CHECK(delay >= backoff / 2);
+        CHECK(delay < backoff * 3 / 2);
+    }
+}
+
+TEST_CASE("an answer from the service ends the backoff, a cached list does not") {
+    EndpointListPoll poll;
+    Random random(1);
+    for (int i = 0; i < 6; ++i) poll.retry_delay(random);
+    poll.record_request();
+    poll.record_list(EndpointListKind::cached);
+    CHECK(poll.retry_delay(random) >= 2s);
+    poll.record_list(EndpointListKind::full);
+    CHECK(poll.retry_delay(random) < 600ms);
+}
--- /dev/null
+++ b/tests/policy/outlier_ejection_test.cpp
@@ -0,0 +1,61 @@
+#include "policy/outlier_ejection.hpp"
+
+#include <doctest/doctest.h>
+
+#include "policy/fixtures.hpp"
+
+using namespace indigovane::policy;
+using namespace indigovane::policy::testing;
+
+TEST_CASE("an endpoint is an outlier once more than half of its recent answers are errors") {
+    Ejection ejection;
+    int errors = 1;
+    while (!ejection.record_error(true)) ++errors;
+    CHECK(errors == 5);
+    CHECK_FALSE(ejection.record_error(false));
+}
+
+TEST_CASE("an ejected endpoint admits a trial after 200 ms, then after pauses that double up to 2 s") {
+    Ejection ejection;
+    CHECK(ejection.eject(Fault::erring, kStart));
+    CHECK_FALSE(ejection.eject(Fault::erring, kStart));
+    CHECK_FALSE(admits_trial(ejection, Idempotency::idempotent, true, kStart + 199ms));
+    CHECK(admits_trial(ejection, Idempotency::idempotent, true, kStart + 200ms));
+
+    Time now = kStart + 200ms;
+    for (Duration pause : {400ms, 800ms, 1600ms, 2000ms, 2000ms}) {
+        ejection.start_trial(now);
+        CHECK_FALSE(ejection.trial_due(now + pause - 1us));
+        now += pause;
+        CHECK(ejection.trial_due(now));
+    }
+    ejection.readmit(now);
+    CHECK_FALSE(ejection.ejected());
+}
+
+TEST_CASE("a request that must not run twice is a trial only two seconds after the ejection") {
+    Ejection ejection;
+    ejection.eject(Fault::unresponsive, kStart);
+    CHECK_FALSE(admits_trial(ejection, Idempotency::idempotency_key, true, kStart + 1999ms));
+    CHECK(admits_trial(ejection, Idempotency::idempotency_key, true, kStart + 2s));
+}
+
+TEST_CASE("an unreachable endpoint is tried by health checks where they are allowed") {
+    Ejection ejection;
+    ejection.eject(Fault::unreachable, kStart);
+    CHECK_FALSE(admits_trial(ejection, Idempotency::idempotent, true, kStart + 10s));
+    CHECK(admits_trial(ejection, Idempotency::idempotent, false, kStart + 10s));
+}
+
+TEST_CASE("an endpoint is unresponsive when it has work and answers nothing for longer than answers take") {
+    Ejection ejection;
+    ejection.record_attempt_sent(0, 10, kStart);
+    CHECK_FALSE(ejection.is_unresponsive(1, 10, kStart + 10s));
+    ejection.record_attempt_sent(1, 10, kStart);
+    CHECK_FALSE(ejection.is_unresponsive(2, 10, kStart + 350ms));
+    CHECK(ejection.is_unresponsive(2, 10, kStart + 351ms));
+    CHECK_FALSE(ejection.is_unresponsive(2, 100, kStart + 600ms));
+    CHECK(ejection.is_unresponsive(2, 100, kStart + 601ms));
+    ejection.record_answer(kStart + 300ms);
+    CHECK_FALSE(ejection.is_unresponsive(2, 10, kStart + 351ms));
+}
--- /dev/null
+++ b/tests/policy/rejection_backoff_test.cpp
@@ -0,0 +1,37 @@
+#include "policy/rejection_backoff.hpp"
+
+#include <doctest/doctest.h>
+
+#include "policy/fixtures.hpp"
+
+using namespace indigovane::policy;
+using namespace indigovane::policy::testing;
+
+TEST_CASE("a rejecting endpoint is paused for 50 ms with jitter, and for twice as long each time") {
+    RejectionBackoff backoff;
+    Random random(1);
+    backoff.record_rejection(kStart, random);
+    CHECK(backoff.paused(kStart + 24ms));
+    CHECK_FALSE(backoff.paused(kStart + 75ms));
+    for (int i = 0; i < 10; ++i) backoff.record_rejection(kStart, random);
+    CHECK(backoff.paused(kStart + 999ms));
+    CHECK_FALSE(backoff.paused(kStart + 3s));
+}
+
+TEST_CASE("successes halve the pause") {
+    RejectionBackoff backoff;
+    Random random(1);
+    for (int i = 0; i < 10; ++i) backoff.record_rejection(kStart, random);
+    for (int i = 0; i < 10; ++i) backoff.record_success();
+    backoff.record_rejection(kStart, random);
+    CHECK_FALSE(backoff.paused(kStart + 75ms));
+}
+
+TEST_CASE("where no connection came free the pause is 50 ms and shortens no other") {
+    RejectionBackoff backoff;
+    backoff.record_no_connection(kStart);
+    CHECK(backoff.paused(kStart + 49ms));
+    CHECK_FALSE(backoff.paused(kStart + 50ms));
+    backoff.record_no_connection(kStart - 20ms);
+    CHECK(backoff.paused(kStart + 49ms));
+}
--- /dev/null
+++ b/tests/policy/replica_selection_test.cpp
@@ -0,0 +1,112 @@
+#include "policy/replica_selection.hpp"
+
+#include <doctest/doctest.h>
+
+#include "policy/fixtures.hpp"
+
+using namespace indigovane::policy;
+using namespace indigovane::policy::testing;
+
+namespace {
+
+/// A group of a primary and two replicas with positions as of kStart; time is kStart.
+struct Selector {
+    Selector() {
+        settings.probes = true;
+        for (Endpoint* endpoint : group().endpoints) endpoint->replication.record_position(kStart, kStart);
+    }
+    ReplicaGroup& group() { return *table.find_group(GroupId{1}); }
+    Endpoint& endpoint(std::uint32_t id) { return *table.find(EndpointId{id}); }
+    Selection select(const Request& request, Time token = {}, Time now = kStart) {
+        return ReplicaSelector({settings, 100ms, now, random}, group(), request, token).select();
+    }
+
+    Settings settings;
+    EndpointTable table = make_table(3);
+    Random random{1};
+};
+
+}  // namespace
+
+TEST_CASE("writes and fresh reads go to the primary, and wait without a usable one") {
+    Selector selector;
+    for (Consistency consistency : {Consistency::write, Consistency::fresh}) {
+        Request request = make_request(class_settings(consistency));
+        CHECK(selector.select(request).endpoint == &selector.endpoint(0));
+        selector.endpoint(0).listed = false;
+        CHECK(selector.select(request).kind == Selection::Kind::wait);
+        selector.endpoint(0).listed = true;
+    }
+}
+
+TEST_CASE("a read goes to a replica that was not tried, and is not ejected or paused") {
+    Selector selector;
+    Request request = make_request(class_settings(Consistency::any));
+    run_attempt(request, selector.endpoint(1), AttemptStatus::rejected);
+    CHECK(selector.select(request).endpoint == &selector.endpoint(2));
+    selector.endpoint(2).ejection.eject(Fault::unreachable, kStart);
+    CHECK(selector.select(request).kind != Selection::Kind::send);
+}
+
+TEST_CASE("replicas ejected for faults that may be everyone's stay in when all are") {
+    Selector selector;
+    Request request = make_request(class_settings(Consistency::any));
+    selector.endpoint(1).ejection.eject(Fault::erring, kStart);
+    selector.endpoint(2).ejection.eject(Fault::unreachable, kStart);
+    CHECK(selector.select(request).endpoint == &selector.endpoint(1));
+}
+
+TEST_CASE("replicas more than 15 ms farther than the nearest get no reads") {
+    Selector selector;
+    Request request = make_request(class_settings(Consistency::any));
+    selector.endpoint(1).round_trip.record(1ms);
+    selector.endpoint(2).round_trip.record(17ms);
+    for (int i = 0; i < 20; ++i) CHECK(selector.select(request).endpoint == &selector.endpoint(1));
+}
+
+TEST_CASE("the round trip is the mean of the last five checks") {
+    RoundTripTime round_trip;
+    CHECK(round_trip.average() == 0ms);
+    round_trip.record(100ms);
+    for (int i = 0; i < 5; ++i) round_trip.record(10ms);
+    CHECK(round_trip.average() == 10ms);
+}
+
+TEST_CASE("a bounded read goes only where the position is known to be within its bound") {
+    Selector selector;
+    Request request = make_request(class_settings(Consistency::bounded));
+    CHECK(required_position(request, Time{}, kStart) == kStart - 300ms);
+    CHECK(selector.select(request).kind == Selection::Kind::send);
+    Selection later = selector.select(request, Time{}, kStart + 301ms);
+    CHECK(later.kind == Selection::Kind::inquire);
+    request.inquiry = {later.endpoint, kStart + 301ms, 1};
+    later.endpoint->health_check.record_sent(kStart + 301ms);
+    CHECK(selector.select(request, Time{}, kStart + 302ms).kind == Selection::Kind::wait);
+}
+
+TEST_CASE("a session read goes to a replica that has reached its token, else to the primary") {
+    Selector selector;
+    selector.settings.probes = false;
+    Request request = make_request(class_settings(Consistency::session));
+    CHECK(selector.select(request, kStart).endpoint != &selector.endpoint(0));
+    CHECK(selector.select(request, kStart + 1ms).endpoint == &selector.endpoint(0));
+}
+
+TEST_CASE("where endpoints check staleness, the one least behind is tried first") {
+    Selector selector;
+    selector.settings.staleness_check = StalenessCheck::refuse;
+    selector.endpoint(2).replication.record_position(kStart + 10ms, kStart + 10ms);
+    Request request = make_request(class_settings(Consistency::session));
+    CHECK(selector.select(request, kStart + 40ms, kStart + 10ms).endpoint == &selector.endpoint(2));
+    Request unsafe = make_request(class_settings(Consistency::session, Idempotency::not_idempotent));
+    CHECK(selector.select(unsafe, kStart + 40ms, kStart + 10ms).endpoint == &selector.endpoint(0));
+}
+
+TEST_CASE("while some replicas are too far behind for bounded reads, they serve the any reads") {
+    Selector selector;
+    Endpoint& behind = selector.endpoint(2);
+    behind.replication = {};
+    behind.replication.record_position(kStart - 2s, kStart);
+    Request request = make_request(class_settings(Consistency::any));
+    for (int i = 0; i < 20; ++i) CHECK(selector.select(request).endpoint == &behind);
+}
--- /dev/null
+++ b/tests/policy/replication_state_test.cpp
@@ -0,0 +1,52 @@
+#include "policy/replication_state.hpp"
+
+#include <doctest/doctest.h>
+
+#include "policy/fixtures.hpp"
+
+using namespace indigovane::policy;
+using namespace indigovane::policy::testing;
+
+TEST_CASE("a position never goes back, and a report of an old one still counts as news") {
+    ReplicationState state;
+    state.record_position(kStart, kStart + 1s);
+    state.record_position(kStart - 1s, kStart + 2s);
+    CHECK(state.position == kStart);
+    CHECK(state.reported_at == kStart + 2s);
+    CHECK(state.estimated_position(kStart + 3s) == kStart + 1s);
+}
+
+TEST_CASE("the newest claim of a role counts") {
+    ReplicationState state;
+    state.record_primary(kStart);
+    CHECK(state.primary_as_of == kStart);
+    state.record_replica(kStart + 1s);
+    CHECK_FALSE(state.primary_as_of);
+    state.record_primary(kStart + 1s);
+    CHECK_FALSE(state.primary_as_of);
+    state.record_primary(kStart + 2s);
+    CHECK(state.primary_as_of == kStart + 2s);
+}
+
+TEST_CASE("only a fresh report proves that an endpoint is behind") {
+    ReplicationState state;
+    state.record_position(kStart - 1s, kStart);
+    CHECK(state.surely_behind(500ms, kStart));
+    CHECK_FALSE(state.surely_behind(600ms, kStart));
+    CHECK_FALSE(state.surely_behind(500ms, kStart + 400ms));
+    CHECK(state.falls_short(kStart, kStart));
+    CHECK_FALSE(state.falls_short(kStart - 950ms, kStart));
+    CHECK_FALSE(state.falls_short(kStart, kStart + 400ms));
+}
+
+TEST_CASE("an endpoint that checks is expected to have what it lagged by, or to have caught up") {
+    ReplicationState state;
+    CHECK_FALSE(expected_to_have(state, std::nullopt, kStart, 0ms, kStart));
+    CHECK(expected_to_have(state, kStart - 10s, kStart, 0ms, kStart));
+    CHECK_FALSE(expected_to_have(state, kStart - 1s, kStart, 0ms, kStart));
+    state.record_position(kStart - 1s, kStart);
+    CHECK(expected_to_have(state, std::nullopt, kStart - 1s, 0ms, kStart));
+    CHECK_FALSE(expected_to_have(state, std::nullopt, kStart, 0ms, kStart));
+    CHECK_FALSE(expected_to_have(state, std::nullopt, kStart, 300ms, kStart + 999ms));
+    CHECK(expected_to_have(state, std::nullopt, kStart, 300ms, kStart + 1s));
+}
