--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -1,64 +1,41 @@
 #include "simulator/codec.hpp"
 
-#include <array>
 #include <cmath>
 #include <utility>
 
+#include "simulator/field_names.hpp"
+
 namespace indigovane::simulator {
 
 using namespace policy;
 namespace {
 
-template <typename E, std::size_t N>
-using Words = std::array<std::pair<std::string_view, E>, N>;
-
-constexpr Words<AttemptStatus, 9> kStatuses{{{"OK", AttemptStatus::ok},
-                                             {"INTERNAL", AttemptStatus::error},
-                                             {"RESOURCE_EXHAUSTED", AttemptStatus::rejected},
-                                             {"DEADLINE_EXCEEDED", AttemptStatus::timeout},
-                                             {"UNAVAILABLE", AttemptStatus::unreachable},
-                                             {"ABORTED", AttemptStatus::reset},
-                                             {"CANCELLED", AttemptStatus::cancelled},
-                                             {"TOO_LATE", AttemptStatus::not_started},
-                                             {"NOT_FOUND", AttemptStatus::miss}}};
-constexpr Words<Consistency, 5> kConsistencies{{{"update", Consistency::write},
-                                                {"latest", Consistency::fresh},
-                                                {"own_writes", Consistency::session},
-                                                {"recent", Consistency::bounded},
-                                                {"loose", Consistency::any}}};
-constexpr Words<Idempotency, 3> kEffects{{{"retryable", Idempotency::idempotent},
-                                          {"dedup", Idempotency::idempotency_key},
-                                          {"fragile", Idempotency::not_idempotent}}};
-constexpr Words<DeduplicationScope, 3> kScopes{{{"all", DeduplicationScope::all},
-                                                {"zone", DeduplicationScope::zone},
-                                                {"cell", DeduplicationScope::group}}};
-constexpr Words<StalenessCheck, 3> kChecks{
-    {{"silent", StalenessCheck::none}, {"reject", StalenessCheck::refuse}, {"hold", StalenessCheck::wait}}};
-constexpr Words<TokenSource, 2> kTokens{
-    {{"client", TokenSource::carried}, {"router", TokenSource::remembered}}};
-constexpr Words<EndpointListMode, 2> kModes{
-    {{"automatic", EndpointListMode::pushed}, {"subscribe", EndpointListMode::polled}}};
+constexpr std::uint64_t kMaxClasses = 10000;
 
-template <typename E, std::size_t N>
-std::optional<E> lookup(const Words<E, N>& words, std::string_view text) {
-    for (const auto& [word, value] : words)
-        if (word == text) return value;
-    return std::nullopt;
-}
+// What the position-and-role field holds: 4 x position + role; the position in whole milliseconds whatever
+// the wire's unit, 0 where none is given.
+constexpr std::uint64_t kRoleRange = 4;
+constexpr std::uint64_t kPrimaryRole = 1;
+constexpr std::uint64_t kReplicaRole = 2;
+constexpr std::int64_t kMicrosPerMilli = 1000;
+constexpr double kMicrosPerSecond = 1e6;
 
-// A field as a T, or nothing where it is absent.
-template <typename F>
-auto optional(const Line& line, std::string_view field, F read) -> std::optional<decltype(read({}))> {
+template <typename Read>
+auto optional(const Line& line, std::string_view field, Read read) -> std::optional<decltype(read({}))> {
     if (auto text = line.find(field)) return read(*text);
     return std::nullopt;
 }
-template <typename E, std::size_t N>
-std::optional<E> word(const Line& line, std::string_view field, const Words<E, N>& words) {
-    if (auto text = line.find(field)) return lookup(words, *text);
+
+/// Nothing where the field is absent or its value unknown.
+template <typename Enum, std::size_t Count>
+std::optional<Enum> named_value(const Line& line, std::string_view field,
+                                const ValueNames<Enum, Count>& names) {
+    if (auto text = line.find(field)) return value_of(names, *text);
     return std::nullopt;
 }
+
 std::optional<Duration> duration(const Line& line, std::string_view field) {
-    return optional(line, field, [](std::string_view t) { return Duration(to_micros(t)); });
+    return optional(line, field, [](std::string_view text) { return Duration(to_micros(text)); });
 }
 std::optional<double> number(const Line& line, std::string_view field) {
     return optional(line, field, to_number);
@@ -66,15 +43,20 @@
 std::optional<bool> flag(const Line& line, std::string_view field) {
     return optional(line, field, to_flag);
 }
-
-std::optional<std::uint32_t> small(const Line& line, std::string_view field) {
-    return optional(line, field, [](std::string_view t) { return static_cast<std::uint32_t>(to_count(t)); });
+std::optional<std::uint32_t> count32(const Line& line, std::string_view field) {
+    return optional(line, field,
+                    [](std::string_view text) { return static_cast<std::uint32_t>(to_count(text)); });
+}
+/// Nothing for zero, by which the wire says that there is none.
+std::optional<Duration> nonzero_duration(const Line& line, std::string_view field) {
+    auto value = duration(line, field);
+    return value && value->count() != 0 ? value : std::nullopt;
 }
 
-std::vector<std::string_view> split(std::string_view text, char at) {
+std::vector<std::string_view> split(std::string_view text, char separator) {
     std::vector<std::string_view> parts;
     while (!text.empty()) {
-        std::size_t end = text.find(at);
+        std::size_t end = text.find(separator);
         parts.push_back(text.substr(0, end));
         text = end == std::string_view::npos ? std::string_view{} : text.substr(end + 1);
     }
@@ -82,195 +64,225 @@
 }
 
 AttemptStatus read_status(const Line& line) {
-    std::string_view text = line.need("rc");
-    if (auto status = lookup(kStatuses, text)) return *status;
+    std::string_view text = line.require(fields::kStatus);
+    if (auto status = value_of(kAttemptStatusNames, text)) return *status;
     throw Malformed("unknown outcome '" + std::string(text) + "'");
 }
 
-// name:value pairs set apart by commas; names that mean nothing here are skipped.
-LoadReport read_report(const Line& line, const Scale& scale) {
+/// name:value pairs set apart by commas; names that mean nothing here are skipped.
+LoadReport read_load_report(const Line& line, const PositionOrigin& origin) {
     LoadReport report;
-    auto text = line.find("serverStats");
+    auto text = line.find(fields::kLoadReport);
     if (!text || *text == "-") return report;
     for (std::string_view part : split(*text, ',')) {
         std::size_t colon = part.find(':');
         if (colon == std::string_view::npos) throw Malformed("'" + std::string(part) + "' is not name:value");
         std::string_view name = part.substr(0, colon);
         double value = to_number(part.substr(colon + 1));
-        if (name == "x0")
-            report.position = Time(Duration(scale.base_micros + std::int64_t(std::floor(value * 1e6))));
-        if (name == "x1") report.primary = value == 1;
-        if (name == "concurrent") report.in_flight = value;
-        if (name == "depth") report.queued = value;
-        if (name == "load_share") report.cpu_utilization = value;
+        if (name == fields::kReportPosition)
+            report.position =
+                Time(Duration(origin.micros + std::int64_t(std::floor(value * kMicrosPerSecond))));
+        if (name == fields::kReportPrimary) report.primary = value == 1;
+        if (name == fields::kReportInFlight) report.in_flight = value;
+        if (name == fields::kReportQueued) report.queued = value;
+        if (name == fields::kReportCpuUtilization) report.cpu_utilization = value;
     }
     return report;
 }
 
-std::string id_text(RequestId id) {
-    return std::to_string(std::uint64_t(id));
+ClassSettings read_class_settings(const Line& line, std::uint64_t number_of_class) {
+    using namespace setting_names;
+    std::string prefix = std::string(kClassPrefix) + std::to_string(number_of_class) + ".";
+    auto field = [&](std::string_view name) { return prefix + std::string(name); };
+    ClassSettings settings;
+    settings.idempotency = named_value(line, field(kIdempotency), kIdempotencyNames);
+    settings.deduplication_scope = named_value(line, field(kDeduplicationScope), kDeduplicationScopeNames);
+    settings.deduplication_window = duration(line, field(kDeduplicationWindow));
+    settings.latency_objective = duration(line, field(kLatencyObjective));
+    settings.deadline = duration(line, field(kDeadline));
+    settings.priority_weight = number(line, field(kPriorityWeight));
+    settings.late_share = number(line, field(kLateShare));
+    return settings;
 }
 
+std::vector<ClassSettings> read_classes(const Line& line) {
+    auto consistencies = split(line.find(setting_names::kConsistencies).value_or(""), ',');
+    auto bounds = split(line.find(setting_names::kStalenessBounds).value_or(""), ',');
+    std::uint64_t count = to_count(line.find(setting_names::kClassCount).value_or("0"));
+    if (count > kMaxClasses) throw Malformed("too many classes");
+    std::vector<ClassSettings> classes;
+    for (std::uint64_t i = 0; i < count; ++i) {
+        ClassSettings settings = read_class_settings(line, i);
+        if (i < consistencies.size()) settings.consistency = value_of(kConsistencyNames, consistencies[i]);
+        if (i < bounds.size()) settings.bound = Duration(to_micros(bounds[i]));
+        classes.push_back(settings);
+    }
+    return classes;
+}
+
+/// Every action is a message's name, the instance, and its fields.
+class ActionWriter {
+  public:
+    ActionWriter(std::uint64_t instance, const EndpointNames& names) : instance_(instance), names_(names) {}
+
+    std::string operator()(const SendAttempt& send) const {
+        std::string text = message(messages::kSendAttempt) + field(fields::kRequest, send.id) +
+                           field(fields::kEndpoint, names_.name(send.endpoint));
+        return send.timeout ? text + field(fields::kAttemptTimeout, *send.timeout) : text;
+    }
+    std::string operator()(const CancelAttempt& cancel) const {
+        return message(messages::kCancelAttempt) + field(fields::kRequest, cancel.id) +
+               field(fields::kAttempt, std::to_string(cancel.attempt));
+    }
+    std::string operator()(const RejectRequest& reject) const {
+        std::string text = message(messages::kRejectRequest) + field(fields::kRequest, reject.id);
+        return reject.retry_after ? text + field(fields::kRetryAfter, *reject.retry_after) : text;
+    }
+    std::string operator()(const FailRequest& fail) const {
+        return message(messages::kFailRequest) + field(fields::kRequest, fail.id);
+    }
+    std::string operator()(const CheckHealth& check) const {
+        return message(messages::kCheckHealth) + field(fields::kEndpoint, names_.name(check.endpoint));
+    }
+    std::string operator()(const SetTimer& timer) const {
+        return message(messages::kSetTimer) + field(fields::kDelay, timer.delay) +
+               field(fields::kTimer, std::to_string(std::uint64_t(timer.id)));
+    }
+    std::string operator()(const WatchEndpoints&) const {
+        return message(messages::kWatchEndpoints) + field(fields::kWatch, "1");
+    }
+    std::string operator()(const LogMessage& log) const {
+        return message(messages::kLogMessage) + field(fields::kText, log.text);
+    }
+
+  private:
+    std::string message(std::string_view name) const {
+        return std::string(name) + field(fields::kInstance, std::to_string(instance_));
+    }
+    static std::string field(std::string_view name, std::string_view value) {
+        return " " + std::string(name) + "=" + std::string(value);
+    }
+    static std::string field(std::string_view name, RequestId id) {
+        return field(name, std::to_string(std::uint64_t(id)));
+    }
+    static std::string field(std::string_view name, Duration value) {
+        return field(name, from_micros(value.count()));
+    }
+
+    std::uint64_t instance_;
+    const EndpointNames& names_;
+};
+
 }  // namespace
 
-EndpointId Names::number(std::string_view name) {
-    auto [it, fresh] = numbers_.try_emplace(std::string(name), EndpointId(names_.size()));
-    if (fresh) names_.emplace_back(name);
+EndpointId EndpointNames::id_of(std::string_view name) {
+    auto [it, is_new] = ids_.try_emplace(std::string(name), EndpointId(names_.size()));
+    if (is_new) names_.emplace_back(name);
     return it->second;
 }
 
-Scale read_scale(const Line& line) {
-    Scale scale;
-    if (auto text = line.find("familyInfo.baseTimeMs")) scale.base_micros = to_micros(*text);
-    return scale;
+PositionOrigin read_position_origin(const Line& line) {
+    PositionOrigin origin;
+    if (auto text = line.find(setting_names::kPositionOrigin)) origin.micros = to_micros(*text);
+    return origin;
 }
 
 Settings read_settings(const Line& line) {
-    Settings s;
-    s.fleet_size = small(line, "fleetSize");
-    s.endpoint_list_mode = word(line, "registryMode", kModes);
-    if (auto not_binding = flag(line, "safety.removalNotBinding")) s.removal_binds = !*not_binding;
-    s.probes = flag(line, "allowed.probing");
-    s.cancels = flag(line, "allowed.cancel");
-    s.hedging = flag(line, "allowed.secondCopies");
-    s.retry_after = flag(line, "allowed.retryAfter");
-    s.max_retry_after = duration(line, "allowed.maxRetryAfterMs");
-    s.attempts = small(line, "allowed.tryLimit");
-    s.tokens = word(line, "familyInfo.sessionMarks", kTokens);
-    s.staleness_check = word(line, "familyInfo.serverChecks", kChecks);
-    s.slow_start_share = number(line, "safety.coldFrom");
-    s.ramp = duration(line, "safety.rampTimeMs");
-    s.overload_multiple = number(line, "safety.fallMultiple");
-    s.overload_window = duration(line, "safety.fallMs");
-    s.health_check_price = number(line, "tariffs.probe");
-    auto needs = split(line.find("familyInfo.consistency").value_or(""), ',');
-    auto bounds = split(line.find("familyInfo.oldestDataMs").value_or(""), ',');
-    std::uint64_t count = to_count(line.find("classes.count").value_or("0"));
-    if (count > 10000) throw Malformed("too many classes");
-    for (std::uint64_t i = 0; i < count; ++i) {
-        std::string at = "classes." + std::to_string(i) + ".";
-        ClassSettings c;
-        if (i < needs.size()) c.consistency = lookup(kConsistencies, needs[i]);
-        if (i < bounds.size()) c.bound = Duration(to_micros(bounds[i]));
-        c.idempotency = word(line, at + "effect", kEffects);
-        c.deduplication_scope = word(line, at + "group", kScopes);
-        c.deduplication_window = duration(line, at + "repeatWindowMs");
-        c.latency_objective = duration(line, at + "sloMs");
-        c.deadline = duration(line, at + "hardLimitMs");
-        c.priority_weight = number(line, at + "worth");
-        c.late_share = number(line, at + "lateShare");
-        s.classes.push_back(c);
-    }
-    return s;
+    using namespace setting_names;
+    Settings settings;
+    settings.fleet_size = count32(line, kFleetSize);
+    settings.endpoint_list_mode = named_value(line, kEndpointListMode, kEndpointListModeNames);
+    if (auto not_binding = flag(line, kRemovalDoesNotBind)) settings.removal_binds = !*not_binding;
+    settings.probes = flag(line, kHealthChecks);
+    settings.cancels = flag(line, kCancels);
+    settings.hedging = flag(line, kHedging);
+    settings.retry_after = flag(line, kRetryAfter);
+    settings.max_retry_after = duration(line, kMaxRetryAfter);
+    settings.attempts = count32(line, kAttempts);
+    settings.tokens = named_value(line, kTokenSource, kTokenSourceNames);
+    settings.staleness_check = named_value(line, kStalenessCheck, kStalenessCheckNames);
+    settings.slow_start_share = number(line, kSlowStartShare);
+    settings.ramp = duration(line, kSlowStartRamp);
+    settings.overload_multiple = number(line, kOverloadMultiple);
+    settings.overload_window = duration(line, kOverloadWindow);
+    settings.health_check_price = number(line, kHealthCheckPrice);
+    settings.classes = read_classes(line);
+    return settings;
 }
 
-EndpointEntry read_entry(const Line& line, Names& names) {
-    EndpointEntry e;
-    e.endpoint = names.number(line.need("database"));
-    e.group = GroupId(small(line, "set").value_or(0));
-    e.zone = ZoneId(small(line, "rackZone").value_or(0));
-    std::string_view state = line.need("health");
-    if (state == "1")
-        e.state = EndpointState::ready;
-    else if (state == "2")
-        e.state = EndpointState::draining;
-    else if (state == "0")
-        e.state = EndpointState::gone;
-    else
-        throw Malformed("unknown health '" + std::string(state) + "'");
-    e.primary = number(line, "leads").value_or(0) == 1;
-    if (auto started = duration(line, "cameUpMs"); started && started->count() != 0)
-        e.started = Time(*started);
-    return e;
+EndpointEntry read_endpoint_entry(const Line& line, EndpointNames& names) {
+    EndpointEntry entry;
+    entry.endpoint = names.id_of(line.require(fields::kEndpoint));
+    entry.group = GroupId(count32(line, fields::kGroup).value_or(0));
+    entry.zone = ZoneId(count32(line, fields::kZone).value_or(0));
+    std::string_view state_text = line.require(fields::kEndpointState);
+    std::optional<EndpointState> state = value_of(kEndpointStateNames, state_text);
+    if (!state) throw Malformed("unknown health '" + std::string(state_text) + "'");
+    entry.state = *state;
+    entry.primary = number(line, fields::kIsPrimary).value_or(0) == 1;
+    if (auto started = nonzero_duration(line, fields::kStarted)) entry.started = Time(*started);
+    return entry;
 }
 
 EndpointList read_list_kind(const Line& line) {
-    static constexpr std::array kinds{EndpointListKind::changes, EndpointListKind::full,
-                                      EndpointListKind::cached, EndpointListKind::failed};
-    std::uint64_t mode = to_count(line.need("mode"));
-    if (mode >= kinds.size()) throw Malformed("unknown list mode");
-    return EndpointList{kinds[mode], {}};
+    std::uint64_t kind = to_count(line.require(fields::kListKind));
+    if (kind >= kEndpointListKinds.size()) throw Malformed("unknown list mode");
+    return EndpointList{kEndpointListKinds[kind], {}};
 }
 
 RequestId read_request_id(const Line& line) {
-    return RequestId(to_count(line.need("txn")));
+    return RequestId(to_count(line.require(fields::kRequest)));
 }
 
 RequestArrival read_request(const Line& line) {
-    RequestArrival r;
-    r.id = read_request_id(line);
-    r.request_class = ClassId(to_count(line.need("priority")));
-    r.group = GroupId(small(line, "shard").value_or(0));
-    r.client_timeout = Duration(to_micros(line.need("budgetMs")));
-    r.session = optional(line, "user", [](std::string_view t) { return SessionKey(to_hex(t)); });
-    if (auto age = duration(line, "lastWriteMs"); age && age->count() != 0) r.since_last_write = age;
-    r.repeat = flag(line, "resent").value_or(false);
-    return r;
+    RequestArrival arrival;
+    arrival.id = read_request_id(line);
+    arrival.request_class = ClassId(to_count(line.require(fields::kRequestClass)));
+    arrival.group = GroupId(count32(line, fields::kRequestGroup).value_or(0));
+    arrival.client_timeout = Duration(to_micros(line.require(fields::kClientTimeout)));
+    arrival.session =
+        optional(line, fields::kSession, [](std::string_view text) { return SessionKey(to_hex(text)); });
+    arrival.since_last_write = nonzero_duration(line, fields::kSinceLastWrite);
+    arrival.repeat = flag(line, fields::kMarkedAsRetry).value_or(false);
+    return arrival;
 }
 
-AttemptOutcome read_outcome(const Line& line, const Scale& scale, Names& names) {
-    AttemptOutcome o;
-    o.id = read_request_id(line);
-    o.attempt = static_cast<std::uint32_t>(to_count(line.need("hop")));
-    o.endpoint = names.number(line.need("database"));
-    o.status = read_status(line);
-    o.latency = duration(line, "lagMs").value_or(Duration::zero());
-    o.finished = flag(line, "last").value_or(false);
-    if (auto text = line.find("progress")) {
-        // 4 x position + role; the position in whole milliseconds whatever the wire's unit, 0: none given.
-        std::uint64_t note = to_count(*text);
-        if (note % 4 == 1) o.role = Role::primary;
-        if (note % 4 == 2) o.role = Role::replica;
-        if (note / 4 > 0) o.position = Time(Duration(scale.base_micros + std::int64_t(note / 4) * 1000));
+AttemptOutcome read_outcome(const Line& line, const PositionOrigin& origin, EndpointNames& names) {
+    AttemptOutcome outcome;
+    outcome.id = read_request_id(line);
+    outcome.attempt = static_cast<std::uint32_t>(to_count(line.require(fields::kAttempt)));
+    outcome.endpoint = names.id_of(line.require(fields::kEndpoint));
+    outcome.status = read_status(line);
+    outcome.latency = duration(line, fields::kLatency).value_or(Duration::zero());
+    outcome.finished = flag(line, fields::kFinished).value_or(false);
+    if (auto text = line.find(fields::kPositionAndRole)) {
+        std::uint64_t position_and_role = to_count(*text);
+        std::uint64_t role = position_and_role % kRoleRange;
+        if (role == kPrimaryRole) outcome.role = Role::primary;
+        if (role == kReplicaRole) outcome.role = Role::replica;
+        auto position = std::int64_t(position_and_role / kRoleRange);
+        if (position > 0) outcome.position = Time(Duration(origin.micros + position * kMicrosPerMilli));
     }
-    o.report = read_report(line, scale);
-    return o;
+    outcome.report = read_load_report(line, origin);
+    return outcome;
 }
 
-HealthCheckResult read_probe_result(const Line& line, const Scale& scale, Names& names) {
-    HealthCheckResult p;
-    p.endpoint = names.number(line.need("database"));
-    p.status = read_status(line);
-    p.latency = duration(line, "lagMs").value_or(Duration::zero());
-    p.report = read_report(line, scale);
-    return p;
+HealthCheckResult read_health_check_result(const Line& line, const PositionOrigin& origin,
+                                           EndpointNames& names) {
+    HealthCheckResult result;
+    result.endpoint = names.id_of(line.require(fields::kEndpoint));
+    result.status = read_status(line);
+    result.latency = duration(line, fields::kLatency).value_or(Duration::zero());
+    result.report = read_load_report(line, origin);
+    return result;
 }
 
 TimerId read_timer(const Line& line) {
-    return TimerId(to_count(line.need("name")));
+    return TimerId(to_count(line.require(fields::kTimer)));
 }
 
-std::string write_action(std::uint64_t instance, const Action& action, const Names& names) {
-    std::string at = " proxy=" + std::to_string(instance);
-    struct Writer {
-        const std::string& at;
-        const Names& names;
-        std::string operator()(const SendAttempt& a) const {
-            std::string text =
-                "HAND_OFF" + at + " txn=" + id_text(a.id) + " database=" + names.name(a.endpoint);
-            return a.timeout ? text + " capMs=" + from_micros(a.timeout->count()) : text;
-        }
-        std::string operator()(const CancelAttempt& a) const {
-            return "STOP_ATTEMPT" + at + " txn=" + id_text(a.id) + " hop=" + std::to_string(a.attempt);
-        }
-        std::string operator()(const RejectRequest& a) const {
-            std::string text = "BUSY" + at + " txn=" + id_text(a.id);
-            return a.retry_after ? text + " retryInMs=" + from_micros(a.retry_after->count()) : text;
-        }
-        std::string operator()(const FailRequest& a) const {
-            return "REPORT_FAILURE" + at + " txn=" + id_text(a.id);
-        }
-        std::string operator()(const CheckHealth& a) const {
-            return "POLL" + at + " database=" + names.name(a.endpoint);
-        }
-        std::string operator()(const SetTimer& a) const {
-            return "SET_ALARM" + at + " sleepForMs=" + from_micros(a.delay.count()) +
-                   " name=" + std::to_string(std::uint64_t(a.id));
-        }
-        std::string operator()(const WatchEndpoints&) const { return "OBSERVE" + at + " enable=1"; }
-        std::string operator()(const LogMessage& a) const { return "NOTE_DOWN" + at + " noteText=" + a.text; }
-    };
-    return std::visit(Writer{at, names}, action);
+std::string write_action(std::uint64_t instance, const Action& action, const EndpointNames& names) {
+    return std::visit(ActionWriter(instance, names), action);
 }
 
 }  // namespace indigovane::simulator
--- a/src/simulator/codec.hpp
+++ b/src/simulator/codec.hpp
@@ -1,6 +1,10 @@
-// Between the wire's words and the module's types. No decision is made here.
+// Between the simulator's messages and the decision module's types. No decision is made here.
+//
+// The wire's names stand in field_names.hpp. Readers throw Malformed where a message breaks the protocol;
+// fields and values that mean nothing here are skipped.
 #pragma once
 
+#include <cstdint>
 #include <string>
 #include <string_view>
 #include <unordered_map>
@@ -22,31 +26,35 @@
 using policy::Settings;
 using policy::TimerId;
 
-// The names of one instance's members: numbered in the order in which its lists name them.
-class Names {
+/// The names of one instance's endpoints: numbered in the order in which messages name them.
+class EndpointNames {
   public:
-    EndpointId number(std::string_view name);
+    EndpointId id_of(std::string_view name);
     const std::string& name(EndpointId id) const { return names_.at(std::size_t(id)); }
 
   private:
-    std::unordered_map<std::string, EndpointId> numbers_;
+    std::unordered_map<std::string, EndpointId> ids_;
     std::vector<std::string> names_;
 };
 
-struct Scale {  // what positions are reckoned from
-    std::int64_t base_micros = 0;
+/// What log positions are counted from.
+struct PositionOrigin {
+    std::int64_t micros = 0;
 };
 
 Settings read_settings(const Line& line);
-Scale read_scale(const Line& line);
-EndpointEntry read_entry(const Line& line, Names& names);
+PositionOrigin read_position_origin(const Line& line);
+EndpointEntry read_endpoint_entry(const Line& line, EndpointNames& names);
+/// The list's kind alone; its entries come in lines of their own.
 EndpointList read_list_kind(const Line& line);
 RequestArrival read_request(const Line& line);
-AttemptOutcome read_outcome(const Line& line, const Scale& scale, Names& names);
-HealthCheckResult read_probe_result(const Line& line, const Scale& scale, Names& names);
+AttemptOutcome read_outcome(const Line& line, const PositionOrigin& origin, EndpointNames& names);
+HealthCheckResult read_health_check_result(const Line& line, const PositionOrigin& origin,
+                                           EndpointNames& names);
 RequestId read_request_id(const Line& line);
 TimerId read_timer(const Line& line);
 
-std::string write_action(std::uint64_t instance, const Action& action, const Names& names);
+/// One line without its end.
+std::string write_action(std::uint64_t instance, const Action& action, const EndpointNames& names);
 
 }  // namespace indigovane::simulator
--- a/src/simulator/frame.cpp
+++ b/src/simulator/frame.cpp
@@ -7,6 +7,11 @@
 namespace indigovane::simulator {
 namespace {
 
+constexpr double kMicrosPerMilli = 1000;
+/// Of a time; beyond it a double has no whole microseconds any more.
+constexpr double kMaxMicros = 9e15;
+constexpr std::size_t kMaxDigits = 32;
+
 template <typename T, typename... Base>
 T parse(std::string_view text, const char* kind, Base... base) {
     T value{};
@@ -42,7 +47,7 @@
     return std::nullopt;
 }
 
-std::string_view Line::need(std::string_view field) const {
+std::string_view Line::require(std::string_view field) const {
     if (auto value = find(field)) return *value;
     throw Malformed("field '" + std::string(field) + "' is missing");
 }
@@ -67,13 +72,13 @@
 }
 
 std::int64_t to_micros(std::string_view millis) {
-    double micros = to_number(millis) * 1000;
-    if (std::fabs(micros) > 9e15) throw Malformed("'" + std::string(millis) + "' is out of range");
+    double micros = to_number(millis) * kMicrosPerMilli;
+    if (std::fabs(micros) > kMaxMicros) throw Malformed("'" + std::string(millis) + "' is out of range");
     return std::llround(micros);
 }
 
 std::string from_micros(std::int64_t micros) {
-    char text[32];
+    char text[kMaxDigits];
     std::snprintf(text, sizeof text, "%lld.%03lld", static_cast<long long>(micros / 1000),
                   static_cast<long long>(micros % 1000));
     return text;
--- a/src/simulator/frame.hpp
+++ b/src/simulator/frame.hpp
@@ -1,4 +1,7 @@
-// Lines of the wire: a name and name=value pairs. Nothing here knows what they mean.
+// Lines of the simulator's wire: a name and name=value pairs, set apart by spaces. Nothing here knows what
+// they mean.
+//
+// Numbers that can't be read throw Malformed, whose text names the value; nothing else is thrown.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +14,22 @@
 
 namespace indigovane::simulator {
 
+/// The input breaks the protocol; the text says how.
 struct Malformed : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
+/// One message. Keeps views into the text that it was made from.
 class Line {
   public:
-    explicit Line(std::string_view text);  // keeps views into `text`
+    /// Throws Malformed where a part is not name=value.
+    explicit Line(std::string_view text);
 
     std::string_view name() const { return name_; }
+    /// A field's value; nothing where it is absent.
     std::optional<std::string_view> find(std::string_view field) const;
-    std::string_view need(std::string_view field) const;  // throws Malformed
+    /// A field's value; throws Malformed where it is absent.
+    std::string_view require(std::string_view field) const;
 
   private:
     std::string_view name_;
@@ -29,10 +37,14 @@
 };
 
 std::uint64_t to_count(std::string_view text);
+/// Finite numbers only.
 double to_number(std::string_view text);
-bool to_flag(std::string_view text);  // 1, 0, true, false
+/// 1, 0, true or false.
+bool to_flag(std::string_view text);
 std::uint64_t to_hex(std::string_view text);
+/// Milliseconds with a fraction, as microseconds.
 std::int64_t to_micros(std::string_view millis);
+/// The reverse, with three digits after the point.
 std::string from_micros(std::int64_t micros);
 
 }  // namespace indigovane::simulator
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -52,9 +52,9 @@
 TEST(Frame, FieldsInAnyOrderAndBadOnesNamed) {
     Line line("ORDER txn=7 proxy=3");
     EXPECT_EQ(line.name(), "ORDER");
-    EXPECT_EQ(line.need("txn"), "7");
+    EXPECT_EQ(line.require("txn"), "7");
     EXPECT_FALSE(line.find("absent"));
-    EXPECT_THROW(line.need("absent"), Malformed);
+    EXPECT_THROW(line.require("absent"), Malformed);
     EXPECT_THROW(Line("ORDER txn"), Malformed);
     EXPECT_THROW(to_count("-1"), Malformed);
     EXPECT_THROW(to_number("nan"), Malformed);
@@ -74,15 +74,15 @@
     EXPECT_EQ(s.staleness_check, StalenessCheck::refuse);
     EXPECT_EQ(s.fleet_size, 2u);
     EXPECT_FALSE(s.hedging.has_value());
-    EXPECT_EQ(read_scale(line).base_micros, 1000500);
+    EXPECT_EQ(read_position_origin(line).micros, 1000500);
 }
 
 TEST(Codec, OutcomesNotesAndReports) {
-    Names names;
+    EndpointNames names;
     AttemptOutcome o =
         read_outcome(Line("DONE proxy=3 txn=9 lagMs=18.5 database=a:1 rc=OK progress=25486 last=1 hop=2 "
                           "serverStats=x0:1.5,x1:1,concurrent:3,novel:9"),
-                     Scale{1000000}, names);
+                     PositionOrigin{1000000}, names);
     EXPECT_EQ(o.attempt, 2u);
     EXPECT_EQ(o.status, AttemptStatus::ok);
     EXPECT_TRUE(o.finished);
@@ -108,8 +108,8 @@
 }
 
 TEST(Codec, Actions) {
-    Names names;
-    EndpointId m = names.number("10.0.0.1:8083");
+    EndpointNames names;
+    EndpointId m = names.id_of("10.0.0.1:8083");
     EXPECT_EQ(write_action(3, SendAttempt{RequestId{7}, m, 80ms}, names),
               "HAND_OFF proxy=3 txn=7 database=10.0.0.1:8083 capMs=80.000");
     EXPECT_EQ(write_action(3, RejectRequest{RequestId{7}, 250ms}, names),
