--- a/src/simulator/frame.cpp
+++ b/src/simulator/frame.cpp
@@ -60,7 +60,7 @@
 }
 
 double to_number(std::string_view text) {
-    double value = parse<double>(text, "number");
+    auto value = parse<double>(text, "number");
     if (!std::isfinite(value)) throw Malformed("'" + std::string(text) + "' is not finite");
     return value;
 }
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -42,9 +42,9 @@
 TEST_CASE("an attempt must start in time to go elsewhere, and before the deduplication window ends") {
     Endpoint endpoint;
     CHECK(attempt_start_deadline(make_request(class_settings(Consistency::any)), kStart) == kStart + 100ms);
-    ClassSettings keyed = class_settings(Consistency::write, Idempotency::idempotency_key);
-    keyed.deduplication_window = 200ms;
-    Request write = make_request(keyed);
+    ClassSettings with_key = class_settings(Consistency::write, Idempotency::idempotency_key);
+    with_key.deduplication_window = 200ms;
+    Request write = make_request(with_key);
     CHECK(attempt_start_deadline(write, kStart) == kStart + 450ms);
     run_attempt(write, endpoint, AttemptStatus::timeout);
     CHECK(attempt_start_deadline(write, kStart) == kStart + 180ms);
--- a/tests/policy/recorded_decisions_test.cpp
+++ b/tests/policy/recorded_decisions_test.cpp
@@ -131,10 +131,10 @@
     std::ifstream file(RECORDED_DECISIONS);
     for (std::string line; std::getline(file, line);) {
         if (line.empty() || line[0] == '#') continue;
-        std::istringstream words(line);
+        std::istringstream columns(line);
         std::string name;
-        words >> name;
-        for (std::string hash; words >> hash;) hashes[name].push_back(hash);
+        columns >> name;
+        for (std::string hash; columns >> hash;) hashes[name].push_back(hash);
     }
     return hashes;
 }
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -26,14 +26,14 @@
     CHECK(may_retry(request_after(Idempotency::not_idempotent, AttemptStatus::rejected), soon));
 }
 
-TEST_CASE("a keyed request goes again only within its deduplication window") {
+TEST_CASE("a request with an idempotency key goes again only within its deduplication window") {
     Request request = request_after(Idempotency::idempotency_key, AttemptStatus::reset);
     CHECK(retry_deadline(request) == kStart + 480ms);
     CHECK(may_retry(request, kStart + 479ms));
     CHECK_FALSE(may_retry(request, kStart + 480ms));
 }
 
-TEST_CASE("a keyed request whose repeats are dropped by zone alone does not go again") {
+TEST_CASE("a request with an idempotency key whose repeats are dropped by zone alone does not go again") {
     ClassSettings settings = class_settings(Consistency::write, Idempotency::idempotency_key);
     settings.deduplication_scope = DeduplicationScope::zone;
     Endpoint endpoint;
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -91,10 +91,10 @@
     EXPECT_EQ(o.report.position, Time(1000000us + 1500ms));
     EXPECT_EQ(o.report.primary, true);
     EXPECT_EQ(o.report.in_flight, 3);
-    AttemptOutcome bare = read_outcome(
+    AttemptOutcome without_position = read_outcome(
         Line("DONE proxy=3 txn=9 lagMs=1 database=a:1 rc=NOT_FOUND progress=1 hop=0"), {}, names);
-    EXPECT_EQ(bare.role, Role::primary);
-    EXPECT_FALSE(bare.position);
+    EXPECT_EQ(without_position.role, Role::primary);
+    EXPECT_FALSE(without_position.position);
     EXPECT_THROW(read_outcome(Line("DONE proxy=3 txn=9 database=a:1 rc=WHAT hop=0"), {}, names), Malformed);
 }
 
