--- a/tests/support/decision_recording.hpp
+++ b/tests/support/decision_recording.hpp
@@ -77,7 +77,16 @@
     using Duration = policy::Duration;
     using Time = policy::Time;
 
-    enum class Kind { client, list, timer, attempt_end, response_start, health_check_end, departure, retune };
+    enum class Kind {
+        client,
+        list,
+        timer,
+        attempt_end,
+        response_start,
+        health_check_end,
+        client_departure,
+        settings_change
+    };
     struct Item {
         Time at;
         std::uint64_t order;
@@ -158,9 +167,9 @@
                 return response_starts(item.id, item.attempt);
             case Kind::health_check_end:
                 return health_check_ends(std::uint32_t(item.id));
-            case Kind::departure:
+            case Kind::client_departure:
                 return client_departs(item.id);
-            case Kind::retune:
+            case Kind::settings_change:
                 return settings_change();
         }
     }
@@ -186,10 +195,10 @@
         line("R %" PRIu64 " %u %u %lld", id, client.class_index, unsigned(request.group),
              count(request.client_timeout));
         if (options_.clients_leave && random_.one_in(6))
-            schedule(Duration(std::int64_t(random_.below(150000))), Kind::departure, id);
+            schedule(Duration(std::int64_t(random_.below(150000))), Kind::client_departure, id);
         if (options_.changes_settings && events_ > options_.events / 2 && !settings_changed_) {
             settings_changed_ = true;
-            schedule(0ms, Kind::retune, 0);
+            schedule(0ms, Kind::settings_change, 0);
         }
         feed(request);
         bool burst = events_ / 700 % 3 == 2;
@@ -306,13 +315,13 @@
         if (number + 1 != it->second.attempts.size()) return;
         it->second.response_started = true;
         const Client::Attempt& attempt = it->second.attempts[number];
-        policy::ResponseStarted begun;
-        begun.id = policy::RequestId{id};
-        begun.attempt = number;
-        begun.endpoint = policy::EndpointId{attempt.host};
-        begun.latency = now_ - attempt.sent;
+        policy::ResponseStarted started;
+        started.id = policy::RequestId{id};
+        started.attempt = number;
+        started.endpoint = policy::EndpointId{attempt.host};
+        started.latency = now_ - attempt.sent;
         line("B %" PRIu64 " %u", id, number);
-        feed(begun);
+        feed(started);
     }
 
     void health_check_ends(std::uint32_t index) {
@@ -336,13 +345,13 @@
     }
 
     void settings_change() {
-        policy::SettingsChanged retune;
-        retune.settings = options_.later;
+        policy::SettingsChanged change;
+        change.settings = options_.later;
         for (std::uint32_t i = 0; i < options_.later.classes.size(); ++i)
-            retune.continues.push_back(i % 2 ? std::nullopt
+            change.continues.push_back(i % 2 ? std::nullopt
                                              : std::optional<policy::ClassId>(policy::ClassId{i}));
         line("S");
-        feed(retune);
+        feed(change);
         policy::SessionTokens tokens;
         for (std::uint64_t i = 0; i < 5; ++i)
             tokens.commits.push_back({policy::SessionKey{i}, now_ - Duration(std::int64_t(i) * 1000)});
