--- a/src/policy/engine.cpp
+++ b/src/policy/engine.cpp
@@ -137,15 +137,12 @@
     Endpoint* endpoint = endpoints_.find(result.endpoint);
     if (!endpoint) return;
     bool unreachable = endpoint->health_check.record_result(result.status);
-    if (result.status == AttemptStatus::ok) {
+    bool ok = result.status == AttemptStatus::ok;
+    if (ok) {
         endpoint->round_trip.record(result.latency);
         observe_report(*endpoint, result.report);
-        // A check shows that the process runs, which is all that an unreachable endpoint lacked. It says
-        // nothing of one that takes work and answers none.
-        if (endpoint->ejection.fault() == Fault::unreachable) readmit(*endpoint);
-    } else if (unreachable) {
-        eject(*endpoint, Fault::unreachable);
     }
+    apply(*endpoint, endpoint->ejection.record_health_check(ok, unreachable, now_));
     dispatch_queued(endpoints_.group_of(*endpoint));
 }
 
--- a/src/policy/engine.hpp
+++ b/src/policy/engine.hpp
@@ -64,7 +64,7 @@
     void observe_health(Endpoint& endpoint, const AttemptOutcome& outcome, RequestClass* request_class);
     void observe_latency(Endpoint& endpoint, const AttemptOutcome& outcome, RequestClass& request_class);
     void eject(Endpoint& endpoint, Fault fault);
-    void readmit(Endpoint& endpoint);
+    void apply(Endpoint& endpoint, const EjectionChange& change);
 
     // A request's way.
     void enqueue(ReplicaGroup& group, Request& request);
--- a/src/policy/engine_observations.cpp
+++ b/src/policy/engine_observations.cpp
@@ -11,25 +11,6 @@
     return std::to_string(std::uint32_t(id));
 }
 
-/// The endpoint itself has said something.
-bool is_answer(AttemptStatus status) {
-    switch (status) {
-        case AttemptStatus::ok:
-        case AttemptStatus::error:
-        case AttemptStatus::rejected:
-        case AttemptStatus::miss:
-        case AttemptStatus::stale:
-            return true;
-        case AttemptStatus::timeout:
-        case AttemptStatus::unreachable:
-        case AttemptStatus::reset:
-        case AttemptStatus::cancelled:
-        case AttemptStatus::not_started:
-            break;
-    }
-    return false;
-}
-
 }  // namespace
 
 /// Position and role, as the answer tells them.
@@ -65,22 +46,10 @@
 /// What an attempt's end tells of the endpoint: whether it answers, whether it errs, how loaded it is.
 void Engine::observe_health(Endpoint& endpoint, const AttemptOutcome& outcome, RequestClass* request_class) {
     AttemptStatus status = outcome.status;
-    bool answered = is_answer(status);
-    bool ok = status == AttemptStatus::ok;
-    bool reset = status == AttemptStatus::reset;
-    bool unreachable = status == AttemptStatus::unreachable;
-    if (ok) endpoint.rejection_backoff.record_success();
-    if (answered) {
-        endpoint.ejection.record_answer(now_);
-        Fault fault = endpoint.ejection.fault();
-        if (fault != Fault::none && (fault != Fault::erring || ok)) readmit(endpoint);
-    }
-    if (answered || reset) {
-        bool is_outlier = endpoint.ejection.record_error(status == AttemptStatus::error || reset);
-        if (is_outlier) eject(endpoint, Fault::erring);
-    }
-    if (unreachable) eject(endpoint, Fault::unreachable);
-    if (unreachable || reset) check_health(endpoint, HealthCheckPurpose::scheduled);
+    if (status == AttemptStatus::ok) endpoint.rejection_backoff.record_success();
+    apply(endpoint, endpoint.ejection.record_attempt_end(status, now_));
+    if (status == AttemptStatus::unreachable || status == AttemptStatus::reset)
+        check_health(endpoint, HealthCheckPurpose::scheduled);
     if (status == AttemptStatus::not_started) endpoint.rejection_backoff.record_no_connection(now_);
     if (status == AttemptStatus::rejected) {
         endpoint.rejection_backoff.record_rejection(now_, random_);
@@ -99,14 +68,17 @@
 }
 
 void Engine::eject(Endpoint& endpoint, Fault fault) {
-    if (endpoint.ejection.eject(fault, now_))
-        log("member " + endpoint_text(endpoint.id) + " " + describe(fault));
+    bool newly = endpoint.ejection.eject(fault, now_);
+    apply(endpoint, {false, newly});
 }
 
-void Engine::readmit(Endpoint& endpoint) {
-    log("member " + endpoint_text(endpoint.id) + " is back");
-    endpoint.ejection.readmit(now_);
-    endpoint.limit.recover();
+void Engine::apply(Endpoint& endpoint, const EjectionChange& change) {
+    if (change.readmitted) {
+        log("member " + endpoint_text(endpoint.id) + " is back");
+        endpoint.limit.recover();
+    }
+    if (change.ejected)
+        log("member " + endpoint_text(endpoint.id) + " " + describe(endpoint.ejection.fault()));
 }
 
 }  // namespace indigovane::policy
--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -24,6 +24,25 @@
 /// A request that must not run twice is a trial only this long after the ejection.
 constexpr Duration kUnsafeTrialPause = seconds(2);
 
+/// The endpoint itself has said something.
+bool is_answer(AttemptStatus status) {
+    switch (status) {
+        case AttemptStatus::ok:
+        case AttemptStatus::error:
+        case AttemptStatus::rejected:
+        case AttemptStatus::miss:
+        case AttemptStatus::stale:
+            return true;
+        case AttemptStatus::timeout:
+        case AttemptStatus::unreachable:
+        case AttemptStatus::reset:
+        case AttemptStatus::cancelled:
+        case AttemptStatus::not_started:
+            break;
+    }
+    return false;
+}
+
 }  // namespace
 
 bool Ejection::eject(Fault fault, Time now) {
@@ -58,6 +77,36 @@
     if (ejected()) start_trial(now);
 }
 
+EjectionChange Ejection::record_attempt_end(AttemptStatus status, Time now) {
+    EjectionChange change;
+    bool answered = is_answer(status);
+    bool reset = status == AttemptStatus::reset;
+    if (answered) {
+        unanswered_since_ = now;
+        if (ejected() && (fault_ != Fault::erring || status == AttemptStatus::ok)) {
+            readmit(now);
+            change.readmitted = true;
+        }
+    }
+    if (answered || reset) {
+        bool is_outlier = record_error(status == AttemptStatus::error || reset);
+        if (is_outlier) change.ejected = eject(Fault::erring, now);
+    }
+    if (status == AttemptStatus::unreachable) change.ejected = eject(Fault::unreachable, now);
+    return change;
+}
+
+EjectionChange Ejection::record_health_check(bool ok, bool unreachable, Time now) {
+    EjectionChange change;
+    if (ok && fault_ == Fault::unreachable) {
+        readmit(now);
+        change.readmitted = true;
+    }
+    if (unreachable) change.ejected = eject(Fault::unreachable, now);
+    return change;
+}
+
+/// True if errors are now so many that the endpoint is an outlier.
 bool Ejection::record_error(bool is_error) {
     error_share_ += kErrorWeight * (is_error - error_share_);
     return error_share_ > kMaxErrorShare;
--- a/src/policy/outlier_ejection.hpp
+++ b/src/policy/outlier_ejection.hpp
@@ -10,12 +10,19 @@
 // Source: docs/design.md. Settings read: Settings::probes, by the caller of admits_trial.
 #pragma once
 
+#include "policy/attempt_status.hpp"
 #include "policy/types.hpp"
 
 namespace indigovane::policy {
 
 enum class Fault { none, unreachable, unresponsive, erring };
 
+/// What an observation changed.
+struct EjectionChange {
+    bool readmitted = false;
+    bool ejected = false;  ///< that was not ejected before
+};
+
 /// One endpoint's faults. Times are of the caller's clock.
 class Ejection {
   public:
@@ -27,20 +34,23 @@
 
     /// True if the endpoint was not ejected before.
     bool eject(Fault fault, Time now);
-    void readmit(Time now);
     /// A trial goes out: the next one is due after twice the pause.
     void start_trial(Time now);
 
     /// An attempt goes out; `others_in_flight` beside it, `usual_latency_ms` of its class.
     void record_attempt_sent(int others_in_flight, double usual_latency_ms, Time now);
-    /// The endpoint has answered something.
-    void record_answer(Time now) { unanswered_since_ = now; }
-    /// An answer that is or isn't an error; true if errors are now so many that the endpoint is an outlier.
-    bool record_error(bool is_error);
+    /// An attempt has ended, or its response has started (`ok`).
+    EjectionChange record_attempt_end(AttemptStatus status, Time now);
+    /// `unreachable`: as HealthCheckState::record_result has it. A success shows that the process runs, which
+    /// is all that an unreachable endpoint lacked; it says nothing of one that takes work and answers none.
+    EjectionChange record_health_check(bool ok, bool unreachable, Time now);
     /// Work is in flight and for too long nothing has been answered: hung, cut off, or its answers are lost.
     bool is_unresponsive(int in_flight, double usual_latency_ms, Time now) const;
 
   private:
+    void readmit(Time now);
+    bool record_error(bool is_error);
+
     static constexpr Duration kFirstTrialPause = std::chrono::milliseconds(200);
     static constexpr Duration kLongestTrialPause = std::chrono::seconds(2);
 
--- a/tests/policy/outlier_ejection_test.cpp
+++ b/tests/policy/outlier_ejection_test.cpp
@@ -10,9 +10,12 @@
 TEST_CASE("an endpoint is an outlier once more than half of its recent answers are errors") {
     Ejection ejection;
     int errors = 1;
-    while (!ejection.record_error(true)) ++errors;
+    while (!ejection.record_attempt_end(AttemptStatus::error, kStart).ejected) ++errors;
     CHECK(errors == 5);
-    CHECK_FALSE(ejection.record_error(false));
+    CHECK(ejection.fault() == Fault::erring);
+    CHECK_FALSE(ejection.record_attempt_end(AttemptStatus::rejected, kStart).readmitted);
+    CHECK(ejection.record_attempt_end(AttemptStatus::ok, kStart).readmitted);
+    CHECK_FALSE(ejection.ejected());
 }
 
 TEST_CASE("an ejected endpoint admits a trial after 200 ms, then after pauses that double up to 2 s") {
@@ -29,7 +32,7 @@
         now += pause;
         CHECK(ejection.trial_due(now));
     }
-    ejection.readmit(now);
+    ejection.record_attempt_end(AttemptStatus::ok, now);
     CHECK_FALSE(ejection.ejected());
 }
 
@@ -45,6 +48,9 @@
     ejection.eject(Fault::unreachable, kStart);
     CHECK_FALSE(admits_trial(ejection, Idempotency::idempotent, true, kStart + 10s));
     CHECK(admits_trial(ejection, Idempotency::idempotent, false, kStart + 10s));
+    CHECK(ejection.record_health_check(true, false, kStart + 10s).readmitted);
+    ejection.eject(Fault::unresponsive, kStart);
+    CHECK_FALSE(ejection.record_health_check(true, false, kStart + 10s).readmitted);
 }
 
 TEST_CASE("an endpoint is unresponsive when it has work and answers nothing for longer than answers take") {
@@ -56,6 +62,6 @@
     CHECK(ejection.is_unresponsive(2, 10, kStart + 351ms));
     CHECK_FALSE(ejection.is_unresponsive(2, 100, kStart + 600ms));
     CHECK(ejection.is_unresponsive(2, 100, kStart + 601ms));
-    ejection.record_answer(kStart + 300ms);
+    ejection.record_attempt_end(AttemptStatus::miss, kStart + 300ms);
     CHECK_FALSE(ejection.is_unresponsive(2, 10, kStart + 351ms));
 }
