--- a/src/policy/engine.hpp
+++ b/src/policy/engine.hpp
@@ -89,7 +89,6 @@
     void maintain(ReplicaGroup& group);
     void check_health(Endpoint& endpoint, HealthCheckPurpose purpose);
 
-    bool health_checks_allowed() const { return settings_.probes.value_or(false); }
     double fleet_size() const;
     void act(Action action) { actions_->push_back(std::move(action)); }
     /// Drops the line if another was logged less than a second ago.
--- a/src/policy/engine_maintenance.cpp
+++ b/src/policy/engine_maintenance.cpp
@@ -56,7 +56,7 @@
 
 /// Every health check goes through here: one in flight an endpoint, none that the budget doesn't pay for.
 void Engine::check_health(Endpoint& endpoint, HealthCheckPurpose purpose) {
-    if (!health_checks_allowed() || endpoint.health_check.in_flight() || !endpoint.listed) return;
+    if (!health_checks_allowed(settings_) || endpoint.health_check.in_flight() || !endpoint.listed) return;
     if (!health_check_budget_.spend(purpose, health_check_cost(settings_))) return;
     endpoint.health_check.record_sent(now_);
     act(CheckHealth{endpoint.id});
--- a/src/policy/replica_selection.cpp
+++ b/src/policy/replica_selection.cpp
@@ -131,7 +131,7 @@
 
 std::optional<Selection> ReplicaSelector::request_check(std::vector<Endpoint*> hopeful) {
     const OnDemandCheck& check = request_.on_demand_check;
-    if (!context_.settings.probes.value_or(false)) return std::nullopt;
+    if (!health_checks_allowed(context_.settings)) return std::nullopt;
     if (!is(Consistency::bounded) && check.count >= kSessionReadChecks) return std::nullopt;
     if (check.endpoint && check.endpoint->health_check.in_flight()) {
         double round_trip_ms = to_milliseconds(check.endpoint->round_trip.average());
@@ -151,7 +151,7 @@
     if (!endpoint.listed || endpoint.rejection_backoff.paused(context_.now)) return false;
     return !endpoint.ejection.ejected() ||
            admits_trial(endpoint.ejection, request_.request_class->idempotency,
-                        context_.settings.probes.value_or(false), context_.now);
+                        health_checks_allowed(context_.settings), context_.now);
 }
 
 bool ReplicaSelector::has_capacity(const Endpoint& endpoint, std::size_t candidates) const {
--- a/src/policy/replica_selection.hpp
+++ b/src/policy/replica_selection.hpp
@@ -39,11 +39,6 @@
     Endpoint* endpoint = nullptr;
 };
 
-/// Endpoints check by themselves whether they are too far behind for a read.
-inline bool endpoints_check_staleness(const Settings& settings) {
-    return settings.staleness_check.value_or(StalenessCheck::none) != StalenessCheck::none;
-}
-
 /// The position that the request's data must have reached. `token`: of its session; Time{}: no commit known.
 std::optional<Time> required_position(const Request& request, Time token, Time now);
 
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -46,4 +46,13 @@
     std::optional<double> health_check_price;  ///< where a request in time earns 1 on average; 0
 };
 
+inline bool health_checks_allowed(const Settings& settings) {
+    return settings.probes.value_or(false);
+}
+
+/// Endpoints check by themselves whether they are too far behind for a read.
+inline bool endpoints_check_staleness(const Settings& settings) {
+    return settings.staleness_check.value_or(StalenessCheck::none) != StalenessCheck::none;
+}
+
 }  // namespace indigovane::policy
