--- a/src/policy/health_check_budget.hpp
+++ b/src/policy/health_check_budget.hpp
@@ -5,7 +5,7 @@
 // Checks that queued reads need (`on_demand`) have a budget of their own. Where checks cost nothing there
 // is no limit.
 //
-// Source: docs/large-fleet.md. Settings read: Settings::health_check_price.
+// Source: docs/capacity.md. Settings read: Settings::health_check_price.
 #pragma once
 
 #include "policy/settings.hpp"
--- a/src/policy/health_check_schedule.hpp
+++ b/src/policy/health_check_schedule.hpp
@@ -10,7 +10,7 @@
 // position has one replica checked. And a group's first use checks the listed primary and a few others
 // alone.
 //
-// Source: docs/design.md; docs/large-fleet.md. Settings read: Settings::health_check_price, and bound of
+// Source: docs/design.md; docs/capacity.md. Settings read: Settings::health_check_price, and bound of
 // the classes.
 #pragma once
 
