--- a/src/routing/attempt.hpp
+++ b/src/routing/attempt.hpp
@@ -1,19 +1,20 @@
-// One attempt of a request at a member: the only record of what it is known to have done.
+// One attempt of a request at an endpoint: the only record of what it is known to have done.
 #pragma once
 
 #include <optional>
 
-#include "routing/pool.hpp"
+#include "routing/backend_task.hpp"
 
 namespace indigovane::routing {
 
 struct Attempt {
     BackendTask task;
     EndpointId endpoint{};
-    std::uint32_t zone = 0, group = 0;  // of the member
-    bool out = true;
-    policy::Execution execution = policy::Execution::may_have_run;  // while it is out
-    std::optional<policy::AttemptStatus> status;                    // none: it is out
+    std::uint32_t zone = 0;   // of the endpoint
+    std::uint32_t group = 0;  // of the endpoint
+    bool in_flight = true;
+    policy::Execution execution = policy::Execution::may_have_run;  // while it is in flight
+    std::optional<policy::AttemptStatus> status;                    // none: it is in flight
 
     bool may_have_run() const { return execution != policy::Execution::never_ran; }
 };
--- /dev/null
+++ b/src/routing/attempt_dispatcher.cpp
@@ -0,0 +1,210 @@
+#include "routing/attempt_dispatcher.hpp"
+
+#include <algorithm>
+#include <vector>
+
+namespace indigovane::routing {
+
+using policy::AttemptStatus;
+
+namespace {
+constexpr std::int64_t kMicrosPerMilli = 1000;
+
+AttemptResult result_without_answer(AttemptStatus status) {
+    AttemptResult result;
+    result.status = status;
+    return result;
+}
+}  // namespace
+
+BackendTask AttemptDispatcher::make_task(const policy::SendAttempt& send,
+                                         const PendingRequest& pending) const {
+    BackendTask task;
+    task.request = send.id;
+    task.number = std::uint32_t(pending.attempts.size());
+    task.sent = core_.clock.now();
+    task.deadline = send.timeout ? std::min(pending.deadline, task.sent + *send.timeout) : pending.deadline;
+    if (send.needs) task.required_position_unix_ms = core_.clock.to_unix(*send.needs) / kMicrosPerMilli;
+    return task;
+}
+
+void AttemptDispatcher::send(const policy::SendAttempt& send) {
+    PendingRequest* pending = core_.requests.find(send.id);
+    if (!pending) return;
+    Endpoint* endpoint = core_.endpoints.find(send.endpoint);
+    BackendTask task = make_task(send, *pending);
+    std::optional<Invariant> broken;
+    if (endpoint && pending->responder)
+        broken = RequestGuard::against_attempt(pending->retry_rule, pending->attempts, endpoint->info.zone,
+                                               endpoint->info.group, task.sent);
+    if (!pending->attempts.empty() && pending->responder)
+        core_.log.retried(*pending, send.endpoint, task.sent);
+    bool over_budget = spends_retry_budget(*pending);
+    if (over_budget)
+        core_.completion.end_by_site(send.id);
+    else if (broken)
+        block(send.id, *pending, *broken);
+    ++core_.statistics.attempts;
+    Attempt& attempt = pending->attempts.emplace_back();
+    attempt.task = task;
+    attempt.endpoint = send.endpoint;
+    if (endpoint) {
+        attempt.zone = endpoint->info.zone;
+        attempt.group = endpoint->info.group;
+        ++endpoint->attempts;
+    }
+    if (broken || !pending->responder || !endpoint) {
+        auto status = over_budget ? AttemptStatus::cancelled : AttemptStatus::not_started;
+        core_.outcomes.task_ended(send.endpoint, task, result_without_answer(status));
+        return;
+    }
+    if (send.start && *send.start > Duration::zero()) task.start_by = task.sent + *send.start;
+    submit(*endpoint, send.endpoint, task);
+}
+
+// Whether a read that would be retried has no budget left for it while its site is lost. Draws on the budget.
+bool AttemptDispatcher::spends_retry_budget(const PendingRequest& pending) {
+    return sites_ && pending.may_have_run() && pending.responder && !pending.request.writes() &&
+           !sites_->may_retry();
+}
+
+// Where no further attempt can be allowed either, the request ends here.
+void AttemptDispatcher::block(RequestId id, const PendingRequest& pending, Invariant invariant) {
+    core_.guard.violated(invariant, pending.request, pending.attempts);
+    if (invariant == Invariant::single_attempt) return;
+    core_.completion.end(id, {FinalError::Kind::failed, false, std::nullopt},
+                         "the guard held a further attempt back");
+}
+
+void AttemptDispatcher::submit(Endpoint& endpoint, EndpointId id, const BackendTask& task) {
+    core_.timers.add(task.deadline, TaskDeadline{id, task});
+    if (task.start_by < task.deadline) core_.timers.add(task.start_by, StartDeadline{id, task});
+    if (sites_) sites_->task_sent(id, task.sent);
+    endpoint.pool->submit(task);
+}
+
+void AttemptDispatcher::cancel(const policy::CancelAttempt& cancel) {
+    const PendingRequest* pending = core_.requests.find(cancel.id);
+    if (!pending || cancel.attempt >= pending->attempts.size()) return;
+    // It may have started since the policy decided.
+    if (pending->response_started && pending->responder) return;
+    Attempt attempt = pending->attempts[cancel.attempt];
+    Endpoint* endpoint = core_.endpoints.find(attempt.endpoint);
+    if (!attempt.in_flight || !endpoint) return;
+    if (end_task(attempt.endpoint, *endpoint->pool, attempt.task, AttemptStatus::cancelled,
+                 AttemptStatus::cancelled))
+        endpoint->pool->serve_waiting();
+}
+
+void AttemptDispatcher::check_health(EndpointId id) {
+    Endpoint* endpoint = core_.endpoints.find(id);
+    BackendTask task;
+    task.health_check = true;
+    task.sent = core_.clock.now();
+    if (!endpoint) {
+        core_.outcomes.task_ended(id, task, result_without_answer(AttemptStatus::not_started));
+        return;
+    }
+    if (endpoint->health_check) return;
+    ++core_.statistics.health_checks;
+    task.number = endpoint->health_checks++;
+    task.deadline = task.sent + core_.limits.probe_timeout;
+    endpoint->health_check = task;
+    submit(*endpoint, id, task);
+}
+
+void AttemptDispatcher::resume(RequestId id) {
+    const PendingRequest* pending = core_.requests.find(id);
+    if (!pending || pending->attempts.empty()) return;
+    const Attempt& attempt = pending->attempts.back();
+    Endpoint* endpoint = attempt.in_flight ? core_.endpoints.find(attempt.endpoint) : nullptr;
+    if (endpoint) endpoint->pool->resume(BackendTask(attempt.task));
+}
+
+// One by one they would wait to their deadlines, since a pooler with a request or two at a host can't tell an
+// unresponsive host from a long request. What may not simply be retried stays: it may have run.
+void AttemptDispatcher::abandon_reads(const std::set<EndpointId>& unresponsive) {
+    std::vector<std::pair<EndpointId, BackendTask>> abandoned;
+    for (const auto& [id, pending] : core_.requests) {
+        if (!pending.responder || pending.response_started || pending.request.writes() ||
+            pending.retry_rule.idempotency != policy::Idempotency::idempotent)
+            continue;
+        for (const Attempt& attempt : pending.attempts)
+            if (attempt.in_flight && unresponsive.count(attempt.endpoint))
+                abandoned.emplace_back(attempt.endpoint, attempt.task);
+    }
+    for (const auto& [id, task] : abandoned)
+        if (Endpoint* endpoint = core_.endpoints.find(id))
+            end_task(id, *endpoint->pool, task, AttemptStatus::timeout, AttemptStatus::timeout);
+}
+
+void AttemptDispatcher::deadline_expired(const TaskDeadline& deadline) {
+    Endpoint* endpoint = core_.endpoints.find(deadline.endpoint);
+    if (!endpoint || is_response_started(deadline.task)) return;
+    // What never got a connection never ran.
+    auto if_waiting = deadline.task.health_check ? AttemptStatus::unreachable : AttemptStatus::not_started;
+    if (end_task(deadline.endpoint, *endpoint->pool, deadline.task, AttemptStatus::timeout, if_waiting))
+        endpoint->pool->serve_waiting();
+}
+
+void AttemptDispatcher::start_deadline_expired(const StartDeadline& deadline) {
+    Endpoint* endpoint = core_.endpoints.find(deadline.endpoint);
+    if (!endpoint || !endpoint->pool->is_waiting(deadline.task) || is_response_started(deadline.task)) return;
+    // A connection that does not come up says something of the endpoint, one that may not be opened does not.
+    bool unreachable = deadline.task.health_check || endpoint->pool->connecting() > 0;
+    auto if_waiting = unreachable ? AttemptStatus::unreachable : AttemptStatus::not_started;
+    if (end_task(deadline.endpoint, *endpoint->pool, deadline.task, AttemptStatus::timeout, if_waiting))
+        endpoint->pool->serve_waiting();
+}
+
+// Once a value has begun, its connection and that of its client judge whether it goes on.
+bool AttemptDispatcher::is_response_started(const BackendTask& task) {
+    if (task.health_check) return false;
+    const PendingRequest* pending = core_.requests.find(task.request);
+    return pending && pending->response_started;
+}
+
+// Ends a task by what it was. False: it is not in that pool.
+bool AttemptDispatcher::end_task(EndpointId id, Pool& pool, const BackendTask& task, AttemptStatus if_sent,
+                                 AttemptStatus if_waiting) {
+    Pool::Cancelled cancelled = pool.cancel(task);
+    if (cancelled == Pool::Cancelled::unknown) return false;
+    auto status = cancelled == Pool::Cancelled::sent ? if_sent : if_waiting;
+    core_.outcomes.task_ended(id, task, result_without_answer(status));
+    return true;
+}
+
+void AttemptDispatcher::on_task_end(EndpointId endpoint, const BackendTask& task, AttemptResult result) {
+    core_.outcomes.task_ended(endpoint, task, std::move(result));
+}
+
+void AttemptDispatcher::on_response_started(EndpointId endpoint, const BackendTask& task, const Answer& head,
+                                            std::size_t length) {
+    core_.outcomes.response_started(endpoint, task, head, length);
+}
+
+bool AttemptDispatcher::on_response_piece(const BackendTask& task, std::string_view bytes) {
+    return core_.outcomes.pass_on_piece(task, bytes);
+}
+
+const ClientRequest* AttemptDispatcher::may_start(EndpointId id, BackendTask& task) {
+    PendingRequest* pending = core_.requests.find_unanswered(task.request);
+    const Endpoint* endpoint = core_.endpoints.find(id);
+    if (!pending || !endpoint || !endpoint->accepts_requests) return nullptr;
+    Time now = core_.clock.now();
+    if (now >= task.deadline || now > task.start_by) return nullptr;
+    // Its client's end may not have been read yet: the loop was held up, or reads no further than the
+    // request.
+    if (!pending->responder->present()) {
+        core_.completion.withdraw(task.request, RequestAdmission::Departure::client_left);
+        return nullptr;
+    }
+    if (!core_.guard.admits_first_byte(*pending, task.number, endpoint->info.zone, endpoint->info.group, now))
+        return nullptr;
+    if (pending->newer_commit_unix_ms)
+        task.required_position_unix_ms =
+            std::max(task.required_position_unix_ms.value_or(0), *pending->newer_commit_unix_ms);
+    return &pending->request;
+}
+
+}  // namespace indigovane::routing
--- /dev/null
+++ b/src/routing/attempt_outcomes.cpp
@@ -0,0 +1,157 @@
+#include "routing/attempt_outcomes.hpp"
+
+#include <algorithm>
+
+#include "routing/response_checks.hpp"
+
+namespace indigovane::routing {
+
+using policy::AttemptStatus;
+using policy::Role;
+
+namespace {
+constexpr std::int64_t kMicrosPerMilli = 1000;
+}  // namespace
+
+void AttemptOutcomes::task_ended(EndpointId endpoint, const BackendTask& task, AttemptResult result) {
+    Time now = core_.clock.now();
+    policy::LoadReport report = sanitize(result, core_.clock, now);
+    Outcome outcome{endpoint, task, std::move(result), report, now};
+    observe_endpoint(outcome);
+    if (task.health_check)
+        health_check_ended(outcome);
+    else
+        attempt_ended(std::move(outcome));
+}
+
+// What the end says of the endpoint, whatever becomes of the request.
+void AttemptOutcomes::observe_endpoint(const Outcome& outcome) {
+    const AttemptResult& result = outcome.result;
+    if (const Endpoint* endpoint = core_.endpoints.find(outcome.endpoint)) {
+        if (result.role == Role::primary)
+            core_.primaries.record(outcome.endpoint, endpoint->info, outcome.now);
+        else if (outcome.report.primary == true && outcome.report.position)
+            core_.primaries.record(outcome.endpoint, endpoint->info, *outcome.report.position);
+        if (sites_) {
+            sites_->task_ended(outcome.endpoint, outcome.task, result.status, core_.limits.connect_timeout,
+                               outcome.now);
+            sites_->report_received(outcome.endpoint, result.role, outcome.report);
+        }
+    }
+    if (result.malformed)
+        core_.log.malformed(outcome.task.health_check ? nullptr : core_.requests.find(outcome.task.request),
+                            outcome.task, outcome.endpoint, result.malformed);
+}
+
+void AttemptOutcomes::health_check_ended(const Outcome& outcome) {
+    if (Endpoint* endpoint = core_.endpoints.find(outcome.endpoint)) {
+        if (!endpoint->health_check || !endpoint->health_check->same(outcome.task)) return;
+        endpoint->health_check.reset();
+    }
+    if (!outcome.ok()) ++core_.statistics.health_checks_failed;
+    core_.inbox.post(policy::HealthCheckResult{outcome.endpoint, outcome.result.status, outcome.latency(),
+                                               outcome.report});
+}
+
+void AttemptOutcomes::attempt_ended(Outcome outcome) {
+    PendingRequest* pending = core_.requests.find(outcome.task.request);
+    if (!pending) return;
+    const ClientRequest& request = pending->request;
+    classify(*pending, outcome);
+    record(*pending, outcome);
+    // Before the client knows of it, so that no read of its session can come to another process sooner.
+    if (outcome.ok() && request.writes()) note_commit(request, outcome);
+    if (sites_ && outcome.ok() && request.request_class != kNoClass)
+        sites_->record_latency(request, outcome.latency());
+    // The first answer goes to the client whatever the policy makes of it, and ends the request.
+    if (outcome.ok())
+        core_.completion.answer(*pending, outcome.result.answer, outcome.now);
+    else
+        core_.completion.break_off(*pending);
+    core_.inbox.post(event(*pending, outcome));
+    core_.completion.finish_if_done(outcome.task.request);
+}
+
+// The status by what this process knows beside the wire.
+void AttemptOutcomes::classify(const PendingRequest& pending, Outcome& outcome) {
+    AttemptResult& result = outcome.result;
+    // Not started since its client is gone: that says nothing of the endpoint, whose connections were not
+    // short.
+    if (result.status == AttemptStatus::not_started && !pending.responder)
+        result.status = AttemptStatus::cancelled;
+    if (pending.response_started) {
+        // What comes behind a long value is as old as its beginning: it tells nothing of the present, but for
+        // a commit, which is a time of its own.
+        if (!pending.request.writes()) result.position_unix_us.reset();
+        result.role.reset();
+    } else if (is_stale(pending.request, outcome.task, result)) {
+        core_.log.stale(pending, outcome.task, outcome.endpoint, *result.position_unix_us / kMicrosPerMilli,
+                        outcome.now);
+        result.status = AttemptStatus::stale;
+    }
+}
+
+void AttemptOutcomes::record(PendingRequest& pending, const Outcome& outcome) {
+    const AttemptResult& result = outcome.result;
+    Attempt& attempt = pending.attempts.at(outcome.task.number);
+    attempt.in_flight = false;
+    attempt.status = result.status;
+    attempt.execution = execution_of(result.status, result.evidence);
+    if (attempt.execution == policy::Execution::ran) core_.guard.check_executions(pending);
+    ++core_.statistics.attempts_ended[std::size_t(result.status)];
+    if (!outcome.ok()) core_.log.attempt_ended(pending, attempt, outcome.now);
+}
+
+void AttemptOutcomes::note_commit(const ClientRequest& request, Outcome& outcome) {
+    std::optional<std::int64_t>& position = outcome.result.position_unix_us;
+    // The host of a forwarded statement may tell no commit. It lies before now, and its session must see it.
+    if (request.verb == ClientRequest::Verb::other && !position) position = core_.clock.to_unix(outcome.now);
+    if (!request.session || !position) return;
+    raise_session_position(*request.session, *position / kMicrosPerMilli);
+    if (commit_observer_) commit_observer_(*request.session, core_.clock.from_unix(*position));
+}
+
+// A session's read may wait for a connection while a write of its session is answered: what it was required
+// to see when the policy decided is no longer enough when it is sent.
+void AttemptOutcomes::raise_session_position(std::uint64_t session, std::int64_t commit_unix_ms) {
+    if (core_.settings.tokens != policy::TokenSource::remembered) return;
+    for (auto& [id, pending] : core_.requests)
+        if (pending.responder && pending.request.session == session && !pending.request.writes())
+            pending.newer_commit_unix_ms = std::max(pending.newer_commit_unix_ms.value_or(0), commit_unix_ms);
+}
+
+policy::AttemptOutcome AttemptOutcomes::event(const PendingRequest& pending, const Outcome& outcome) const {
+    const AttemptResult& result = outcome.result;
+    policy::AttemptOutcome event;
+    event.id = outcome.task.request;
+    event.attempt = outcome.task.number;
+    event.endpoint = outcome.endpoint;
+    event.status = result.status;
+    event.latency = outcome.latency();
+    event.finished = !pending.responder;
+    event.role = result.role;
+    if (result.position_unix_us) event.position = core_.clock.from_unix(*result.position_unix_us);
+    event.report = outcome.report;
+    event.evidence = result.evidence;
+    return event;
+}
+
+void AttemptOutcomes::response_started(EndpointId endpoint, const BackendTask& task, const Answer& head,
+                                       std::size_t length) {
+    PendingRequest* pending = core_.requests.find_unanswered(task.request);
+    if (!pending) return;
+    Time now = core_.clock.now();
+    pending->response_started = true;
+    if (sites_) sites_->response_started(endpoint, now);
+    core_.inbox.post(policy::ResponseStarted{task.request, task.number, endpoint, now - task.sent});
+    pending->responder->began(head, length);
+}
+
+// Without a responder the client is gone: its attempt is about to be cancelled, and until then no more is
+// read.
+bool AttemptOutcomes::pass_on_piece(const BackendTask& task, std::string_view bytes) {
+    const PendingRequest* pending = core_.requests.find_unanswered(task.request);
+    return pending && pending->responder->piece(bytes);
+}
+
+}  // namespace indigovane::routing
--- /dev/null
+++ b/src/routing/connection_budget.cpp
@@ -0,0 +1,29 @@
+#include "routing/connection_budget.hpp"
+
+namespace indigovane::routing {
+
+bool ConnectionBudget::acquire() {
+    if (open_ >= limit_ && !close_oldest_idle_()) {
+        exhausted_ = true;
+        return false;
+    }
+    ++open_;
+    ++opened_;
+    return true;
+}
+
+// Whoever waits is served in the next batch, not from within the end of another connection.
+void ConnectionBudget::release() {
+    --open_;
+    if (!std::exchange(exhausted_, false)) return;
+    capacity_returned_ = true;
+    on_capacity_();
+}
+
+void ConnectionBudget::set_limit(std::size_t limit) {
+    limit_ = limit;
+    while (open_ > limit_ && close_oldest_idle_()) {
+    }
+}
+
+}  // namespace indigovane::routing
--- a/src/routing/pool.cpp
+++ b/src/routing/pool.cpp
@@ -7,7 +7,7 @@
 using policy::AttemptStatus;
 
 namespace {
-AttemptResult ended(AttemptStatus status) {
+AttemptResult result_without_answer(AttemptStatus status) {
     AttemptResult result;
     result.status = status;
     result.reusable = false;
@@ -30,15 +30,17 @@
 }
 }  // namespace
 
-Pool::Pool(EndpointId endpoint, Backend& backend, const Clock& clock, Duration connect_timeout, Owner& owner)
+Pool::Pool(EndpointId endpoint, Backend& backend, const Clock& clock, Duration connect_timeout, Owner& owner,
+           ConnectionBudget& budget)
     : endpoint_(endpoint),
       backend_(backend),
       clock_(clock),
       connect_timeout_(connect_timeout),
-      owner_(owner) {}
+      owner_(owner),
+      budget_(budget) {}
 
 Pool::~Pool() {
-    for (Entry& e : links_) e.link->close();
+    for (PooledConnection& pooled : connections_) pooled.connection->close();
 }
 
 void Pool::set_address(const std::string& address) {
@@ -55,71 +57,70 @@
 
 void Pool::serve_waiting() {
     while (!waiting_.empty() && !idle_.empty()) {
-        auto entry = idle_.back();
-        // Guards against what came behind an answer, which would be taken for the next one, and against
-        // writing to a connection whose other side has closed.
-        // A member may have moved while the connection was at work, too.
-        if (!entry->link->quiet() || entry->address != address_) {
-            drop(entry);
+        auto pooled = idle_.back();
+        // Bytes that came behind an answer would be taken for the next one, and a request written to a
+        // connection whose other side has closed would be lost. The endpoint may also have another address
+        // since the connection was opened.
+        if (!pooled->connection->quiet() || pooled->address != address_) {
+            close(pooled);
             continue;
         }
         idle_.pop_back();
-        put_to_use(entry);
+        assign_task(pooled);
     }
     open_for_waiting();
 }
 
 void Pool::open_for_waiting() {
-    while (connecting_ < waiting_.size() && owner_.may_open()) {
+    while (connecting_ < waiting_.size() && budget_.acquire()) {
         ++connecting_;
-        links_.push_back(
+        connections_.push_back(
             {backend_.open(address_, connect_timeout_, *this), address_, false, std::nullopt, {}});
     }
 }
 
-// Gives the link the oldest job that may still start; with none left it is idle.
-void Pool::put_to_use(Entries::iterator entry) {
+// Gives the connection the oldest task that may still start; with none left it is idle.
+void Pool::assign_task(Connections::iterator pooled) {
     while (!waiting_.empty()) {
         BackendTask task = waiting_.front();
         waiting_.pop_front();
-        if (task.probe) {
-            entry->task = task;
-            entry->link->probe();
+        if (task.health_check) {
+            pooled->task = task;
+            pooled->connection->probe();
             return;
         }
-        const ClientRequest* item = owner_.may_start(*this, task);
-        if (!item) {
-            owner_.on_job_end(*this, task, ended(AttemptStatus::not_started));
+        const ClientRequest* request = owner_.may_start(endpoint_, task);
+        if (!request) {
+            owner_.on_task_end(endpoint_, task, result_without_answer(AttemptStatus::not_started));
             continue;
         }
-        entry->task = task;
-        entry->link->submit(*item, task.until - clock_.now(), task.needs);
+        pooled->task = task;
+        pooled->connection->submit(*request, task.deadline - clock_.now(), task.required_position_unix_ms);
         return;
     }
-    rest(entry);
+    release(pooled);
 }
 
-void Pool::rest(Entries::iterator entry) {
-    entry->idle_since = clock_.now();
-    idle_.push_back(entry);
+void Pool::release(Connections::iterator pooled) {
+    pooled->idle_since = clock_.now();
+    idle_.push_back(pooled);
 }
 
-Pool::Given Pool::give_up(const BackendTask& task) {
-    auto w =
-        std::find_if(waiting_.begin(), waiting_.end(), [&](const BackendTask& j) { return j.same(task); });
-    if (w != waiting_.end()) {
-        waiting_.erase(w);
-        return Given::waiting;
+Pool::Cancelled Pool::cancel(const BackendTask& task) {
+    auto waiting = std::ranges::find_if(waiting_, [&](const BackendTask& other) { return other.same(task); });
+    if (waiting != waiting_.end()) {
+        waiting_.erase(waiting);
+        return Cancelled::waiting;
     }
-    auto e = std::find_if(links_.begin(), links_.end(),
-                          [&](const Entry& x) { return x.task && x.task->same(task); });
-    if (e == links_.end()) return Given::none;
-    drop(e);
-    return Given::out;
+    auto busy = std::ranges::find_if(
+        connections_, [&](const PooledConnection& pooled) { return pooled.task && pooled.task->same(task); });
+    if (busy == connections_.end()) return Cancelled::unknown;
+    close(busy);
+    return Cancelled::sent;
 }
 
-bool Pool::waits(const BackendTask& task) const {
-    return std::any_of(waiting_.begin(), waiting_.end(), [&](const BackendTask& j) { return j.same(task); });
+bool Pool::is_waiting(const BackendTask& task) const {
+    return std::ranges::any_of(waiting_, [&](const BackendTask& other) { return other.same(task); });
 }
 
 void Pool::close_idle(Time idle_since_before) {
@@ -128,8 +129,8 @@
 
 bool Pool::close_oldest_idle() {
     if (idle_.empty()) return false;
-    auto entry = idle_.front();
-    drop(entry);
+    auto oldest = idle_.front();
+    close(oldest);
     return true;
 }
 
@@ -138,68 +139,70 @@
     return idle_.front()->idle_since;
 }
 
-Pool::Entries::iterator Pool::find(const BackendConnection& link) {
-    return std::find_if(links_.begin(), links_.end(), [&](const Entry& e) { return e.link.get() == &link; });
+Pool::Connections::iterator Pool::find(const BackendConnection& connection) {
+    return std::ranges::find_if(
+        connections_, [&](const PooledConnection& pooled) { return pooled.connection.get() == &connection; });
 }
 
-void Pool::drop(Entries::iterator entry) {
-    if (!entry->up) --connecting_;
-    std::erase(idle_, entry);
-    entry->link->close();
-    links_.erase(entry);
-    owner_.on_link_gone();
+void Pool::close(Connections::iterator pooled) {
+    if (!pooled->established) --connecting_;
+    std::erase(idle_, pooled);
+    pooled->connection->close();
+    connections_.erase(pooled);
+    budget_.release();
 }
 
-void Pool::on_ready(BackendConnection& link) {
-    auto entry = find(link);
-    if (entry == links_.end()) return;
-    entry->up = true;
+void Pool::on_ready(BackendConnection& connection) {
+    auto pooled = find(connection);
+    if (pooled == connections_.end()) return;
+    pooled->established = true;
     --connecting_;
-    put_to_use(entry);
+    assign_task(pooled);
 }
 
-void Pool::on_result(BackendConnection& link, AttemptResult result) {
-    auto entry = find(link);
-    if (entry == links_.end() || !entry->task) return;
-    BackendTask task = *entry->task;
-    entry->task.reset();
+void Pool::on_result(BackendConnection& connection, AttemptResult result) {
+    auto pooled = find(connection);
+    if (pooled == connections_.end() || !pooled->task) return;
+    BackendTask task = *pooled->task;
+    pooled->task.reset();
     if (result.reusable)
-        rest(entry);
+        release(pooled);
     else
-        drop(entry);
-    owner_.on_job_end(*this, task, std::move(result));
+        close(pooled);
+    owner_.on_task_end(endpoint_, task, std::move(result));
     serve_waiting();
 }
 
-void Pool::on_begun(BackendConnection& link, const Answer& head, std::size_t length) {
-    auto entry = find(link);
-    if (entry != links_.end() && entry->task) owner_.on_job_begun(*this, *entry->task, head, length);
+void Pool::on_begun(BackendConnection& connection, const Answer& head, std::size_t length) {
+    auto pooled = find(connection);
+    if (pooled != connections_.end() && pooled->task)
+        owner_.on_response_started(endpoint_, *pooled->task, head, length);
 }
 
-bool Pool::on_piece(BackendConnection& link, std::string_view bytes) {
-    auto entry = find(link);
-    return entry == links_.end() || !entry->task || owner_.on_job_piece(*entry->task, bytes);
+bool Pool::on_piece(BackendConnection& connection, std::string_view bytes) {
+    auto pooled = find(connection);
+    return pooled == connections_.end() || !pooled->task || owner_.on_response_piece(*pooled->task, bytes);
 }
 
 void Pool::resume(const BackendTask& task) {
-    for (Entry& e : links_)
-        if (e.task && e.task->same(task)) {
-            auto link = e.link;  // it may end on what it has
-            return link->resume();
+    for (PooledConnection& pooled : connections_)
+        if (pooled.task && pooled.task->same(task)) {
+            auto connection = pooled.connection;  // it may end on what it has
+            return connection->resume();
         }
 }
 
-void Pool::on_end(BackendConnection& link, BackendConnection::End end) {
-    auto entry = find(link);
-    if (entry == links_.end()) return;
-    std::optional<BackendTask> task = entry->task;
-    // A link that never came up takes the oldest waiting job with it: one link was opened for each.
-    if (!entry->up && !task && waiting_.size() >= connecting_) {
+void Pool::on_end(BackendConnection& connection, BackendConnection::End end) {
+    auto pooled = find(connection);
+    if (pooled == connections_.end()) return;
+    std::optional<BackendTask> task = pooled->task;
+    // A connection that was never established ends the oldest waiting task: one was opened for each.
+    if (!pooled->established && !task && waiting_.size() >= connecting_) {
         task = waiting_.front();
         waiting_.pop_front();
     }
-    drop(entry);
-    if (task) owner_.on_job_end(*this, *task, ended(status_of(end)));
+    close(pooled);
+    if (task) owner_.on_task_end(endpoint_, *task, result_without_answer(status_of(end)));
     serve_waiting();
 }
 
--- a/src/routing/pool.hpp
+++ b/src/routing/pool.hpp
@@ -1,4 +1,4 @@
-// The connections to one member, and the jobs that wait for one.
+// The connections to one endpoint, and the tasks that wait for one. Runs on the core's thread.
 #pragma once
 
 #include <deque>
@@ -7,84 +7,82 @@
 #include <optional>
 #include <vector>
 
+#include "routing/backend_task.hpp"
+#include "routing/connection_budget.hpp"
 #include "routing/interfaces.hpp"
 
 namespace indigovane::routing {
 
-// An attempt or a probe, from the module's action to its outcome.
-struct BackendTask {
-    bool probe = false;
-    RequestId id{};
-    std::uint32_t number = 0;  // of the attempt; of the probe
-    Time sent{}, until{};
-    Time start = Time::max();  // it is not to begin later
-    std::optional<std::int64_t> needs;
-
-    bool same(const BackendTask& o) const { return probe == o.probe && id == o.id && number == o.number; }
-};
-
 class Pool : private BackendConnection::Owner {
   public:
+    // Whose tasks they are. Each submitted task ends once, by on_task_end() or by cancel().
     class Owner {
       public:
-        virtual void on_job_end(Pool& pool, const BackendTask& task, AttemptResult result) = 0;
-        virtual void on_job_begun(Pool& pool, const BackendTask& task, const Answer& head,
-                                  std::size_t length) = 0;
-        virtual bool on_job_piece(const BackendTask& task, std::string_view bytes) = 0;
-        // Looked at again right before the first byte: a job that waited for a connection may have been
-        // cancelled by then, its time may be up, or the member may drain. Nothing: it may not start. What its
-        // answer must have seen may have grown.
-        virtual const ClientRequest* may_start(const Pool& pool, BackendTask& task) = 0;
-        virtual bool may_open() = 0;  // counts a link that is to be opened
-        virtual void on_link_gone() = 0;
+        virtual void on_task_end(EndpointId endpoint, const BackendTask& task, AttemptResult result) = 0;
+        // A long value has begun; its pieces follow, then on_task_end().
+        virtual void on_response_started(EndpointId endpoint, const BackendTask& task, const Answer& head,
+                                         std::size_t length) = 0;
+        // False: no more for now.
+        virtual bool on_response_piece(const BackendTask& task, std::string_view bytes) = 0;
+        // Called right before an attempt's first byte: while it waited for a connection it may have been
+        // cancelled, its time may be up, or the endpoint may drain. None: it may not start. What its answer
+        // must have seen may have grown, which the owner writes into the task.
+        virtual const ClientRequest* may_start(EndpointId endpoint, BackendTask& task) = 0;
 
       protected:
         ~Owner() = default;
     };
 
-    Pool(EndpointId endpoint, Backend& backend, const Clock& clock, Duration connect_timeout, Owner& owner);
+    // All references must outlive the pool.
+    Pool(EndpointId endpoint, Backend& backend, const Clock& clock, Duration connect_timeout, Owner& owner,
+         ConnectionBudget& budget);
     ~Pool();
     Pool(const Pool&) = delete;
     Pool& operator=(const Pool&) = delete;
 
-    EndpointId endpoint() const { return endpoint_; }
+    // Idle connections to another address are closed; busy ones once their task has ended.
     void set_address(const std::string& address);
     void set_connect_timeout(Duration timeout) { connect_timeout_ = timeout; }
 
     void submit(const BackendTask& task);
-    // Ends a job's wait. Its connection, if it has one, is closed first: nothing of it is out afterwards.
-    enum class Given { none, waiting, out };  // what it was: not here, without a connection, or on one
-    Given give_up(const BackendTask& task);
+    // Where a task was that has been cancelled: unknown here, without a connection, or on one.
+    enum class Cancelled { unknown, waiting, sent };
+    // Ends a task without on_task_end(). Its connection, if it has one, is closed first: nothing of the task
+    // is in flight afterwards. The caller calls serve_waiting().
+    Cancelled cancel(const BackendTask& task);
+    // There is room for pieces of the task's response again.
     void resume(const BackendTask& task);
-    bool waits(const BackendTask& task) const;  // for a connection
+    bool is_waiting(const BackendTask& task) const;  // for a connection
     void close_idle(Time idle_since_before);
+    // False: no connection is idle.
     bool close_oldest_idle();
-    std::optional<Time> oldest_idle() const;
-    std::size_t links() const { return links_.size(); }
+    std::optional<Time> oldest_idle() const;  // since when; none: no connection is idle
+    std::size_t connections() const { return connections_.size(); }
     std::size_t idle() const { return idle_.size(); }
     std::size_t connecting() const { return connecting_; }
-    void serve_waiting();  // room for another link may have come up
+    // Gives waiting tasks the idle connections, and opens one for each of the others.
+    void serve_waiting();
 
   private:
-    struct Entry {
-        std::shared_ptr<BackendConnection> link;
+    struct PooledConnection {
+        std::shared_ptr<BackendConnection> connection;
         std::string address;
-        bool up = false;
+        bool established = false;
         std::optional<BackendTask> task;
         Time idle_since{};
     };
-    using Entries = std::list<Entry>;
+    using Connections = std::list<PooledConnection>;
 
-    void on_ready(BackendConnection& link) override;
-    void on_result(BackendConnection& link, AttemptResult result) override;
-    void on_begun(BackendConnection& link, const Answer& head, std::size_t length) override;
-    bool on_piece(BackendConnection& link, std::string_view bytes) override;
-    void on_end(BackendConnection& link, BackendConnection::End end) override;
+    void on_ready(BackendConnection& connection) override;
+    void on_result(BackendConnection& connection, AttemptResult result) override;
+    void on_begun(BackendConnection& connection, const Answer& head, std::size_t length) override;
+    bool on_piece(BackendConnection& connection, std::string_view bytes) override;
+    void on_end(BackendConnection& connection, BackendConnection::End end) override;
 
-    Entries::iterator find(const BackendConnection& link);
-    void put_to_use(Entries::iterator entry);
-    void rest(Entries::iterator entry);
-    void drop(Entries::iterator entry);
+    Connections::iterator find(const BackendConnection& connection);
+    void assign_task(Connections::iterator pooled);
+    void release(Connections::iterator pooled);
+    void close(Connections::iterator pooled);
     void open_for_waiting();
 
     EndpointId endpoint_;
@@ -92,10 +90,11 @@
     const Clock& clock_;
     Duration connect_timeout_;
     Owner& owner_;
+    ConnectionBudget& budget_;
     std::string address_;
-    Entries links_;
-    std::vector<Entries::iterator> idle_;  // the newest last, which is used first
-    std::deque<BackendTask> waiting_;      // the oldest first
+    Connections connections_;
+    std::vector<Connections::iterator> idle_;  // the newest last, which is used first
+    std::deque<BackendTask> waiting_;          // the oldest first
     std::size_t connecting_ = 0;
 };
 
--- a/src/routing/request_guard.cpp
+++ b/src/routing/request_guard.cpp
@@ -11,7 +11,7 @@
 using policy::Idempotency;
 
 namespace {
-// An answer so long after its time is no answer any more; before that it is merely worth nothing.
+// The loop may be held up for a moment at a deadline; an answer later than this shows a fault.
 constexpr Duration kLateGrace = std::chrono::milliseconds(500);
 }  // namespace
 
@@ -19,76 +19,96 @@
     switch (invariant) {
         case Invariant::single_attempt:
             return "single_attempt";
-        case Invariant::repeat_by_effect:
-            return "repeat_by_effect";
-        case Invariant::repeat_in_scope:
-            return "repeat_in_scope";
-        case Invariant::repeat_in_window:
-            return "repeat_in_window";
-        case Invariant::harmless_refusal:
-            return "harmless_refusal";
-        case Invariant::ran_once:
-            return "ran_once";
-        case Invariant::answer_in_time:
-            return "answer_in_time";
-        case Invariant::answer_before_close:
-            return "answer_before_close";
+        case Invariant::retry_if_idempotent:
+            return "retry_if_idempotent";
+        case Invariant::retry_in_scope:
+            return "retry_in_scope";
+        case Invariant::retry_in_window:
+            return "retry_in_window";
+        case Invariant::harmless_rejection:
+            return "harmless_rejection";
+        case Invariant::single_execution:
+            return "single_execution";
+        case Invariant::response_in_time:
+            return "response_in_time";
+        case Invariant::response_before_close:
+            return "response_before_close";
     }
     return "unknown";
 }
 
-RetryRule RetryRule::of(const policy::Settings& settings, ClassId request_class) {
-    RetryRule rule;
-    if (std::size_t(request_class) >= settings.classes.size()) return rule;
-    const policy::ClassSettings& c = settings.classes[std::size_t(request_class)];
-    rule.idempotency = c.idempotency.value_or(rule.idempotency);
-    rule.scope = c.deduplication_scope.value_or(rule.scope);
-    rule.window = c.deduplication_window.value_or(rule.window);
-    return rule;
-}
-
 std::optional<Invariant> RequestGuard::against_attempt(const RetryRule& rule,
                                                        std::span<const Attempt> earlier, std::uint32_t zone,
                                                        std::uint32_t group, Time now) {
-    if (std::ranges::any_of(earlier, &Attempt::out)) return Invariant::single_attempt;
+    if (std::ranges::any_of(earlier, &Attempt::in_flight)) return Invariant::single_attempt;
     auto first = std::ranges::find_if(earlier, &Attempt::may_have_run);
     if (first == earlier.end() || rule.idempotency == Idempotency::idempotent) return std::nullopt;
-    if (rule.idempotency == Idempotency::not_idempotent) return Invariant::repeat_by_effect;
-    if (now >= first->task.sent + rule.window) return Invariant::repeat_in_window;
+    if (rule.idempotency == Idempotency::not_idempotent) return Invariant::retry_if_idempotent;
+    if (now >= first->task.sent + rule.window) return Invariant::retry_in_window;
     bool in_scope = rule.scope == DeduplicationScope::all ||
                     (rule.scope == DeduplicationScope::zone ? zone == first->zone : group == first->group);
-    return in_scope ? std::nullopt : std::optional(Invariant::repeat_in_scope);
+    return in_scope ? std::nullopt : std::optional(Invariant::retry_in_scope);
 }
 
-bool RequestGuard::refusal_is_harmless(const RetryRule& rule, std::span<const Attempt> attempts) {
+bool RequestGuard::is_rejection_harmless(const RetryRule& rule, std::span<const Attempt> attempts) {
     if (rule.idempotency == Idempotency::idempotent) return true;
     if (rule.idempotency == Idempotency::idempotency_key && rule.scope == DeduplicationScope::all)
         return true;
     return std::ranges::none_of(attempts, &Attempt::may_have_run);
 }
 
-bool RequestGuard::ran_twice(const RetryRule& rule, std::span<const Attempt> attempts) {
+bool RequestGuard::has_run_twice(const RetryRule& rule, std::span<const Attempt> attempts) {
     if (rule.idempotency != Idempotency::not_idempotent) return false;
     return std::ranges::count(attempts, Execution::ran, &Attempt::execution) > 1;
 }
 
-bool RequestGuard::answered_late(Time deadline, Time now) {
+bool RequestGuard::is_answer_late(Time deadline, Time now) {
     return now > deadline + kLateGrace;
 }
 
-void RequestGuard::violated(Invariant invariant, const ClientRequest& item,
+bool RequestGuard::admits_first_byte(const PendingRequest& request, std::uint32_t attempt, std::uint32_t zone,
+                                     std::uint32_t group, Time now) {
+    std::span<const Attempt> earlier(request.attempts.data(), attempt);
+    std::optional<Invariant> broken = against_attempt(request.retry_rule, earlier, zone, group, now);
+    if (broken) violated(*broken, request);
+    return !broken;
+}
+
+bool RequestGuard::admits_rejection(const PendingRequest& request) {
+    bool harmless = is_rejection_harmless(request.retry_rule, request.attempts);
+    if (!harmless) violated(Invariant::harmless_rejection, request);
+    return harmless;
+}
+
+void RequestGuard::check_answer(const PendingRequest& request, Time now) {
+    if (is_answer_late(request.deadline, now)) violated(Invariant::response_in_time, request);
+}
+
+void RequestGuard::check_executions(const PendingRequest& request) {
+    if (has_run_twice(request.retry_rule, request.attempts)) violated(Invariant::single_execution, request);
+}
+
+void RequestGuard::check_close(const PendingRequest& request) {
+    if (!request.response_started) violated(Invariant::response_before_close, request);
+}
+
+void RequestGuard::violated(Invariant invariant, const ClientRequest& request,
                             std::span<const Attempt> attempts) {
     ++violations_[std::size_t(invariant)];
-    std::string known;
-    for (const Attempt& a : attempts) {
-        if (!known.empty()) known += ',';
-        known += a.status ? status_name(*a.status) : "out";
+    std::string statuses;
+    for (const Attempt& attempt : attempts) {
+        if (!statuses.empty()) statuses += ',';
+        statuses += attempt.status ? status_name(*attempt.status) : kInFlight;
+    }
+    Logger::Data data{{"invariant", invariant_name(invariant)},
+                      {"request", request.id},
+                      {"class", request.class_name},
+                      {"attempt_statuses", statuses}};
+    if (!attempts.empty()) {
+        data.push_back({"attempt", std::to_string(attempts.size() - 1)});
+        data.push_back({"endpoint", endpoint_uids_(attempts.back().endpoint)});
     }
-    logger_.log(Level::error, "invariant", "an invariant of requests was broken, or would have been",
-                {{"invariant", invariant_name(invariant)},
-                 {"request", item.id},
-                 {"class", item.class_name},
-                 {"attempts", known}});
+    logger_.log(Level::error, "invariant", "an invariant of requests was broken, or would have been", data);
 }
 
 }  // namespace indigovane::routing
--- a/src/routing/request_statistics.cpp
+++ b/src/routing/request_statistics.cpp
@@ -5,23 +5,24 @@
 namespace indigovane::routing {
 
 Logger::Data RequestStatistics::data() const {
-    Logger::Data out;
-    auto add = [&](const char* name, std::uint32_t count) {
-        if (count > 0) out.emplace_back(name, std::to_string(count));
+    Logger::Data fields;
+    auto add = [&](std::string name, std::uint32_t count) {
+        if (count > 0) fields.emplace_back(std::move(name), std::to_string(count));
     };
-    add("first", first);
-    add("repeated", repeated);
-    add("sent", sent);
-    for (std::size_t i = 0; i < ended.size(); ++i) add(status_name(policy::AttemptStatus(i)), ended[i]);
-    add("refused", refused);
-    add("refused_at_once", refused_at_once);
-    add("failed", failed);
-    add("withdrawn", withdrawn);
-    add("probes", probes);
-    add("probes_unanswered", probes_unanswered);
+    add("first_requests", first_requests);
+    add("client_retries", client_retries);
+    add("attempts", attempts);
+    for (std::size_t status = 0; status < attempts_ended.size(); ++status)
+        add(std::string("attempts_") + status_name(policy::AttemptStatus(status)), attempts_ended[status]);
+    add("rejected_requests", rejected_requests);
+    add("rejected_on_arrival", rejected_on_arrival);
+    add("failed_requests", failed_requests);
+    add("clients_left", clients_left);
+    add("health_checks", health_checks);
+    add("health_checks_failed", health_checks_failed);
     add("connections", connections);
-    add("lists", lists);
-    return out;
+    add("endpoint_lists", endpoint_lists);
+    return fields;
 }
 
 }  // namespace indigovane::routing
--- a/src/routing/request_statistics.hpp
+++ b/src/routing/request_statistics.hpp
@@ -1,5 +1,6 @@
-// What a pooler has done since it last said so: counts, written as one line of the log every few seconds. A
-// large fleet's costs show only when the lines of all its poolers are summed, which tools/ledger does.
+// What a pooler has done since its last statistics line: counts, written as one line of the log every few
+// seconds. A large fleet's costs show only when the lines of all its poolers are summed, which
+// tools/sum-statistics does.
 #pragma once
 
 #include <array>
@@ -10,14 +11,23 @@
 namespace indigovane::routing {
 
 struct RequestStatistics {
-    std::uint32_t first = 0, repeated = 0;  // requests taken in; repeats are those that clients mark
-    std::uint32_t sent = 0, refused = 0, refused_at_once = 0, failed = 0;
-    std::uint32_t withdrawn = 0;  // their clients left before they were answered
-    std::uint32_t probes = 0, probes_unanswered = 0, connections = 0, lists = 0;
-    std::array<std::uint32_t, policy::kStatuses> ended{};  // attempts, by status
+    std::uint32_t first_requests = 0;  // taken in, that are no retries of their clients
+    std::uint32_t client_retries = 0;  // taken in, that their clients mark as retries
+    std::uint32_t attempts = 0;        // sent, or held back by the guard
+    std::uint32_t rejected_requests = 0;
+    std::uint32_t rejected_on_arrival = 0;  // of the rejected ones: within a few milliseconds
+    std::uint32_t failed_requests = 0;
+    std::uint32_t clients_left = 0;  // before they were answered
+    std::uint32_t health_checks = 0;
+    std::uint32_t health_checks_failed = 0;
+    std::uint32_t connections = 0;                                  // opened to hosts
+    std::uint32_t endpoint_lists = 0;                               // complete lists and changes received
+    std::array<std::uint32_t, policy::kStatuses> attempts_ended{};  // by status
 
-    bool empty() const { return first + repeated + sent + probes + connections + lists == 0; }
-    Logger::Data data() const;  // what is zero is left out
+    bool empty() const {
+        return first_requests + client_retries + attempts + health_checks + connections + endpoint_lists == 0;
+    }
+    Logger::Data data() const;  // without what is zero
 };
 
 }  // namespace indigovane::routing
--- a/src/routing/site_controller.cpp
+++ b/src/routing/site_controller.cpp
@@ -7,96 +7,125 @@
 using policy::AttemptStatus;
 
 namespace {
-// Where hosts tell only the requests that they hold: so many are busy cores (the module reckons alike).
-constexpr double kHeldBusy = 6;
-site::HostId host(EndpointId m) {
-    return site::HostId{std::uint32_t(m)};
-}
-std::string decimal(double v) {
-    char text[32];
-    std::snprintf(text, sizeof text, "%.2f", v);
-    return text;
-}
-}  // namespace
+// Where hosts report only their requests in flight: with so many all cores are busy. The routing policy
+// counts alike.
+constexpr double kInFlightAllBusy = 6;
+constexpr std::uint64_t kSeedOfSites = 0x736974657321u;  // other draws than the policy's of the same seed
+constexpr int kUnusedBits = 11;                          // a double's mantissa holds 53 of 64
+constexpr double kDrawUnit = 0x1.0p-53;
 
-SiteController::SiteController(const site::Settings& settings, site::FleetContext around, std::uint64_t seed)
-    : random_(seed ^ 0x736974657321u),  // not the module's stream
-      manager_(settings, std::move(around), [this] { return draw(); }) {}
+site::HostId host(EndpointId endpoint) {
+    return site::HostId{std::uint32_t(endpoint)};
+}
 
-std::vector<site::Demand> site_classes(const policy::Settings& settings,
-                                       const std::vector<std::string>& names) {
-    using policy::Consistency;
-    std::vector<site::Demand> out;
-    for (const policy::ClassSettings& k : settings.classes) {
-        site::Demand d;
-        if (out.size() < names.size()) d.request_class = names[out.size()];
-        auto consistency = k.consistency.value_or(Consistency::write);
-        d.primary = consistency == Consistency::write || consistency == Consistency::fresh;
-        d.priority_weight = k.priority_weight.value_or(1);
-        out.push_back(std::move(d));
-    }
-    return out;
+EndpointId endpoint_of(site::HostId host) {
+    return EndpointId(std::uint32_t(host));
 }
 
-bool SiteController::admit(const ClientRequest& item, Time now) {
-    return manager_.admit({site::GroupId{std::uint32_t(item.group)}, std::size_t(item.request_class),
-                           item.tenant, draw(), item.client_timeout, item.repeat},
-                          time(now));
+std::string two_decimals(double value) {
+    char text[32];
+    std::snprintf(text, sizeof text, "%.2f", value);
+    return text;
 }
 
-// What an end says of the host. A client that left early, or a connection that nobody could open for want of
-// descriptors, says nothing.
-void SiteController::ended(EndpointId endpoint, bool probe, Time sent, AttemptStatus status,
-                           Duration connect_timeout, Time now) {
-    std::optional<site::ContactResult> sign;
-    Duration took = now - sent;
+// What an end says of the host. A client that left early, or a connection that could not be opened for want
+// of descriptors, says nothing.
+std::optional<site::ContactResult> contact_result(const BackendTask& task, AttemptStatus status,
+                                                  Duration took, Duration connect_timeout, Duration quiet) {
     switch (status) {
         case AttemptStatus::ok:
         case AttemptStatus::error:
         case AttemptStatus::rejected:
         case AttemptStatus::miss:
         case AttemptStatus::stale:
-            sign = site::ContactResult::answer;
-            break;
+            return site::ContactResult::answer;
         case AttemptStatus::timeout:
-            sign = site::ContactResult::mute;
-            break;
+            return site::ContactResult::mute;
         case AttemptStatus::unreachable:
-            sign = took < connect_timeout / 2 && !probe ? site::ContactResult::broken
-                                                        : site::ContactResult::mute;
-            break;
+            return took < connect_timeout / 2 && !task.health_check ? site::ContactResult::broken
+                                                                    : site::ContactResult::mute;
         case AttemptStatus::reset:
-            sign = site::ContactResult::broken;
-            break;
+            return site::ContactResult::broken;
         case AttemptStatus::cancelled:
-            if (took >= manager_.settings().quiet) sign = site::ContactResult::mute;
+            if (took >= quiet) return site::ContactResult::mute;
             break;
         case AttemptStatus::not_started:
             break;
     }
+    return std::nullopt;
+}
+
+void log_transition(const site::SiteTransition& transition, Logger& logger) {
+    const site::SiteEvidence& evidence = transition.change.evidence;
+    logger.log(Level::notice, "site", transition.change.why,
+               {{"zone", std::to_string(std::uint32_t(transition.change.site))},
+                {"was", site::name(transition.change.before)},
+                {"is", site::name(transition.change.now)},
+                {"hosts", std::to_string(evidence.hosts)},
+                {"answering", std::to_string(evidence.answering)},
+                {"silent", std::to_string(evidence.mute)},
+                {"refusing", std::to_string(evidence.broken)},
+                {"hold_s", two_decimals(transition.hold_s)},
+                {"ramp_s", two_decimals(transition.ramp_s)},
+                {"falls", std::to_string(transition.falls)}});
+}
+}  // namespace
+
+SiteController::SiteController(const site::Settings& settings, site::FleetContext fleet, std::uint64_t seed)
+    : random_(seed ^ kSeedOfSites), manager_(settings, std::move(fleet), [this] { return draw(); }) {}
+
+double SiteController::draw() {
+    return double(random_() >> kUnusedBits) * kDrawUnit;
+}
+
+std::vector<site::Demand> site_classes(const policy::Settings& settings,
+                                       const std::vector<std::string>& names) {
+    using policy::Consistency;
+    std::vector<site::Demand> demands;
+    for (const policy::ClassSettings& class_settings : settings.classes) {
+        site::Demand demand;
+        if (demands.size() < names.size()) demand.request_class = names[demands.size()];
+        auto consistency = class_settings.consistency.value_or(Consistency::write);
+        demand.primary = consistency == Consistency::write || consistency == Consistency::fresh;
+        demand.priority_weight = class_settings.priority_weight.value_or(1);
+        demands.push_back(std::move(demand));
+    }
+    return demands;
+}
+
+bool SiteController::admit(const ClientRequest& request, Time now) {
+    return manager_.admit({site::GroupId{std::uint32_t(request.group)}, std::size_t(request.request_class),
+                           request.tenant, draw(), request.client_timeout, request.repeat},
+                          time(now));
+}
+
+void SiteController::task_ended(EndpointId endpoint, const BackendTask& task, AttemptStatus status,
+                                Duration connect_timeout, Time now) {
+    std::optional<site::ContactResult> result =
+        contact_result(task, status, now - task.sent, connect_timeout, manager_.settings().quiet);
     manager_.over(host(endpoint));
-    if (sign) manager_.sign(host(endpoint), *sign, time(sent), time(now));
+    if (result) manager_.sign(host(endpoint), *result, time(task.sent), time(now));
 }
 
-void SiteController::sent(EndpointId endpoint, Time now) {
+void SiteController::task_sent(EndpointId endpoint, Time now) {
     manager_.sent(host(endpoint), time(now));
 }
 
-void SiteController::begun(EndpointId endpoint, Time now) {
+void SiteController::response_started(EndpointId endpoint, Time now) {
     manager_.sign(host(endpoint), site::ContactResult::answer, time(now), time(now));
 }
 
-void SiteController::heard(EndpointId endpoint, std::optional<policy::Role> role,
-                           const policy::LoadReport& report) {
+void SiteController::report_received(EndpointId endpoint, std::optional<policy::Role> role,
+                                     const policy::LoadReport& report) {
     if (role == policy::Role::primary || report.primary == true) manager_.primary(host(endpoint));
     if (report.cpu_utilization)
         manager_.busy(host(endpoint), *report.cpu_utilization);
     else if (report.in_flight)
-        manager_.busy(host(endpoint), std::min(1.0, *report.in_flight / kHeldBusy));
+        manager_.busy(host(endpoint), std::min(1.0, *report.in_flight / kInFlightAllBusy));
 }
 
-void SiteController::took(const ClientRequest& item, Duration latency) {
-    manager_.took(site::GroupId{std::uint32_t(item.group)}, std::size_t(item.request_class), latency);
+void SiteController::record_latency(const ClientRequest& request, Duration latency) {
+    manager_.took(site::GroupId{std::uint32_t(request.group)}, std::size_t(request.request_class), latency);
 }
 
 std::optional<Time> SiteController::next() const {
@@ -104,34 +133,22 @@
     return next ? std::optional(time(*next)) : std::nullopt;
 }
 
-std::vector<SiteController::Use> SiteController::look(Time now, Logger& logger) {
-    std::vector<Use> uses;
-    auto endpoint = [](site::HostId h) { return EndpointId(std::uint32_t(h)); };
-    for (const site::SiteAction& effect : manager_.tick(time(now))) {
-        if (auto* out = std::get_if<site::ExcludeHost>(&effect)) {
-            uses.push_back({Use::What::exclude, endpoint(out->host), std::nullopt, out->silent});
-        } else if (auto* in = std::get_if<site::ReadmitHost>(&effect)) {
-            uses.push_back({Use::What::let_in, endpoint(in->host),
-                            in->started ? std::optional(time(*in->started)) : std::nullopt});
-        } else if (auto* probe = std::get_if<site::ProbeHost>(&effect)) {
-            uses.push_back({Use::What::probe, endpoint(probe->host), std::nullopt});
+std::vector<SiteController::EndpointChange> SiteController::take_changes(Time now, Logger& logger) {
+    using Kind = EndpointChange::Kind;
+    std::vector<EndpointChange> changes;
+    for (const site::SiteAction& action : manager_.tick(time(now))) {
+        if (auto* exclude = std::get_if<site::ExcludeHost>(&action)) {
+            changes.push_back({Kind::exclude, endpoint_of(exclude->host), std::nullopt, exclude->silent});
+        } else if (auto* readmit = std::get_if<site::ReadmitHost>(&action)) {
+            auto started = readmit->started ? std::optional(time(*readmit->started)) : std::nullopt;
+            changes.push_back({Kind::readmit, endpoint_of(readmit->host), started, false});
+        } else if (auto* probe = std::get_if<site::ProbeHost>(&action)) {
+            changes.push_back({Kind::check_health, endpoint_of(probe->host), std::nullopt, false});
         } else {
-            const site::SiteTransition& n = std::get<site::SiteTransition>(effect);
-            const site::SiteEvidence& e = n.change.evidence;
-            logger.log(Level::notice, "site", n.change.why,
-                       {{"zone", std::to_string(std::uint32_t(n.change.site))},
-                        {"was", site::name(n.change.before)},
-                        {"is", site::name(n.change.now)},
-                        {"hosts", std::to_string(e.hosts)},
-                        {"answering", std::to_string(e.answering)},
-                        {"silent", std::to_string(e.mute)},
-                        {"refusing", std::to_string(e.broken)},
-                        {"hold_s", decimal(n.hold_s)},
-                        {"ramp_s", decimal(n.ramp_s)},
-                        {"falls", std::to_string(n.falls)}});
+            log_transition(std::get<site::SiteTransition>(action), logger);
         }
     }
-    return uses;
+    return changes;
 }
 
 }  // namespace indigovane::routing
--- a/tests/routing/pool_test.cpp
+++ b/tests/routing/pool_test.cpp
@@ -1,4 +1,5 @@
-// A member's pool against a model: random jobs, connections that come up, break and answer, in random order.
+// An endpoint's pool against a model: random tasks, connections that come up, break and answer, in random
+// order.
 #include "routing/pool.hpp"
 
 #include "support/harness.hpp"
@@ -9,40 +10,57 @@
 using policy::AttemptStatus;
 using routing::BackendConnection;
 using routing::BackendTask;
+using routing::ConnectionBudget;
+using routing::EndpointId;
 using routing::Pool;
 
 struct FakeOwner : Pool::Owner {
-    void on_job_begun(Pool&, const BackendTask&, const routing::Answer&, std::size_t) override {}
-    bool on_job_piece(const BackendTask&, std::string_view) override { return true; }
-    void on_job_end(Pool&, const BackendTask& task, routing::AttemptResult result) override {
-        REQUIRE(open.erase(std::uint64_t(task.id)) == 1);  // each job ends once
+    void on_response_started(EndpointId, const BackendTask&, const routing::Answer&, std::size_t) override {}
+    bool on_response_piece(const BackendTask&, std::string_view) override { return true; }
+    void on_task_end(EndpointId, const BackendTask& task, routing::AttemptResult result) override {
+        REQUIRE(open.erase(std::uint64_t(task.request)) == 1);  // each task ends once
         last = result.status;
     }
-    const routing::ClientRequest* may_start(const Pool&, BackendTask& task) override {
-        return stopped.count(std::uint64_t(task.id)) ? nullptr : &item;
+    const routing::ClientRequest* may_start(EndpointId, BackendTask& task) override {
+        return stopped.count(std::uint64_t(task.request)) ? nullptr : &request;
     }
-    bool may_open() override { return links < most && ++links; }
-    void on_link_gone() override { --links; }
-    routing::ClientRequest item;
+    routing::ClientRequest request;
     std::set<std::uint64_t> open, stopped;
     std::optional<AttemptStatus> last;
-    int links = 0, most = 5;
 };
 
-TEST_CASE("a pool ends each job once, whatever becomes of its connections") {
+// A pool of at most five connections.
+struct Rig {
+    routing::Clock clock;
+    FakeBackend backend;
+    FakeOwner owner;
+    ConnectionBudget budget{5, [] { return false; }, [] {}};
+    Pool pool{EndpointId{0}, backend, clock, 1s, owner, budget};
+
+    static BackendTask task(std::uint64_t number) {
+        BackendTask task;
+        task.request = routing::RequestId{number};
+        task.deadline = routing::Time::max();
+        return task;
+    }
+    void submit(std::uint64_t number) {
+        owner.open.insert(number);
+        pool.submit(task(number));
+    }
+    static void answer(FakeLink& connection) {
+        connection.busy = false;
+        connection.owner->on_result(connection,
+                                    routing::AttemptResult{AttemptStatus::ok, {}, {}, {}, {}, {}, true});
+    }
+};
+
+TEST_CASE("a pool ends each task once, whatever becomes of its connections") {
     Dice dice(21);
     for (int round = 0; round < 200; ++round) {
-        routing::Clock clock;
-        FakeBackend backend;
-        FakeOwner owner;
-        Pool pool(routing::EndpointId{0}, backend, clock, 1s, owner);
+        Rig rig;
+        auto& [clock, backend, owner, budget, pool] = rig;
         pool.set_address("a:1");
         std::uint64_t next = 0;
-        auto task = [](std::uint64_t n) {
-            BackendTask j;
-            j.id = routing::RequestId{n}, j.until = routing::Time::max();
-            return j;
-        };
         for (int step = 0; step < 200; ++step) {
             std::vector<FakeLink*> live;
             for (auto& l : backend.links)
@@ -53,8 +71,7 @@
             switch (dice.below(8)) {
                 case 0:
                 case 1:
-                    owner.open.insert(++next);
-                    pool.submit(task(next));
+                    rig.submit(++next);
                     break;
                 case 2:
                     if (link && !link->up) link->up = true, link->owner->on_ready(*link);
@@ -86,9 +103,9 @@
                     if (owner.open.empty()) break;
                     std::uint64_t id =
                         *std::next(owner.open.begin(), std::ptrdiff_t(dice.below(owner.open.size())));
-                    CHECK(pool.give_up(task(id)) != Pool::Given::none);
+                    CHECK(pool.cancel(Rig::task(id)) != Pool::Cancelled::unknown);
                     owner.open.erase(id);
-                    CHECK(pool.give_up(task(id)) == Pool::Given::none);
+                    CHECK(pool.cancel(Rig::task(id)) == Pool::Cancelled::unknown);
                     pool.serve_waiting();
                     break;
                 }
@@ -102,8 +119,8 @@
             }
             std::size_t count = 0, busy = 0;
             for (auto& l : backend.links) count += !l->closed, busy += !l->closed && l->busy;
-            REQUIRE(pool.links() == count);
-            REQUIRE(owner.links == int(count));
+            REQUIRE(pool.connections() == count);
+            REQUIRE(budget.open() == count);
             REQUIRE(count <= 5);
             REQUIRE(busy <= owner.open.size());
         }
@@ -115,9 +132,7 @@
                 if (!l->up) {
                     l->up = true, l->owner->on_ready(*l);
                 } else if (l->busy) {
-                    l->busy = false;
-                    l->owner->on_result(*l,
-                                        routing::AttemptResult{AttemptStatus::ok, {}, {}, {}, {}, {}, true});
+                    Rig::answer(*l);
                 }
             }
         CHECK(owner.open.empty());
@@ -125,53 +140,34 @@
 }
 
 TEST_CASE("a connection on which something came unasked is closed, not used") {
-    routing::Clock clock;
-    FakeBackend backend;
-    FakeOwner owner;
-    Pool pool(routing::EndpointId{0}, backend, clock, 1s, owner);
-    for (std::uint64_t n = 1; n <= 2; ++n) {
-        owner.open.insert(n);
-        BackendTask j;
-        j.id = routing::RequestId{n};
-        pool.submit(j);
-        if (n == 2) break;
-        FakeLink& link = *backend.links[0];
-        link.owner->on_ready(link);
-        link.noisy = true;  // behind the answer, before the next job
-        link.owner->on_result(link, routing::AttemptResult{AttemptStatus::ok, {}, {}, {}, {}, {}, true});
-    }
-    CHECK(backend.links[0]->closed);
-    REQUIRE(backend.links.size() == 2);
-    CHECK(owner.links == 1);
+    Rig rig;
+    rig.submit(1);
+    FakeLink& first = *rig.backend.links[0];
+    first.owner->on_ready(first);
+    first.noisy = true;  // behind the answer, before the next task
+    Rig::answer(first);
+
+    rig.submit(2);
+
+    CHECK(rig.backend.links[0]->closed);
+    REQUIRE(rig.backend.links.size() == 2);
+    CHECK(rig.budget.open() == 1);
 }
 
 TEST_CASE("the newest idle connection is used first, a closed one never") {
-    routing::Clock clock;
-    FakeBackend backend;
-    FakeOwner owner;
-    Pool pool(routing::EndpointId{0}, backend, clock, 1s, owner);
-    for (std::uint64_t n = 1; n <= 3; ++n) {
-        owner.open.insert(n);
-        BackendTask j;
-        j.id = routing::RequestId{n};
-        pool.submit(j);
-    }
-    for (auto& l : backend.links) l->owner->on_ready(*l);
-    for (std::size_t n : {0, 2, 1}) {
-        backend.links[n]->busy = false;
-        backend.links[n]->owner->on_result(
-            *backend.links[n], routing::AttemptResult{AttemptStatus::ok, {}, {}, {}, {}, {}, true});
-    }
-    backend.links[1]->owner->on_end(*backend.links[1],
-                                    BackendConnection::End::written);  // the host closed the newest
-    owner.open.insert(4);
-    BackendTask j;
-    j.id = routing::RequestId{4};
-    pool.submit(j);
-    CHECK(backend.links[2]->busy);
-    CHECK(!backend.links[0]->busy);
-    CHECK(backend.links.size() == 3);
-    CHECK(owner.last == AttemptStatus::ok);
+    Rig rig;
+    auto& links = rig.backend.links;
+    for (std::uint64_t number = 1; number <= 3; ++number) rig.submit(number);
+    for (auto& link : links) link->owner->on_ready(*link);
+    for (std::size_t answered : {0, 2, 1}) Rig::answer(*links[answered]);
+    links[1]->owner->on_end(*links[1], BackendConnection::End::written);  // the host closed the newest
+
+    rig.submit(4);
+
+    CHECK(links[2]->busy);
+    CHECK(!links[0]->busy);
+    CHECK(links.size() == 3);
+    CHECK(rig.owner.last == AttemptStatus::ok);
 }
 
 }  // namespace
--- a/tests/routing/sum_statistics_test.sh
+++ b/tests/routing/sum_statistics_test.sh
@@ -6,13 +6,13 @@
 trap 'rm -rf "$work"' EXIT
 fail() { echo "FAILED: $*"; exit 1; }
 line() { echo "<30>1 2026-12-01T00:00:00Z n indigovane 7 statistics [indigovane@32473 $1] since the line before"; }
-{ line 'first="10" sent="9" ok="8" probes="2"'; echo "5.0 something else first=\"99\""; line 'first="5" probes="1"'; } > "$work/a"
-line 'first="5" repeated="10" sent="6" refused="4"' > "$work/b"
+{ line 'first_requests="10" attempts="9" attempts_ok="8" health_checks="2"'; echo "5.0 something else first_requests=\"99\""; line 'first_requests="5" health_checks="1"'; } > "$work/a"
+line 'first_requests="5" client_retries="10" attempts="6" rejected_requests="4"' > "$work/b"
 out=$("$statistics" "$work/a" "$work/b") || fail "it ended with $?"
 row() { echo "$out" | awk -v name="$1" '$1 == name {print $2, $3, $4, $5}'; }
-[ "$(row first)" = "20 10.0 15 0.667" ] || fail "first: $(row first)"
-[ "$(row probes)" = "3 1.5 3 0.100" ] || fail "probes: $(row probes)"
-[ "$(row refused)" = "4 2.0 4 0.133" ] || fail "refused: $(row refused)"
+[ "$(row first_requests)" = "20 10.0 15 0.667" ] || fail "first_requests: $(row first_requests)"
+[ "$(row health_checks)" = "3 1.5 3 0.100" ] || fail "health_checks: $(row health_checks)"
+[ "$(row rejected_requests)" = "4 2.0 4 0.133" ] || fail "rejected_requests: $(row rejected_requests)"
 echo "$out" | grep -q '^2 poolers, 3 lines' || fail "$out"
 "$statistics" > "$work/out" 2>&1 && fail "no file, no mistake"
 grep -q usage "$work/out" || fail "no usage text"
