--- a/src/routing/attempt_dispatcher.hpp
+++ b/src/routing/attempt_dispatcher.hpp
@@ -26,6 +26,9 @@
         RequestStatistics& statistics;
     };
     explicit AttemptDispatcher(const Dependencies& dependencies) : core_(dependencies) {}
+    virtual ~AttemptDispatcher() = default;
+    AttemptDispatcher(const AttemptDispatcher&) = delete;
+    AttemptDispatcher& operator=(const AttemptDispatcher&) = delete;
 
     // None: sites are not watched.
     void set_sites(SiteController* sites) { sites_ = sites; }
--- a/src/routing/attempt_outcomes.cpp
+++ b/src/routing/attempt_outcomes.cpp
@@ -16,12 +16,12 @@
 void AttemptOutcomes::task_ended(EndpointId endpoint, const BackendTask& task, AttemptResult result) {
     Time now = core_.clock.now();
     policy::LoadReport report = sanitize(result, core_.clock, now);
-    Outcome outcome{endpoint, task, std::move(result), report, now};
+    Outcome outcome{endpoint, task, result, report, now};
     observe_endpoint(outcome);
     if (task.health_check)
         health_check_ended(outcome);
     else
-        attempt_ended(std::move(outcome));
+        attempt_ended(outcome);
 }
 
 // What the end says of the endpoint, whatever becomes of the request.
@@ -53,7 +53,7 @@
                                                outcome.report});
 }
 
-void AttemptOutcomes::attempt_ended(Outcome outcome) {
+void AttemptOutcomes::attempt_ended(Outcome& outcome) {
     PendingRequest* pending = core_.requests.find(outcome.task.request);
     if (!pending) return;
     const ClientRequest& request = pending->request;
--- a/src/routing/attempt_outcomes.hpp
+++ b/src/routing/attempt_outcomes.hpp
@@ -47,7 +47,7 @@
     struct Outcome {
         EndpointId endpoint{};
         const BackendTask& task;
-        AttemptResult result;
+        AttemptResult& result;
         policy::LoadReport report;
         Time now;
 
@@ -57,7 +57,7 @@
 
     void observe_endpoint(const Outcome& outcome);
     void health_check_ended(const Outcome& outcome);
-    void attempt_ended(Outcome outcome);
+    void attempt_ended(Outcome& outcome);
     void classify(const PendingRequest& pending, Outcome& outcome);
     void record(PendingRequest& pending, const Outcome& outcome);
     void note_commit(const ClientRequest& request, Outcome& outcome);
--- a/src/routing/discovery_client.cpp
+++ b/src/routing/discovery_client.cpp
@@ -1,6 +1,5 @@
 #include "routing/discovery_client.hpp"
 
-#include <algorithm>
 #include <boost/asio/error.hpp>
 #include <nlohmann/json.hpp>
 #include <stdexcept>
@@ -8,39 +7,21 @@
 namespace indigovane::routing {
 
 using policy::EndpointListKind;
-using policy::EndpointState;
 using protocol::http::Next;
 using protocol::http::Response;
 
-EndpointListing read_endpoint_listing(const nlohmann::json& json, const std::vector<std::string>& zones) {
-    if (!json.is_object() || !json.contains("targets") || !json["targets"].is_array())
-        throw std::runtime_error("no list of members");
-    EndpointListing list;
-    try {
-        list.revision = json.value("rev", std::int64_t(0));
-        list.all = json.value("all", false);
-        for (const auto& t : json["targets"]) {
-            if (!t.is_object() || !t.contains("uid")) continue;
-            EndpointInfo m;
-            m.uid = t.at("uid").get<std::string>();
-            m.address = t.value("endpoint", std::string());
-            auto zone = std::find(zones.begin(), zones.end(), t.value("az", std::string()));
-            m.zone = std::uint32_t(zone - zones.begin());
-            m.group = t.value("pod_group", std::uint32_t(0));
-            std::string state = t.value("state", std::string("ready"));
-            m.state = state == "ready"      ? EndpointState::ready
-                      : state == "draining" ? EndpointState::draining
-                                            : EndpointState::gone;
-            if (t.contains("recovery")) m.primary = t["recovery"] == "off" || t["recovery"] == false;
-            double boot = t.value("boot_ms", 0.0);
-            m.boot_unix_ms = std::int64_t(std::clamp(boot, 0.0, 9e12));
-            list.members.push_back(std::move(m));
-        }
-    } catch (const nlohmann::json::exception& error) {
-        throw std::runtime_error(error.what());
-    }
-    return list;
+namespace {
+constexpr std::size_t kMaxHeadBytes = 16 << 10;
+constexpr std::size_t kMaxBodyBytes = 4 << 20;
+constexpr std::size_t kMaxUnreadBytes = 5 << 20;  // a response of the greatest size, and its head
+constexpr int kFirstFinalStatus = 200;            // below: RFC 9110, section 15.2
+constexpr int kStatusOk = 200;
+constexpr int kSeedHalf = 32;
+
+protocol::http::Parser make_parser() {
+    return protocol::http::Parser({.head = kMaxHeadBytes, .body = kMaxBodyBytes});
 }
+}  // namespace
 
 DiscoveryClient::DiscoveryClient(boost::asio::io_context& io, const transport::SocketAddress& at,
                                  std::vector<std::string> zones, Core& core, Logger& logger, Timing timing,
@@ -50,10 +31,10 @@
       zones_(std::move(zones)),
       core_(core),
       logger_(logger),
-      watch_(timing),
-      parser_({.head = 16384, .body = 4 << 20}),
+      schedule_(timing),
+      parser_(make_parser()),
       timer_(io),
-      random_(std::minstd_rand::result_type(seed ^ seed >> 32)) {}
+      random_(std::minstd_rand::result_type(seed ^ seed >> kSeedHalf)) {}
 
 DiscoveryClient::~DiscoveryClient() {
     if (connection_) connection_->close();
@@ -61,7 +42,7 @@
 
 void DiscoveryClient::seed(const EndpointListing& known) {
     core_.list(EndpointListKind::cached, known.members);
-    if (watch_.timing().from_known && known.all) watch_.know(known.revision);
+    if (schedule_.timing().from_known && known.all) schedule_.know(known.revision);
 }
 
 void DiscoveryClient::follow() {
@@ -73,15 +54,15 @@
     if (at == at_) return;  // the watch goes on
     at_ = at;
     disconnect();
-    watch_.restart();
-    told_ = false;
+    schedule_.restart();
+    complete_list_received_ = false;
     if (following_) call();
 }
 
 void DiscoveryClient::set_zones(std::vector<std::string> zones) {
     if (zones == zones_) return;
     zones_ = std::move(zones);
-    watch_.forget();
+    schedule_.forget();
     if (!following_) return;
     disconnect();
     call();
@@ -90,45 +71,52 @@
 void DiscoveryClient::disconnect() {
     if (connection_) connection_->close();
     connection_.reset();
-    called_ = false;
+    call_pending_ = false;
+    cancel_timer();
+}
+
+void DiscoveryClient::cancel_timer() {
     timer_.cancel();
-    ++timers_;
+    ++timer_generation_;
 }
 
-// Guards against a ring that was already on its way when its timer was cancelled or set again: it would end
-// the next call, at another address even.
+// The handler of a timer that was cancelled or set again may already be queued. It would end the next call,
+// at another address even: only the handler of the latest timer does anything.
 void DiscoveryClient::set_timer(std::chrono::milliseconds after, void (DiscoveryClient::*then)()) {
     timer_.expires_after(after);
-    timer_.async_wait([this, then, number = ++timers_](const transport::error_code& ec) {
-        if (!ec && number == timers_) (this->*then)();
+    timer_.async_wait([this, then, generation = ++timer_generation_](const transport::error_code& ec) {
+        if (!ec && generation == timer_generation_) (this->*then)();
     });
 }
 
 void DiscoveryClient::call() {
     if (!connection_) {
-        parser_ = protocol::http::Parser({.head = 16384, .body = 4 << 20});
+        parser_ = make_parser();
         connection_ = std::make_shared<transport::Connection>(io_);
-        connection_->limit_unread(5 << 20);
-        connection_->connect(at_, watch_.timing().connect, *this);
+        connection_->limit_unread(kMaxUnreadBytes);
+        connection_->connect(at_, schedule_.timing().connect, *this);
         return;
     }
-    if (called_ || !connection_->open()) return;
-    called_ = true;
-    WatchSchedule::Call call = watch_.next();
+    if (!call_pending_ && connection_->open()) send_request();
+}
+
+void DiscoveryClient::send_request() {
+    call_pending_ = true;
+    WatchSchedule::Call call = schedule_.next();
     std::string target = "/catalog/members";
     if (call.from)
         target += "?from=" + std::to_string(*call.from) + "&hold_ms=" + std::to_string(call.hold.count());
     connection_->write(protocol::http::write_request(
         "GET", target, at_.address().to_string() + ":" + std::to_string(at_.port()), {}));
-    // A silent agent keeps its connection open: only the clock tells.
-    set_timer(call.client_timeout, &DiscoveryClient::no_answer);
+    // An unresponsive agent keeps its connection open: only the clock tells.
+    set_timer(call.client_timeout, &DiscoveryClient::call_timed_out);
 }
 
-void DiscoveryClient::lost(WatchSchedule::Failure how, const char* why) {
+void DiscoveryClient::call_failed(WatchSchedule::Failure failure, const char* why) {
     logger_.log(Level::warning, "discovery", "the list of members can't be followed now", {{"why", why}});
     disconnect();
-    set_timer(watch_.failed(how, double(random_() - random_.min()) / double(random_.max() - random_.min())),
-              &DiscoveryClient::call);
+    double draw = double(random_() - random_.min()) / double(random_.max() - random_.min());
+    set_timer(schedule_.failed(failure, draw), &DiscoveryClient::call);
 }
 
 void DiscoveryClient::on_connected() {
@@ -137,62 +125,65 @@
 }
 
 void DiscoveryClient::on_data(transport::Buffer& in) {
-    auto keep = connection_;
-    while (connection_ == keep && !in.empty()) {
+    auto connection = connection_;
+    while (connection_ == connection && !in.empty()) {
         std::size_t length = 0;
         if (!read(in.view(), false, length)) return;
-        if (connection_ == keep) in.consume(length);
+        if (connection_ == connection) in.consume(length);
     }
 }
 
-// False: more is to come, or the call is lost.
+// False: more is to come, or the call has failed.
 bool DiscoveryClient::read(std::string_view in, bool at_end, std::size_t& length) {
     Response response;
     Next next = parser_.response(in, at_end, response, length);
     if (next == Next::more) return false;
-    if (next != Next::message || !called_) {
-        lost(WatchSchedule::Failure::cut, "malformed answer");
+    if (next != Next::message || !call_pending_) {
+        call_failed(WatchSchedule::Failure::cut, "malformed answer");
         return false;
     }
-    if (response.status < 200) return true;
-    called_ = false;
-    timer_.cancel();
-    ++timers_;
-    take(response);
+    if (response.status < kFirstFinalStatus) return true;
+    call_pending_ = false;
+    cancel_timer();
+    process(response);
     return true;
 }
 
-// An answer may have no length and end with its connection. A reset is no end.
+// A response may have no length and end with its connection. A reset is no end.
 void DiscoveryClient::on_closed(const transport::error_code& ec) {
-    auto keep = connection_;
-    std::string_view in = keep->unread();
+    auto connection = connection_;
+    std::string_view in = connection->unread();
     std::size_t length = 0;
-    while (ec == boost::asio::error::eof && called_ && !in.empty()) {
+    while (ec == boost::asio::error::eof && call_pending_ && !in.empty()) {
         if (!read(in, true, length)) break;
         in.remove_prefix(length);
     }
-    if (connection_ == keep) lost(WatchSchedule::Failure::cut, ec.message().c_str());
+    if (connection_ == connection) call_failed(WatchSchedule::Failure::cut, ec.message().c_str());
 }
 
-void DiscoveryClient::take(const Response& response) {
-    if (response.status != 200) return lost(WatchSchedule::Failure::refused, "refused");
+void DiscoveryClient::process(const Response& response) {
+    if (response.status != kStatusOk) return call_failed(WatchSchedule::Failure::refused, "refused");
     try {
-        EndpointListing list = read_endpoint_listing(nlohmann::json::parse(response.body), zones_);
-        bool first = !watch_.revision();
-        // Changes that are older than what is held would undo it: what holds now is in the whole list.
-        if (!first && !list.all && list.revision < *watch_.revision())
-            throw std::runtime_error("changes older than the list held");
-        if (list.all || !list.members.empty() || first)
-            core_.list(list.all || first ? EndpointListKind::full : EndpointListKind::changes, list.members);
-        watch_.answered(list.revision);
-        told_ = true;
-        if (heard_ && (list.all || !list.members.empty() || first)) heard_(list.revision);
+        apply(read_endpoint_listing(nlohmann::json::parse(response.body), zones_));
     } catch (const std::exception& error) {
-        watch_.forget();
-        return lost(WatchSchedule::Failure::cut, error.what());
+        schedule_.forget();
+        return call_failed(WatchSchedule::Failure::cut, error.what());
     }
     if (!response.keep_alive || !connection_->open()) disconnect();
     call();
 }
 
+void DiscoveryClient::apply(const EndpointListing& list) {
+    bool first = !schedule_.revision();
+    // Changes that are older than the list in use would undo it: what holds now is in the complete list.
+    if (!first && !list.all && list.revision < *schedule_.revision())
+        throw std::runtime_error("changes older than the list held");
+    bool complete = list.all || first;
+    bool empty = !complete && list.members.empty();
+    if (!empty) core_.list(complete ? EndpointListKind::full : EndpointListKind::changes, list.members);
+    schedule_.answered(list.revision);
+    complete_list_received_ = true;
+    if (list_observer_ && !empty) list_observer_(list.revision);
+}
+
 }  // namespace indigovane::routing
--- a/src/routing/endpoint_registry.cpp
+++ b/src/routing/endpoint_registry.cpp
@@ -11,6 +11,10 @@
 // Connections are closed this share of the hosts' own limit after their last use: a request that crosses a
 // host's closing might have run.
 constexpr double kIdleShare = 0.8;
+
+bool is_in_use(const Endpoint& endpoint) {
+    return endpoint.attempts > 0 || endpoint.health_check || endpoint.pool->connections() > 0;
+}
 }  // namespace
 
 std::pair<EndpointId, Endpoint*> EndpointRegistry::find_or_add(const std::string& uid) {
@@ -30,9 +34,9 @@
         auto [id, endpoint] = find_or_add(info.uid);
         named.insert(id);
         if (!info.address.empty()) endpoint->pool->set_address(info.address);
-        std::string address = info.address.empty() ? endpoint->info.address : info.address;
+        std::string address = std::move(endpoint->info.address);
         endpoint->info = info;
-        endpoint->info.address = address;
+        if (info.address.empty()) endpoint->info.address = std::move(address);
         if (info.state == EndpointState::gone)
             delist(*endpoint);
         else
@@ -79,11 +83,6 @@
     if (!endpoint.delisted_at) endpoint.delisted_at = clock_.now();
 }
 
-Endpoint* EndpointRegistry::find(EndpointId id) {
-    auto found = endpoints_.find(id);
-    return found == endpoints_.end() ? nullptr : &found->second;
-}
-
 std::optional<EndpointId> EndpointRegistry::find_uid(const std::string& uid) const {
     auto found = ids_.find(uid);
     return found == ids_.end() ? std::nullopt : std::optional(found->second);
@@ -132,8 +131,7 @@
         Endpoint& endpoint = at->second;
         endpoint.pool->close_idle(endpoint.accepts_requests ? now - idle_limit : Time::max());
         bool expired = endpoint.delisted_at && now - *endpoint.delisted_at > limits.keep_left;
-        bool in_use = endpoint.attempts > 0 || endpoint.health_check || endpoint.pool->connections() > 0;
-        if (!expired || in_use) {
+        if (!expired || is_in_use(endpoint)) {
             ++at;
             continue;
         }
--- a/src/routing/endpoint_registry.hpp
+++ b/src/routing/endpoint_registry.hpp
@@ -41,7 +41,10 @@
     std::optional<policy::EndpointEntry> readmit_by_site(EndpointId id, std::optional<Time> started);
 
     // None: it is unknown or forgotten.
-    Endpoint* find(EndpointId id);
+    Endpoint* find(EndpointId id) {
+        auto found = endpoints_.find(id);
+        return found == endpoints_.end() ? nullptr : &found->second;
+    }
     std::optional<EndpointId> find_uid(const std::string& uid) const;
     // Empty: it is unknown.
     std::string uid(EndpointId id) const;
--- a/src/routing/interfaces.hpp
+++ b/src/routing/interfaces.hpp
@@ -1,4 +1,5 @@
-// What stands between the core and the wires.
+// The interfaces between the core and the adapters: connections to hosts, fronts where clients come in, and
+// the log. Adapters implement or call them; no wire is known here. All calls come from the loop's thread.
 #pragma once
 
 #include <memory>
@@ -8,25 +9,26 @@
 
 namespace indigovane::routing {
 
-// A connection to a member. It carries one job at a time.
+// A connection to a host. It carries one task at a time.
 class BackendConnection {
   public:
-    // How a link that nobody closed came to its end.
+    // How a connection that nobody closed came to its end.
     enum class End {
-        unreachable,  // it never came up
-        unopened,     // this machine had no means to open it, which says nothing of the member
-        rejected,     // the member said that it has no room
-        unwritten,    // it broke before the last byte of its job was written
-        written,      // it broke after that: the job may have run
+        unreachable,  // it was never established
+        unopened,     // this machine had no descriptor for it, which says nothing of the host
+        rejected,     // the host said that it has no capacity
+        unwritten,    // it broke before the last byte of its task was written
+        written,      // it broke after that: the task may have run
     };
     class Owner {
       public:
-        virtual void on_ready(BackendConnection& link) = 0;  // it came up
-        virtual void on_result(BackendConnection& link, AttemptResult result) = 0;
-        // A long value has begun; its pieces follow, then on_result() with no rows. False: no more for now.
-        virtual void on_begun(BackendConnection& link, const Answer& head, std::size_t length) = 0;
-        virtual bool on_piece(BackendConnection& link, std::string_view bytes) = 0;
-        virtual void on_end(BackendConnection& link, End end) = 0;
+        virtual void on_ready(BackendConnection& connection) = 0;  // it is established
+        virtual void on_result(BackendConnection& connection, AttemptResult result) = 0;
+        // A long value has begun; its pieces follow, then on_result() with no rows.
+        virtual void on_begun(BackendConnection& connection, const Answer& head, std::size_t length) = 0;
+        // False: no more for now.
+        virtual bool on_piece(BackendConnection& connection, std::string_view bytes) = 0;
+        virtual void on_end(BackendConnection& connection, End end) = 0;
 
       protected:
         ~Owner() = default;
@@ -35,29 +37,32 @@
     virtual ~BackendConnection() = default;
     // `remaining`: how long the answer is waited for. `needs`: the position, a Unix time in milliseconds,
     // that the answer's data must have reached.
-    virtual void submit(const ClientRequest& item, Duration remaining, std::optional<std::int64_t> needs) = 0;
+    virtual void submit(const ClientRequest& request, Duration remaining,
+                        std::optional<std::int64_t> needs) = 0;
+    // Starts a health check.
     virtual void probe() = 0;
-    virtual void resume() {}  // there is room for pieces again
-    // Nothing has come on it that no job asked for, its end neither.
+    // There is room for pieces again.
+    virtual void resume() {}
+    // Whether nothing has come on it that no task asked for, its end neither.
     virtual bool quiet() = 0;
-    virtual void close() = 0;  // at once; the owner hears nothing more
+    // At once; the owner is not called any more.
+    virtual void close() = 0;
 };
 
 class Backend {
   public:
     virtual ~Backend() = default;
-    // Starts to connect. The owner outlives the link, or closes it.
+    // Starts to connect; gives up after `timeout`. The owner outlives the connection, or closes it.
     virtual std::shared_ptr<BackendConnection> open(const std::string& address, Duration timeout,
                                                     BackendConnection::Owner& owner) = 0;
 };
 
-// A client's connection on its way to another process of this program: all that there is to it between
-// requests.
+// A client's connection on its way to another process of this program: all of its state between requests.
 struct ClientHandover {
     int socket = -1;
     char state = 0;    // of the front's wire
-    std::string read;  // of what the client has sent, and nobody has answered
-    std::string note;  // what the front knows of it beside that: as whom it came
+    std::string read;  // what the client has sent that is not answered
+    std::string note;  // what the front knows beside that: as whom the client authenticated
 };
 
 // Where clients come in.
@@ -65,49 +70,56 @@
   public:
     virtual ~Front() = default;
     virtual void start() = 0;
-    virtual void stop_accepting() = 0;  // what the machine has accepted is still taken in
-    virtual void close_idle() = 0;      // closes between requests, now and from now on
-    virtual void refuse_checks() = 0;   // says no where it is asked whether to send clients here
-    virtual void welcome() = 0;         // undoes the last two
+    // Connections that the kernel has accepted are still taken in.
+    virtual void stop_accepting() = 0;
+    // Closes connections between requests, now and from now on.
+    virtual void close_idle() = 0;
+    // Answers no where a load balancer asks whether to send clients here.
+    virtual void refuse_checks() = 0;
+    // Undoes close_idle() and refuse_checks().
+    virtual void welcome() = 0;
     virtual std::size_t connections() const = 0;
-    virtual std::size_t lingering() const { return 0; }  // half-closed, their clients' end yet to come
+    // Half-closed connections, whose clients' end is yet to come.
+    virtual std::size_t lingering() const { return 0; }
     // For the process that takes over: it listens by the same socket, so that closing it here resets nothing.
     virtual int listening_socket() = 0;
-    // Gives away the connections on which nothing is owed; says how many.
+    // Gives away the connections on which nothing is owed; returns how many.
     virtual std::size_t hand_over(const std::function<void(ClientHandover)>& to) = 0;
     virtual void take_over(ClientHandover handover) = 0;
     virtual std::string name() const = 0;     // of its wire
     virtual std::string address() const = 0;  // where it listens
 };
 
-// The core's side of a front.
+// Where a front hands its clients' requests in.
 class RequestAdmission {
   public:
-    virtual RequestId accept(ClientRequest item, Responder& responder) = 0;
-    // Whether an item of that many bytes may be taken in: beyond the memory's budget a front turns it away.
+    // The responder must live until it is answered or the request withdrawn.
+    virtual RequestId accept(ClientRequest request, Responder& responder) = 0;
+    // Whether a request of that many bytes may be taken in: beyond the memory budget a front rejects it.
     virtual bool has_capacity(std::size_t bytes) const = 0;
-    // Whether a request of that client's id is in hand: two of them could not be told apart by a member.
+    // Whether a request of that client's id is pending: a host could not tell two of them apart.
     virtual bool is_open(const std::string& id) const = 0;
-    virtual void resume(RequestId id) = 0;  // its responder has room for pieces again
-    // Nobody waits for the answer any more: the responder hears nothing more.
+    // Its responder has room for pieces again.
+    virtual void resume(RequestId id) = 0;
     enum class Departure {
         client_left,
         closed_here,  // this process has ended the connection, though an answer is owed on it
     };
+    // Nobody waits for the answer any more: the responder is not called again.
     virtual void withdraw(RequestId id, Departure departure) = 0;
 
   protected:
     ~RequestAdmission() = default;
 };
 
-// Lines for the operators.
+// The operators' log.
 enum class Level { error, warning, notice, info };
 class Logger {
   public:
     using Data = std::vector<std::pair<std::string, std::string>>;
     virtual void log(Level level, const char* id, const std::string& text, const Data& data = {}) = 0;
-    // Whether a line of that kind would be written now. Saves wording one that would be left out; a line that
-    // is not wanted is counted as left out.
+    // Whether a line of that message id would be written now. Saves wording one that would be left out; a
+    // line that is not wanted is counted as left out.
     virtual bool wants(const char*) { return true; }
 
   protected:
--- a/src/routing/loop_core.hpp
+++ b/src/routing/loop_core.hpp
@@ -1,5 +1,5 @@
-// The core on a real loop: an alarm is a timer, a wake-up a handler that does nothing but let the loop go
-// round.
+// The core on a real loop: Driver::alarm() sets a timer, and Driver::wake() posts a handler that does nothing
+// but let the loop go round. Whoever runs the loop calls run_batch() after each round.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,6 +11,7 @@
 
 class LoopCore : private Driver, public Core {
   public:
+    // All references must outlive the core.
     LoopCore(boost::asio::io_context& io, const Clock& clock, const policy::Settings& settings,
              std::uint64_t seed, CoreLimits limits, Backend& backend, Logger& logger);
 
--- a/src/routing/pool.hpp
+++ b/src/routing/pool.hpp
@@ -36,7 +36,7 @@
     // All references must outlive the pool.
     Pool(EndpointId endpoint, Backend& backend, const Clock& clock, Duration connect_timeout, Owner& owner,
          ConnectionBudget& budget);
-    ~Pool();
+    virtual ~Pool();
     Pool(const Pool&) = delete;
     Pool& operator=(const Pool&) = delete;
 
--- a/src/routing/request_table.cpp
+++ b/src/routing/request_table.cpp
@@ -8,7 +8,7 @@
 }
 }  // namespace
 
-RequestId RequestTable::add(ClientRequest request, Responder& responder, const RetryRule& retry_rule,
+RequestId RequestTable::add(ClientRequest&& request, Responder& responder, const RetryRule& retry_rule,
                             Time now) {
     RequestId id{next_id_++};
     PendingRequest& pending = requests_[id];
@@ -23,16 +23,6 @@
     return id;
 }
 
-PendingRequest* RequestTable::find(RequestId id) {
-    auto found = requests_.find(id);
-    return found == requests_.end() ? nullptr : &found->second;
-}
-
-PendingRequest* RequestTable::find_unanswered(RequestId id) {
-    PendingRequest* pending = find(id);
-    return pending && pending->responder ? pending : nullptr;
-}
-
 bool RequestTable::finish_if_done(RequestId id) {
     PendingRequest* pending = find(id);
     if (!pending || pending->responder || pending->in_flight() || pending->finished) return false;
--- a/src/routing/request_table.hpp
+++ b/src/routing/request_table.hpp
@@ -4,6 +4,7 @@
 #include <string>
 #include <unordered_map>
 #include <unordered_set>
+#include <utility>
 #include <vector>
 
 #include "routing/pending_request.hpp"
@@ -16,11 +17,17 @@
 
     // Takes a request in; its id is never used again. The responder must live until it is answered or its
     // client has left.
-    RequestId add(ClientRequest request, Responder& responder, const RetryRule& retry_rule, Time now);
+    RequestId add(ClientRequest&& request, Responder& responder, const RetryRule& retry_rule, Time now);
     // None: it is unknown or forgotten. Valid until the request is forgotten.
-    PendingRequest* find(RequestId id);
+    PendingRequest* find(RequestId id) {
+        auto found = requests_.find(id);
+        return found == requests_.end() ? nullptr : &found->second;
+    }
     // As above, where its final answer is still owed.
-    PendingRequest* find_unanswered(RequestId id);
+    PendingRequest* find_unanswered(RequestId id) {
+        PendingRequest* pending = find(id);
+        return pending && pending->responder ? pending : nullptr;
+    }
 
     // Marks a request as finished once nothing is owed and nothing in flight; its client's id may be used
     // again from then on. False: it is not so, or was marked before.
--- a/src/routing/timer_queue.hpp
+++ b/src/routing/timer_queue.hpp
@@ -28,7 +28,7 @@
 
 class TimerQueue {
   public:
-    void add(Time at, Timer timer) { timers_.push({at, next_order_++, std::move(timer)}); }
+    void add(Time at, const Timer& timer) { timers_.push({at, next_order_++, timer}); }
     // The earliest timer that is due, taken out; of one time the first that was added.
     std::optional<Timer> take_due(Time now);
     std::optional<Time> next() const;
--- /dev/null
+++ b/src/routing/watch_schedule.cpp
@@ -0,0 +1,82 @@
+#include "routing/watch_schedule.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace indigovane::routing {
+
+namespace {
+using Millis = WatchSchedule::Millis;
+
+// A fleet's discovery gives a call up that has been queued for a second.
+constexpr Millis kSharedHold{2500};
+constexpr Millis kSharedAnswer{1200};
+constexpr Millis kSharedConnect{300};
+constexpr std::int64_t kSharedRetryMillisPerPooler = 60;
+constexpr Millis kSharedRetryMin{400};
+constexpr Millis kSharedRetryMax{1800};
+
+// Drawn from half of it to half as much again.
+Millis jittered(Millis pause, double draw) {
+    return pause / 2 + Millis(std::int64_t(draw * double(pause.count())));
+}
+
+Millis longest_jittered(Millis pause) {
+    return pause * 3 / 2;
+}
+}  // namespace
+
+Millis WatchSchedule::Timing::told_within() const {
+    Millis unnoticed = std::max(hold + slack, (resume_held ? hold : Millis(0)) + whole);
+    Millis rejected = std::max(whole, connect);
+    Millis before_next_call =
+        std::max(unnoticed + longest_jittered(retry), rejected + longest_jittered(retry_most));
+    return before_next_call + connect + whole;
+}
+
+WatchSchedule::Timing WatchSchedule::shared(std::size_t poolers) {
+    Timing timing;
+    timing.hold = kSharedHold;
+    timing.slack = kSharedAnswer;
+    timing.whole = kSharedAnswer;
+    timing.connect = kSharedConnect;
+    timing.from_known = true;
+    timing.resume_held = true;
+    // Of a fleet that is rejected at once each asks again at a moment of its own.
+    timing.retry_most = std::clamp(Millis(kSharedRetryMillisPerPooler * std::int64_t(poolers)),
+                                   kSharedRetryMin, kSharedRetryMax);
+    timing.again = timing.retry_most;
+    return timing;
+}
+
+WatchSchedule::Call WatchSchedule::next() const {
+    if (!revision_) return {std::nullopt, Millis(0), timing_.whole};
+    Millis hold = watching_ || timing_.resume_held ? timing_.hold : Millis(0);
+    return {revision_, hold, hold + (watching_ ? timing_.slack : timing_.whole)};
+}
+
+void WatchSchedule::answered(std::int64_t revision) {
+    revision_ = revision;
+    watching_ = true;
+    backoff_ = {};
+}
+
+// Guards a discovery that is short of capacity against all poolers that ask again at once, and in step. No
+// answer is no sign of that: it rejects calls then.
+WatchSchedule::Millis WatchSchedule::failed(Failure failure, double draw) {
+    bool was_watching = std::exchange(watching_, false);
+    if (was_watching) return timing_.retry;
+    if (failure == Failure::silent) return jittered(timing_.retry, draw);
+    if (backoff_.count() == 0) backoff_ = timing_.again;
+    Millis pause = jittered(backoff_, draw);
+    backoff_ = std::min(backoff_ * 2, timing_.retry_most);
+    return pause;
+}
+
+void WatchSchedule::restart() {
+    forget();
+    watching_ = false;
+    backoff_ = {};
+}
+
+}  // namespace indigovane::routing
--- a/tests/routing/request_table_test.cpp
+++ b/tests/routing/request_table_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace routing;
 
-struct SilentResponder : Responder {
+struct IgnoringResponder : Responder {
     void served(const Answer&) override {}
     void ended(const FinalError&) override {}
 };
@@ -26,7 +26,7 @@
 
 TEST_CASE("request table: bytes and client ids count until the request is forgotten or finished") {
     RequestTable table;
-    SilentResponder responder;
+    IgnoringResponder responder;
 
     RequestId id = table.add(request("a"), responder, {}, Time(1s));
     CHECK(table.bytes() == 8);
@@ -46,7 +46,7 @@
 
 TEST_CASE("request table: a request is finished once, when nothing is owed and nothing in flight") {
     RequestTable table;
-    SilentResponder responder;
+    IgnoringResponder responder;
     RequestId id = table.add(request("a"), responder, {}, Time(1s));
     PendingRequest& pending = *table.find(id);
     pending.attempts.emplace_back();
@@ -63,7 +63,7 @@
 
 TEST_CASE("request table: ids are never used again") {
     RequestTable table;
-    SilentResponder responder;
+    IgnoringResponder responder;
     RequestId first = table.add(request("a"), responder, {}, Time(1s));
     table.forget(first);
 
