--- a/src/routing/attempt_outcomes.hpp
+++ b/src/routing/attempt_outcomes.hpp
@@ -1,5 +1,5 @@
 // What follows from the end of an attempt or a health check: what its host reports is checked, the attempt is
-// recorded, the client gets its answer, and the routing policy is told.
+// recorded, the client gets its answer, and the routing policy is notified.
 #pragma once
 
 #include <functional>
--- a/src/routing/core.cpp
+++ b/src/routing/core.cpp
@@ -144,8 +144,8 @@
     if (sites_) sites_->hosts(endpoints_.site_hosts(), clock_.now());
 }
 
-// What the policy is told of a site is what operators could have told it of each endpoint: it drains, or it
-// is readmitted. It chooses among the others as ever.
+// What is reported to the policy of a site is what operators could have set for each endpoint: it drains, or
+// it is readmitted. It chooses among the others as ever.
 void Core::apply_site_changes(Time now) {
     if (!sites_->next() || now < *sites_->next()) return;
     EndpointList list{EndpointListKind::changes, {}};
--- a/src/routing/endpoint_registry.hpp
+++ b/src/routing/endpoint_registry.hpp
@@ -33,7 +33,7 @@
     EndpointRegistry(const Clock& clock, PoolFactory make_pool)
         : clock_(clock), make_pool_(std::move(make_pool)) {}
 
-    // Both return what the routing policy is to be told.
+    // Both return what is to be reported to the routing policy.
     policy::EndpointList apply(policy::EndpointListKind kind, const std::vector<EndpointInfo>& infos);
     policy::EndpointList set_operator_exclusions(const std::set<std::string>& uids);
     // Those changes of an endpoint that a lost site brings about. None: it is not listed.
--- a/src/routing/primary_tracker.hpp
+++ b/src/routing/primary_tracker.hpp
@@ -1,5 +1,5 @@
 // Which endpoint of each group is the primary, by what this pooler has seen itself: what other poolers are
-// told of, once a change. And how old news from them may be.
+// notified of, once a change. And how old gossip from them may be.
 #pragma once
 
 #include <functional>
--- a/src/routing/watch_schedule.cpp
+++ b/src/routing/watch_schedule.cpp
@@ -9,7 +9,7 @@
 using Millis = WatchSchedule::Millis;
 
 // A fleet's discovery gives a call up that has been queued for a second.
-constexpr Millis kSharedHold{2500};
+constexpr Millis kSharedWatch{2500};
 constexpr Millis kSharedAnswer{1200};
 constexpr Millis kSharedConnect{300};
 constexpr std::int64_t kSharedRetryMillisPerPooler = 60;
@@ -36,7 +36,7 @@
 
 WatchSchedule::Timing WatchSchedule::shared(std::size_t poolers) {
     Timing timing;
-    timing.hold = kSharedHold;
+    timing.hold = kSharedWatch;
     timing.slack = kSharedAnswer;
     timing.whole = kSharedAnswer;
     timing.connect = kSharedConnect;
--- a/tests/routing/connection_budget_test.cpp
+++ b/tests/routing/connection_budget_test.cpp
@@ -37,7 +37,7 @@
     CHECK(budget.take_opened() == 0);
 }
 
-TEST_CASE("connection budget: capacity that returns is told where a connection was wanted, once") {
+TEST_CASE("connection budget: capacity that returns is reported where a connection was wanted, once") {
     CountedBudget counted;
     ConnectionBudget& budget = counted.budget;
     CHECK(budget.acquire());
--- a/tests/routing/pool_test.cpp
+++ b/tests/routing/pool_test.cpp
@@ -54,88 +54,115 @@
     }
 };
 
+// One random history of a pool; each step checks what must hold.
+struct RandomHistory : Rig {
+    explicit RandomHistory(Dice& dice) : dice(dice) { pool.set_address("a:1"); }
+
+    void step() {
+        FakeLink* connection = random_open_connection();
+        owner.last.reset();
+        switch (dice.below(8)) {
+            case 0:
+            case 1:
+                submit(++submitted);
+                break;
+            case 2:
+                if (connection && !connection->up) establish(*connection);
+                break;
+            case 3:
+                if (connection && connection->busy) answer_at_random(*connection);
+                break;
+            case 4:
+                if (connection) end(*connection);
+                break;
+            case 5:
+                if (!owner.open.empty()) cancel_any_task();
+                break;
+            case 6:
+                if (!owner.open.empty()) owner.stopped.insert(*owner.open.rbegin());  // it may start no more
+                break;
+            case 7:
+                pool.close_oldest_idle();
+                break;
+        }
+        check_counts();
+    }
+
+    // Every connection is established and answers.
+    void settle() {
+        for (int round = 0; round < 2000 && !owner.open.empty(); ++round)
+            for (std::size_t i = 0; i < backend.links.size(); ++i) {
+                auto connection = backend.links[i];
+                if (connection->closed) continue;
+                if (!connection->up)
+                    establish(*connection);
+                else if (connection->busy)
+                    answer(*connection);
+            }
+    }
+
+  private:
+    FakeLink* random_open_connection() {
+        std::vector<FakeLink*> open;
+        for (auto& connection : backend.links)
+            if (!connection->closed) open.push_back(connection.get());
+        return open.empty() ? nullptr : open[dice.below(open.size())];
+    }
+    static void establish(FakeLink& connection) {
+        connection.up = true;
+        connection.owner->on_ready(connection);
+    }
+    void answer_at_random(FakeLink& connection) {
+        std::size_t open_before = owner.open.size();
+        connection.busy = false;
+        routing::AttemptResult result;
+        result.status = AttemptStatus::ok;
+        result.reusable = dice.below(4) > 0;
+        connection.owner->on_result(connection, result);
+        CHECK(owner.open.size() < open_before);
+    }
+    void end(FakeLink& connection) {
+        std::size_t open_before = owner.open.size();
+        bool was_up = connection.up;
+        bool was_busy = connection.busy;
+        connection.closed = true;
+        connection.owner->on_end(connection, !was_up         ? BackendConnection::End::unreachable
+                                             : dice.below(2) ? BackendConnection::End::unwritten
+                                                             : BackendConnection::End::written);
+        if (was_busy) CHECK((owner.last == AttemptStatus::unreachable || owner.last == AttemptStatus::reset));
+        if (was_up && !was_busy) CHECK(owner.open.size() == open_before);
+    }
+    void cancel_any_task() {
+        std::uint64_t id = *std::next(owner.open.begin(), std::ptrdiff_t(dice.below(owner.open.size())));
+        CHECK(pool.cancel(task(id)) != Pool::Cancelled::unknown);
+        owner.open.erase(id);
+        CHECK(pool.cancel(task(id)) == Pool::Cancelled::unknown);
+        pool.serve_waiting();
+    }
+    void check_counts() {
+        std::size_t open = 0;
+        std::size_t busy = 0;
+        for (auto& connection : backend.links) {
+            open += !connection->closed;
+            busy += !connection->closed && connection->busy;
+        }
+        REQUIRE(pool.connections() == open);
+        REQUIRE(budget.open() == open);
+        REQUIRE(open <= 5);
+        REQUIRE(busy <= owner.open.size());
+    }
+
+    Dice& dice;
+    std::uint64_t submitted = 0;
+};
+
 TEST_CASE("a pool ends each task once, whatever becomes of its connections") {
     Dice dice(21);
     for (int round = 0; round < 200; ++round) {
-        Rig rig;
-        auto& [clock, backend, owner, budget, pool] = rig;
-        pool.set_address("a:1");
-        std::uint64_t next = 0;
-        for (int step = 0; step < 200; ++step) {
-            std::vector<FakeLink*> live;
-            for (auto& l : backend.links)
-                if (!l->closed) live.push_back(l.get());
-            FakeLink* link = live.empty() ? nullptr : live[dice.below(live.size())];
-            owner.last.reset();
-            std::size_t was_open = owner.open.size();
-            switch (dice.below(8)) {
-                case 0:
-                case 1:
-                    rig.submit(++next);
-                    break;
-                case 2:
-                    if (link && !link->up) link->up = true, link->owner->on_ready(*link);
-                    break;
-                case 3:
-                    if (!link || !link->busy) break;
-                    link->busy = false;
-                    {
-                        routing::AttemptResult r;
-                        r.status = AttemptStatus::ok, r.reusable = dice.below(4) > 0;
-                        link->owner->on_result(*link, r);
-                    }
-                    CHECK(owner.open.size() < was_open);
-                    break;
-                case 4: {
-                    if (!link) break;
-                    bool up = link->up, busy = link->busy;
-                    link->closed = true;
-                    link->owner->on_end(*link, !up             ? BackendConnection::End::unreachable
-                                               : dice.below(2) ? BackendConnection::End::unwritten
-                                                               : BackendConnection::End::written);
-                    if (busy)
-                        CHECK(
-                            (owner.last == AttemptStatus::unreachable || owner.last == AttemptStatus::reset));
-                    if (up && !busy) CHECK(owner.open.size() == was_open);
-                    break;
-                }
-                case 5: {
-                    if (owner.open.empty()) break;
-                    std::uint64_t id =
-                        *std::next(owner.open.begin(), std::ptrdiff_t(dice.below(owner.open.size())));
-                    CHECK(pool.cancel(Rig::task(id)) != Pool::Cancelled::unknown);
-                    owner.open.erase(id);
-                    CHECK(pool.cancel(Rig::task(id)) == Pool::Cancelled::unknown);
-                    pool.serve_waiting();
-                    break;
-                }
-                case 6:
-                    if (!owner.open.empty())
-                        owner.stopped.insert(*owner.open.rbegin());  // it may start no more
-                    break;
-                case 7:
-                    pool.close_oldest_idle();
-                    break;
-            }
-            std::size_t count = 0, busy = 0;
-            for (auto& l : backend.links) count += !l->closed, busy += !l->closed && l->busy;
-            REQUIRE(pool.connections() == count);
-            REQUIRE(budget.open() == count);
-            REQUIRE(count <= 5);
-            REQUIRE(busy <= owner.open.size());
-        }
-        // When every connection comes up and answers, nothing is left waiting.
-        for (int i = 0; i < 2000 && !owner.open.empty(); ++i)
-            for (std::size_t n = 0; n < backend.links.size(); ++n) {
-                auto l = backend.links[n];
-                if (l->closed) continue;
-                if (!l->up) {
-                    l->up = true, l->owner->on_ready(*l);
-                } else if (l->busy) {
-                    Rig::answer(*l);
-                }
-            }
-        CHECK(owner.open.empty());
+        RandomHistory history(dice);
+        for (int step = 0; step < 200; ++step) history.step();
+        history.settle();
+        CHECK(history.owner.open.empty());
     }
 }
 
--- a/tests/routing/request_completion_test.cpp
+++ b/tests/routing/request_completion_test.cpp
@@ -90,7 +90,7 @@
     CHECK(rig.logger.last["outcome"] == "failed");
 }
 
-TEST_CASE("completion: a client that leaves is answered no more, and the policy is told") {
+TEST_CASE("completion: a client that leaves is answered no more, and the policy is notified") {
     Rig rig;
     RequestId id = rig.add();
 
--- a/tests/routing/request_guard_test.cpp
+++ b/tests/routing/request_guard_test.cpp
@@ -30,13 +30,13 @@
 }
 
 const RetryRule kUnsafe{Idempotency::not_idempotent, DeduplicationScope::group, 0ms};
-const RetryRule kKeyed{Idempotency::idempotency_key, DeduplicationScope::group, 300ms};
+const RetryRule kWithKey{Idempotency::idempotency_key, DeduplicationScope::group, 300ms};
 const RetryRule kSafe{Idempotency::idempotent, DeduplicationScope::group, 0ms};
 
 }  // namespace
 
 TEST_CASE("guard: a further attempt goes out only where the class allows it") {
-    for (const RetryRule& rule : {kUnsafe, kKeyed, kSafe}) {
+    for (const RetryRule& rule : {kUnsafe, kWithKey, kSafe}) {
         CHECK(!against(rule, {}));
         CHECK(!against(rule, {ended(Execution::never_ran)}, 10s));
         CHECK(against(rule, {Attempt{}}) == Invariant::single_attempt);
@@ -45,8 +45,8 @@
         CHECK(against(kUnsafe, {ended(execution)}) == Invariant::retry_if_idempotent);
         CHECK(against(kUnsafe, {ended(execution), ended(Execution::never_ran)}) ==
               Invariant::retry_if_idempotent);
-        CHECK(!against(kKeyed, {ended(execution)}, 299ms));
-        CHECK(against(kKeyed, {ended(execution)}, 300ms) == Invariant::retry_in_window);
+        CHECK(!against(kWithKey, {ended(execution)}, 299ms));
+        CHECK(against(kWithKey, {ended(execution)}, 300ms) == Invariant::retry_in_window);
         CHECK(!against(kSafe, {ended(execution)}, 10s));
     }
     const RetryRule zoned{Idempotency::idempotency_key, DeduplicationScope::zone, 300ms};
@@ -59,7 +59,7 @@
     for (Execution execution : {Execution::may_have_run, Execution::ran}) {
         std::vector<Attempt> attempts{ended(execution), ended(Execution::never_ran)};
         CHECK(!RequestGuard::is_rejection_harmless(kUnsafe, attempts));
-        CHECK(!RequestGuard::is_rejection_harmless(kKeyed, attempts));
+        CHECK(!RequestGuard::is_rejection_harmless(kWithKey, attempts));
         CHECK(RequestGuard::is_rejection_harmless(anywhere, attempts));
         CHECK(RequestGuard::is_rejection_harmless(kSafe, attempts));
     }
