--- a/src/routing/attempt_dispatcher.cpp
+++ b/src/routing/attempt_dispatcher.cpp
@@ -7,16 +7,6 @@
 
 using policy::AttemptStatus;
 
-namespace {
-constexpr std::int64_t kMicrosPerMilli = 1000;
-
-AttemptResult result_without_answer(AttemptStatus status) {
-    AttemptResult result;
-    result.status = status;
-    return result;
-}
-}  // namespace
-
 BackendTask AttemptDispatcher::make_task(const policy::SendAttempt& send,
                                          const PendingRequest& pending) const {
     BackendTask task;
--- a/src/routing/attempt_outcomes.cpp
+++ b/src/routing/attempt_outcomes.cpp
@@ -9,10 +9,6 @@
 using policy::AttemptStatus;
 using policy::Role;
 
-namespace {
-constexpr std::int64_t kMicrosPerMilli = 1000;
-}  // namespace
-
 void AttemptOutcomes::task_ended(EndpointId endpoint, const BackendTask& task, AttemptResult result) {
     Time now = core_.clock.now();
     policy::LoadReport report = sanitize(result, core_.clock, now);
--- a/src/routing/backend_task.hpp
+++ b/src/routing/backend_task.hpp
@@ -22,4 +22,12 @@
     }
 };
 
+// The result of a task that ended without its host's answer.
+inline AttemptResult result_without_answer(policy::AttemptStatus status) {
+    AttemptResult result;
+    result.status = status;
+    result.reusable = false;
+    return result;
+}
+
 }  // namespace indigovane::routing
--- a/src/routing/core.cpp
+++ b/src/routing/core.cpp
@@ -8,7 +8,6 @@
 
 namespace {
 constexpr Duration kStatisticsInterval = std::chrono::seconds(5);
-constexpr std::int64_t kMicrosPerMilli = 1000;
 
 template <class... Visitors>
 struct Overloaded : Visitors... {
--- a/src/routing/endpoint_overlays.cpp
+++ b/src/routing/endpoint_overlays.cpp
@@ -4,10 +4,6 @@
 
 namespace indigovane::routing {
 
-namespace {
-constexpr std::int64_t kMicrosPerMilli = 1000;
-}  // namespace
-
 std::optional<Time> listed_start(const EndpointInfo& info, const Clock& clock) {
     if (info.boot_unix_ms == 0) return std::nullopt;
     return clock.from_unix(info.boot_unix_ms * kMicrosPerMilli);
--- a/src/routing/pool.cpp
+++ b/src/routing/pool.cpp
@@ -7,13 +7,6 @@
 using policy::AttemptStatus;
 
 namespace {
-AttemptResult result_without_answer(AttemptStatus status) {
-    AttemptResult result;
-    result.status = status;
-    result.reusable = false;
-    return result;
-}
-
 AttemptStatus status_of(BackendConnection::End end) {
     switch (end) {
         case BackendConnection::End::rejected:
--- a/src/routing/response_checks.cpp
+++ b/src/routing/response_checks.cpp
@@ -6,7 +6,6 @@
 constexpr std::int64_t kMaxAheadMicros = 1'000'000;        // a second: clocks differ
 constexpr std::int64_t kMaxBehindMicros = 86'400'000'000;  // a day
 constexpr double kMaxReportedCount = 1e6;
-constexpr std::int64_t kMicrosPerMilli = 1000;
 // Positions are rounded down to milliseconds and commits up: each may be off by one.
 constexpr std::int64_t kRoundingMillis = 2;
 // A staleness bound is a time limit, which a host on a socket counts this much longer.
--- a/src/routing/types.hpp
+++ b/src/routing/types.hpp
@@ -32,6 +32,8 @@
     return kNoClass;
 }
 
+constexpr std::int64_t kMicrosPerMilli = 1000;
+
 // Time is the steady clock's. Positions come as Unix times; one offset, taken when the clock is made,
 // converts them, so that a step of the wall clock moves no position against another.
 class Clock {
