--- /dev/null
+++ b/tests/program/handover_messages_test.cpp
@@ -0,0 +1,187 @@
+// The bytes that two processes of one pooler exchange during an upgrade. They are a protocol between versions
+// of the program: a byte that differs here is a handover that fails between an old version and a new one.
+#include <sys/socket.h>
+
+#include "program/process_handover.hpp"
+#include "support/deployment.hpp"
+
+namespace indigovane::testing {
+namespace {
+
+using program::ProcessHandover;
+using routing::Duration;
+using routing::Time;
+using transport::Channel;
+using transport::Descriptor;
+using namespace std::string_literals;
+
+// The other end of a channel: records what arrives, and whether a descriptor came along.
+struct RecordingPeer : Channel::Handler {
+    void on_message(Channel&, std::string_view message, Descriptor with) override {
+        messages.emplace_back(message);
+        with_descriptor.push_back(bool(with));
+    }
+    void on_closed(Channel&) override { closed = true; }
+    std::vector<std::string> messages;
+    std::vector<bool> with_descriptor;
+    bool closed = false;
+};
+
+Descriptor any_descriptor() {
+    return Descriptor(::socket(AF_UNIX, SOCK_STREAM, 0));
+}
+
+policy::SessionTokens example_tokens() {
+    return {{{policy::SessionKey{0x0102030405060708u}, Time(Duration(0x1112131415161718))},
+             {policy::SessionKey{2}, Time(Duration(3))}},
+            Time(Duration(0x21))};
+}
+
+// A process with a known state, which records what it inherits.
+struct RecordingOwner : ProcessHandover::HandoverOwner {
+    std::vector<std::pair<std::string, int>> listening_sockets() override {
+        return {{"pg", listener.get()}, {"rest", listener.get()}};
+    }
+    policy::SessionTokens tokens() override { return example_tokens(); }
+    std::map<std::string, Time> put_back() override { return {{"m1", Time(Duration(0x31))}}; }
+    void inherit_socket(const std::string& front, Descriptor socket) override {
+        if (socket) events.push_back("socket " + front);
+    }
+    void inherit_tokens(policy::SessionTokens tokens) override {
+        for (auto& [session, at] : tokens.commits)
+            events.push_back("commit " + std::to_string(std::uint64_t(session)) + " " +
+                             std::to_string(at.time_since_epoch().count()));
+        if (tokens.commits.empty())
+            events.push_back("floor " + std::to_string(tokens.floor.time_since_epoch().count()));
+    }
+    void inherit_put_back(const std::string& uid, Time at) override {
+        events.push_back("readmitted " + uid + " " + std::to_string(at.time_since_epoch().count()));
+    }
+    void inherit_client(const std::string& front, routing::ClientHandover handover) override {
+        Descriptor socket(handover.socket);
+        events.push_back("client " + front + " " + handover.state + " " + handover.read + " " +
+                         handover.note + (socket ? " open" : " closed"));
+    }
+    void on_company() override {}
+    void on_successor_ready() override { events.push_back("ready"); }
+
+    Descriptor listener = any_descriptor();
+    std::vector<std::string> events;
+};
+
+TEST_CASE("a predecessor's messages have fixed bytes") {
+    Loop loop;
+    Folder folder;
+    RecordingOwner owner;
+    ProcessHandover predecessor(loop.io, folder.path, "n1", owner);
+    predecessor.announce();
+    RecordingPeer peer;
+    auto successor = Channel::connect(loop.io, folder.path, "n1.peer", peer);
+    REQUIRE(successor);
+    successor->start();
+    successor->send("H\1\0\0\0"s);
+    REQUIRE(loop.until([&] { return peer.messages.size() == 6; }));
+    CHECK(peer.messages[0] == "Apg");
+    CHECK(peer.messages[1] == "Arest");
+    CHECK(
+        peer.messages[2] ==
+        "T\x08\x07\x06\x05\x04\x03\x02\x01\x18\x17\x16\x15\x14\x13\x12\x11\2\0\0\0\0\0\0\0\3\0\0\0\0\0\0\0"s);
+    CHECK(peer.messages[3] == "F\x21\0\0\0\0\0\0\0"s);
+    CHECK(peer.messages[4] == "P\x31\0\0\0\0\0\0\0m1"s);
+    CHECK(peer.messages[5] == "E");
+    CHECK(peer.with_descriptor == std::vector<bool>{true, true, false, false, false, false});
+
+    predecessor.commit(5, Time(Duration(6)));
+    successor->send("R");
+    REQUIRE(loop.until([&] { return predecessor.successor_ready(); }));
+    CHECK(owner.events == std::vector<std::string>{"ready"});
+    routing::ClientHandover client;
+    client.state = 's';
+    client.read = "half";
+    client.note = "n\0te"s;
+    client.socket = any_descriptor().release();
+    predecessor.give("pg", std::move(client));
+    routing::ClientHandover without_note;
+    without_note.state = 'i';
+    without_note.socket = any_descriptor().release();
+    predecessor.give("rest", std::move(without_note));
+    REQUIRE(loop.until([&] { return peer.messages.size() == 10; }));
+    CHECK(peer.messages[6] == "T\5\0\0\0\0\0\0\0\6\0\0\0\0\0\0\0"s);
+    CHECK(peer.messages[7] == "Nn\0te"s);
+    CHECK(peer.messages[8] == "C\2pgshalf");
+    CHECK(peer.messages[9] == "C\4resti");
+    CHECK(peer.with_descriptor[7] == false);
+    CHECK(peer.with_descriptor[8] == true);
+    CHECK(peer.with_descriptor[9] == true);
+}
+
+TEST_CASE("a successor's messages have fixed bytes, and it understands those of its predecessor") {
+    Loop loop;
+    Folder folder;
+    RecordingOwner owner;
+    RecordingPeer peer;
+    std::shared_ptr<Channel> predecessor;
+    transport::ChannelListener listener(loop.io, folder.path, "n1.peer", [&](Descriptor socket) {
+        predecessor = std::make_shared<Channel>(loop.io, std::move(socket), peer);
+        predecessor->start();
+    });
+    ProcessHandover successor(loop.io, folder.path, "n1", owner, 20s);
+    REQUIRE(successor.ask());
+    REQUIRE(loop.until([&] { return peer.messages.size() == 1; }));
+    CHECK(peer.messages[0] == "H\1\0\0\0"s);
+    predecessor->send("Apg", any_descriptor());
+    predecessor->send("T\7\0\0\0\0\0\0\0\3\0\0\0\0\0\0\0"s);
+    predecessor->send("F\x21\0\0\0\0\0\0\0"s);
+    predecessor->send("P\x31\0\0\0\0\0\0\0m1"s);
+    predecessor->send("?a type of a later version");
+    predecessor->send("F\1"s);  // cut short
+    CHECK(successor.inheriting());
+    predecessor->send("E");
+    REQUIRE(loop.until([&] { return !successor.inheriting(); }));
+    predecessor->send("Arest", any_descriptor());  // too late: its state is complete
+    predecessor->send("Nnote");
+    predecessor->send("C\2pgshalf", any_descriptor());
+    predecessor->send("C\4resti", any_descriptor());
+    predecessor->send("C\x09pgs", any_descriptor());  // the name is cut short
+    predecessor->send("C\2pgs");                      // the connection is missing
+    predecessor->send("F\x22\0\0\0\0\0\0\0"s);
+    REQUIRE(loop.until([&] { return !owner.events.empty() && owner.events.back() == "floor 34"; }));
+    CHECK(owner.events == std::vector<std::string>{"socket pg", "commit 7 3", "floor 33", "readmitted m1 49",
+                                                   "client pg s half note open", "client rest i   open",
+                                                   "floor 34"});
+    successor.commit(5, Time(Duration(6)));
+    successor.announce();
+    REQUIRE(loop.until([&] { return peer.messages.size() == 3; }));
+    CHECK(peer.messages[1] == "T\5\0\0\0\0\0\0\0\6\0\0\0\0\0\0\0"s);
+    CHECK(peer.messages[2] == "R");
+}
+
+TEST_CASE("tokens are sent in messages of 1000, and what a successor has written is inherited") {
+    Loop loop;
+    Folder folder;
+    struct : RecordingOwner {
+        policy::SessionTokens tokens() override {
+            policy::SessionTokens many;
+            for (std::uint64_t i = 1; i <= 1001; ++i)
+                many.commits.emplace_back(policy::SessionKey{i}, Time(Duration(1)));
+            return many;
+        }
+    } owner;
+    ProcessHandover middle(loop.io, folder.path, "n1", owner);
+    middle.announce();
+    RecordingPeer peer;
+    auto successor = Channel::connect(loop.io, folder.path, "n1.peer", peer);
+    REQUIRE(successor);
+    successor->start();
+    successor->send("H\1\0\0\0"s);
+    REQUIRE(loop.until([&] { return peer.messages.size() == 7; }));
+    CHECK(peer.messages[2].size() == 1 + 1000 * 16);
+    CHECK(peer.messages[3] == "T\xe9\3\0\0\0\0\0\0\1\0\0\0\0\0\0\0"s);
+    // What a successor has written is inherited by its predecessor.
+    successor->send("T\x08\0\0\0\0\0\0\0\x09\0\0\0\0\0\0\0"s);
+    REQUIRE(loop.until([&] { return !owner.events.empty(); }));
+    CHECK(owner.events == std::vector<std::string>{"commit 8 9"});
+}
+
+}  // namespace
+}  // namespace indigovane::testing
