--- a/src/program/lifecycle.cpp
+++ b/src/program/lifecycle.cpp
@@ -175,10 +175,10 @@
     }
     core_->on_commit([this](std::uint64_t session, Time commit) {
         if (persistent_state_) persistent_state_->commit(session, commit);
-        process_handover_.commit(session, commit);
+        process_handover_.send_commit(session, commit);
     });
     started_ = clock_.now();
-    if (process_handover_.ask())
+    if (process_handover_.request_state())
         enter(Phase::inheriting);
     else
         open_fronts();
@@ -323,7 +323,7 @@
 // Two processes of one pooler have together what one may have in flight.
 limits::Settings Lifecycle::shared_limits() const {
     limits::Settings limits = config_.statements->limits;
-    if (process_handover_.company()) limits.work /= 2;
+    if (process_handover_.another_process()) limits.work /= 2;
     return limits;
 }
 
@@ -539,8 +539,8 @@
 }
 
 // Two processes count as one pooler: each has half of what it may hold while there are two.
-void Lifecycle::on_company() {
-    std::size_t parts = process_handover_.company() ? 2 : 1;
+void Lifecycle::on_process_change() {
+    std::size_t parts = process_handover_.another_process() ? 2 : 1;
     core_->limit(limits_.links / parts, limits_.bytes / parts);
     if (limited_) limited_->set(shared_limits());
     log_.log(Level::notice, "handover",
@@ -563,7 +563,7 @@
 void Lifecycle::hand_over() {
     for (auto& front : fronts_)
         handed_ +=
-            front->hand_over([&](ClientHandover p) { process_handover_.give(front->name(), std::move(p)); });
+            front->hand_over([&](ClientHandover p) { process_handover_.send_client(front->name(), std::move(p)); });
     check_drained();
     if (phase_ == Phase::stopped)
         log_.log(Level::notice, "handover", "clients' connections went to the other process",
--- a/src/program/lifecycle.hpp
+++ b/src/program/lifecycle.hpp
@@ -70,15 +70,15 @@
 
     std::vector<std::pair<std::string, int>> listening_sockets() override;
     policy::SessionTokens tokens() override { return core_->tokens(); }
-    std::map<std::string, Time> put_back() override { return core_->put_back(); }
+    std::map<std::string, Time> readmissions() override { return core_->put_back(); }
     void inherit_socket(const std::string& front, transport::Descriptor socket) override;
     void inherit_tokens(policy::SessionTokens tokens) override {
         if (persistent_state_) persistent_state_->inherit(tokens);
         core_->take_over(std::move(tokens));
     }
-    void inherit_put_back(const std::string& uid, Time at) override { core_->take_over_put_back(uid, at); }
+    void inherit_readmission(const std::string& uid, Time at) override { core_->take_over_put_back(uid, at); }
     void inherit_client(const std::string& front, routing::ClientHandover handover) override;
-    void on_company() override;
+    void on_process_change() override;
     void on_successor_ready() override;
 
     Reply check() override;
--- a/src/program/process_handover.cpp
+++ b/src/program/process_handover.cpp
@@ -2,70 +2,68 @@
 
 #include <unistd.h>
 
-#include <cstring>
+#include <algorithm>
 
 namespace indigovane::program {
 
 using policy::SessionKey;
 using policy::SessionTokens;
 using routing::ClientHandover;
-using routing::Duration;
 using routing::Time;
 using transport::Channel;
 using transport::Descriptor;
 
 namespace {
+// Keeps a message well below Channel::kMessageMost.
+constexpr std::size_t kCommitsPerMessage = 1000;
+}  // namespace
+
+// What a predecessor may send; other types are ignored.
+struct ProcessHandover::PredecessorMessage {
+    ProcessHandover& handover;
+    Descriptor descriptor;
 
-// A message is a type and what belongs to it, in this machine's order of bytes: it never leaves the machine.
-// Types that are not known are passed over, so that versions may differ in what they tell.
-enum Type : char {
-    hello = 'H',     // heir: the version of these messages
-    socket_ = 'A',   // elder: a front's name, with its listening socket
-    tokens = 'T',    // either: sessions and their commits
-    floor_ = 'F',    // elder: what sessions without one must see
-    put_back = 'P',  // elder: a uid and when
-    whole = 'E',     // elder: that was all
-    ready = 'R',     // heir: it serves
-    note = 'N',      // elder: of the next connection, what its front knows beside that
-    client = 'C',    // elder: a front's name, its wire's state, what was read, with the connection
+    void operator()(handover::ListeningSocket& socket) {
+        if (descriptor && handover.inheriting())
+            handover.handover_owner_.inherit_socket(socket.front, std::move(descriptor));
+    }
+    void operator()(handover::CommitFloor& floor) { handover.handover_owner_.inherit_tokens({{}, floor.at}); }
+    void operator()(handover::Readmission& readmission) {
+        handover.handover_owner_.inherit_readmission(readmission.uid, readmission.at);
+    }
+    void operator()(handover::StateComplete&) {
+        if (handover.inheriting()) handover.predecessor_state_ = State::sharing;
+        handover.timer_.cancel();
+    }
+    void operator()(handover::ClientNote& note) { handover.client_note_ = std::move(note.note); }
+    void operator()(handover::Client& client) {
+        handover.receive_client(std::move(client), std::move(descriptor));
+    }
+    template <typename Other>
+    void operator()(Other&) {}
 };
-constexpr std::uint32_t kVersion = 1;
-constexpr std::size_t kTokensInOne = 1000;
 
-template <typename T>
-void put(std::string& out, T value) {
-    out.append(reinterpret_cast<const char*>(&value), sizeof value);
-}
-template <typename T>
-bool get(std::string_view& in, T& value) {
-    if (in.size() < sizeof value) return false;
-    std::memcpy(&value, in.data(), sizeof value);
-    in.remove_prefix(sizeof value);
-    return true;
-}
-// The steady clock is one for all processes of a machine.
-std::int64_t count(Time t) {
-    return t.time_since_epoch().count();
-}
+// What a successor may send; other types are ignored.
+struct ProcessHandover::SuccessorMessage {
+    ProcessHandover& handover;
 
-std::string write(const SessionTokens& t, std::size_t from, std::size_t to) {
-    std::string out(1, Type::tokens);
-    for (std::size_t i = from; i < to; ++i) {
-        put(out, std::uint64_t(t.commits[i].first));
-        put(out, count(t.commits[i].second));
+    void operator()(handover::Hello& hello) { handover.receive_hello(hello); }
+    void operator()(handover::Serving&) {
+        if (handover.successor_state_ != State::sharing) return;
+        handover.successor_state_ = State::ready;
+        handover.handover_owner_.on_successor_ready();
     }
-    return out;
-}
-
-}  // namespace
+    template <typename Other>
+    void operator()(Other&) {}
+};
 
 ProcessHandover::ProcessHandover(boost::asio::io_context& io, std::string folder, std::string name,
-                                 HandoverOwner& handover_owner, std::chrono::milliseconds client_timeout)
+                                 HandoverOwner& handover_owner, std::chrono::milliseconds state_timeout)
     : io_(io),
       folder_(std::move(folder)),
       name_(name + ".peer"),
       handover_owner_(handover_owner),
-      patience_(client_timeout),
+      state_timeout_(state_timeout),
       timer_(io) {}
 
 ProcessHandover::~ProcessHandover() {
@@ -73,140 +71,113 @@
     if (successor_) successor_->close();
 }
 
-bool ProcessHandover::ask() {
+bool ProcessHandover::request_state() {
     if (!folder_.empty()) predecessor_ = Channel::connect(io_, folder_, name_, *this);
     if (!predecessor_) return false;
     predecessor_state_ = State::inheriting;
     predecessor_->start();
-    std::string message(1, Type::hello);
-    put(message, kVersion);
-    predecessor_->send(std::move(message));
-    timer_.expires_after(patience_);
-    timer_.async_wait([this](const boost::system::error_code& ec) {
-        // Guards the start against an elder that hangs, or that is no such program.
-        if (!ec && inheriting()) on_closed(*predecessor_);
+    predecessor_->send(encode(handover::Hello{handover::kVersion}));
+    timer_.expires_after(state_timeout_);
+    timer_.async_wait([this](const boost::system::error_code& error) {
+        // Guards the start against a predecessor that hangs, or that is no such program.
+        if (!error && inheriting()) on_closed(*predecessor_);
     });
-    handover_owner_.on_company();
+    handover_owner_.on_process_change();
     return true;
 }
 
 void ProcessHandover::announce() {
-    if (predecessor_) predecessor_->send(std::string(1, Type::ready));
+    if (predecessor_) predecessor_->send(encode(handover::Serving{}));
     if (folder_.empty()) return;
     listener_ = std::make_unique<transport::ChannelListener>(
-        io_, folder_, name_, [this](Descriptor socket) { take_successor(std::move(socket)); });
+        io_, folder_, name_, [this](Descriptor socket) { accept_successor(std::move(socket)); });
 }
 
-void ProcessHandover::take_successor(Descriptor socket) {
-    if (successor_) on_closed(*successor_);  // the newest counts
+// A newer successor takes the place of the one before.
+void ProcessHandover::accept_successor(Descriptor socket) {
+    if (successor_) on_closed(*successor_);
     successor_ = std::make_shared<Channel>(io_, std::move(socket), static_cast<Channel::Handler&>(*this));
     successor_state_ = State::waiting;
     successor_->start();
 }
 
-void ProcessHandover::hand_state_over() {
+void ProcessHandover::send_state() {
     for (auto& [front, socket] : handover_owner_.listening_sockets())
-        successor_->send(std::string(1, Type::socket_) + front, Descriptor(::dup(socket)));
-    SessionTokens all = handover_owner_.tokens();
-    for (std::size_t i = 0; i < all.commits.size(); i += kTokensInOne)
-        successor_->send(write(all, i, std::min(all.commits.size(), i + kTokensInOne)));
-    std::string floor(1, Type::floor_);
-    put(floor, count(all.floor));
-    successor_->send(std::move(floor));
-    for (auto& [uid, at] : handover_owner_.put_back()) {
-        std::string message(1, Type::put_back);
-        put(message, count(at));
-        successor_->send(message + uid);
-    }
-    successor_->send(std::string(1, Type::whole));
+        successor_->send(encode(handover::ListeningSocket{front}), Descriptor(::dup(socket)));
+    send_tokens(handover_owner_.tokens());
+    for (auto& [uid, at] : handover_owner_.readmissions())
+        successor_->send(encode(handover::Readmission{uid, at}));
+    successor_->send(encode(handover::StateComplete{}));
     successor_state_ = State::sharing;
-    handover_owner_.on_company();
+    handover_owner_.on_process_change();
+}
+
+void ProcessHandover::send_tokens(const SessionTokens& tokens) {
+    for (std::size_t from = 0; from < tokens.commits.size(); from += kCommitsPerMessage) {
+        std::size_t to = std::min(tokens.commits.size(), from + kCommitsPerMessage);
+        handover::Commits part;
+        for (std::size_t i = from; i < to; ++i) part.commits.emplace_back(tokens.commits[i]);
+        successor_->send(encode(part));
+    }
+    successor_->send(encode(handover::CommitFloor{tokens.floor}));
 }
 
-void ProcessHandover::commit(std::uint64_t session, Time at) {
+void ProcessHandover::send_commit(std::uint64_t session, Time at) {
     if (!predecessor_ && successor_state_ != State::sharing && successor_state_ != State::ready) return;
-    std::string message = write({{{SessionKey{session}, at}}, {}}, 0, 1);
+    std::string message = encode(handover::Commits{{{SessionKey{session}, at}}});
     if (predecessor_) predecessor_->send(message);
     if (successor_state_ != State::waiting && successor_) successor_->send(message);
 }
 
-void ProcessHandover::give(const std::string& front, ClientHandover handover) {
-    Descriptor socket(handover.socket);
+void ProcessHandover::send_client(const std::string& front, ClientHandover client) {
+    Descriptor socket(client.socket);
     if (!successor_ready()) return;
-    if (!handover.note.empty()) successor_->send(std::string(1, Type::note) + handover.note);
-    std::string message(1, Type::client);
-    put(message, std::uint8_t(front.size()));
-    message += front;
-    message += handover.state;
-    successor_->send(message + handover.read, std::move(socket));
+    if (!client.note.empty()) successor_->send(encode(handover::ClientNote{client.note}));
+    successor_->send(encode(handover::Client{front, client.state, client.read}), std::move(socket));
 }
 
-void ProcessHandover::on_message(Channel& channel, std::string_view message, Descriptor with) {
-    char type = message[0];
-    std::string_view body = message.substr(1);
-    if (type == Type::tokens) {
-        SessionTokens told;
-        std::uint64_t session = 0;
-        std::int64_t commit = 0;
-        while (get(body, session) && get(body, commit))
-            told.commits.push_back({SessionKey{session}, Time(Duration(commit))});
-        handover_owner_.inherit_tokens(std::move(told));
-        Channel* other = &channel == predecessor_.get() ? successor_.get() : predecessor_.get();
-        if (other && successor_state_ != State::waiting) other->send(std::string(message));
-    } else if (&channel == predecessor_.get()) {
-        from_predecessor(type, body, std::move(with));
-    } else {
-        from_successor(type, body);
-    }
+void ProcessHandover::on_message(Channel& channel, std::string_view bytes, Descriptor descriptor) {
+    std::optional<handover::Message> message = handover::decode(bytes);
+    if (!message) return;
+    if (auto* commits = std::get_if<handover::Commits>(&*message))
+        receive_commits(channel, bytes, *commits);
+    else if (&channel == predecessor_.get())
+        std::visit(PredecessorMessage{*this, std::move(descriptor)}, *message);
+    else
+        std::visit(SuccessorMessage{*this}, *message);
 }
 
-void ProcessHandover::from_predecessor(char type, std::string_view body, Descriptor with) {
-    std::int64_t at = 0;
-    std::uint8_t length = 0;
-    switch (type) {
-        case Type::socket_:
-            if (with && inheriting()) handover_owner_.inherit_socket(std::string(body), std::move(with));
-            return;
-        case Type::floor_:
-            if (get(body, at)) handover_owner_.inherit_tokens({{}, Time(Duration(at))});
-            return;
-        case Type::put_back:
-            if (get(body, at)) handover_owner_.inherit_put_back(std::string(body), Time(Duration(at)));
-            return;
-        case Type::whole:
-            if (inheriting()) predecessor_state_ = State::sharing;
-            timer_.cancel();
-            return;
-        case Type::note:
-            note_ = body;
-            return;
-        case Type::client: {
-            std::string note = std::exchange(note_, {});
-            if (!get(body, length) || body.size() < length + std::size_t(1) || !with) return;
-            ClientHandover handover;
-            std::string front(body.substr(0, length));
-            handover.state = body[length];
-            handover.read = body.substr(length + std::size_t(1));
-            handover.socket = with.release();
-            handover.note = std::move(note);
-            handover_owner_.inherit_client(front, std::move(handover));
-            return;
-        }
-    }
+// From either side; the other side learns of them as well.
+void ProcessHandover::receive_commits(Channel& channel, std::string_view bytes,
+                                      const handover::Commits& commits) {
+    SessionTokens tokens;
+    for (const auto& commit : commits.commits) tokens.commits.push_back(commit);
+    handover_owner_.inherit_tokens(std::move(tokens));
+    Channel* other = &channel == predecessor_.get() ? successor_.get() : predecessor_.get();
+    if (other && successor_state_ != State::waiting) other->send(std::string(bytes));
 }
 
-void ProcessHandover::from_successor(char type, std::string_view body) {
-    std::uint32_t version = 0;
-    if (type == Type::hello && successor_state_ == State::waiting) {
-        if (get(body, version) && version == kVersion) return hand_state_over();
-        on_closed(*successor_);  // it starts as if there were nobody
-    } else if (type == Type::ready && successor_state_ == State::sharing) {
-        successor_state_ = State::ready;
-        handover_owner_.on_successor_ready();
-    }
+void ProcessHandover::receive_hello(const handover::Hello& hello) {
+    if (successor_state_ != State::waiting) return;
+    if (hello.version == handover::kVersion)
+        send_state();
+    else
+        on_closed(*successor_);  // it starts as if there were no predecessor
+}
+
+void ProcessHandover::receive_client(handover::Client client, Descriptor socket) {
+    std::string note = std::exchange(client_note_, {});
+    if (client.front.empty() || !socket) return;
+    ClientHandover inherited;
+    inherited.state = client.state;
+    inherited.read = std::move(client.read);
+    inherited.socket = socket.release();
+    inherited.note = std::move(note);
+    handover_owner_.inherit_client(client.front, std::move(inherited));
 }
 
-// By the other side, or given up here. An heir without its elder's state has to do without.
+// Closed by the other side, or given up here. A successor whose predecessor has not sent its whole state goes
+// on with what it has.
 void ProcessHandover::on_closed(Channel& channel) {
     channel.close();
     if (&channel == predecessor_.get()) {
@@ -217,7 +188,7 @@
         successor_.reset();
         successor_state_ = State::none;
     }
-    handover_owner_.on_company();
+    handover_owner_.on_process_change();
 }
 
 }  // namespace indigovane::program
--- a/tests/program/handover_messages_test.cpp
+++ b/tests/program/handover_messages_test.cpp
@@ -43,7 +43,7 @@
         return {{"pg", listener.get()}, {"rest", listener.get()}};
     }
     policy::SessionTokens tokens() override { return example_tokens(); }
-    std::map<std::string, Time> put_back() override { return {{"m1", Time(Duration(0x31))}}; }
+    std::map<std::string, Time> readmissions() override { return {{"m1", Time(Duration(0x31))}}; }
     void inherit_socket(const std::string& front, Descriptor socket) override {
         if (socket) events.push_back("socket " + front);
     }
@@ -54,7 +54,7 @@
         if (tokens.commits.empty())
             events.push_back("floor " + std::to_string(tokens.floor.time_since_epoch().count()));
     }
-    void inherit_put_back(const std::string& uid, Time at) override {
+    void inherit_readmission(const std::string& uid, Time at) override {
         events.push_back("readmitted " + uid + " " + std::to_string(at.time_since_epoch().count()));
     }
     void inherit_client(const std::string& front, routing::ClientHandover handover) override {
@@ -62,7 +62,7 @@
         events.push_back("client " + front + " " + handover.state + " " + handover.read + " " +
                          handover.note + (socket ? " open" : " closed"));
     }
-    void on_company() override {}
+    void on_process_change() override {}
     void on_successor_ready() override { events.push_back("ready"); }
 
     Descriptor listener = any_descriptor();
@@ -91,7 +91,7 @@
     CHECK(peer.messages[5] == "E");
     CHECK(peer.with_descriptor == std::vector<bool>{true, true, false, false, false, false});
 
-    predecessor.commit(5, Time(Duration(6)));
+    predecessor.send_commit(5, Time(Duration(6)));
     successor->send("R");
     REQUIRE(loop.until([&] { return predecessor.successor_ready(); }));
     CHECK(owner.events == std::vector<std::string>{"ready"});
@@ -100,11 +100,11 @@
     client.read = "half";
     client.note = "n\0te"s;
     client.socket = any_descriptor().release();
-    predecessor.give("pg", std::move(client));
+    predecessor.send_client("pg", std::move(client));
     routing::ClientHandover without_note;
     without_note.state = 'i';
     without_note.socket = any_descriptor().release();
-    predecessor.give("rest", std::move(without_note));
+    predecessor.send_client("rest", std::move(without_note));
     REQUIRE(loop.until([&] { return peer.messages.size() == 10; }));
     CHECK(peer.messages[6] == "T\5\0\0\0\0\0\0\0\6\0\0\0\0\0\0\0"s);
     CHECK(peer.messages[7] == "Nn\0te"s);
@@ -126,7 +126,7 @@
         predecessor->start();
     });
     ProcessHandover successor(loop.io, folder.path, "n1", owner, 20s);
-    REQUIRE(successor.ask());
+    REQUIRE(successor.request_state());
     REQUIRE(loop.until([&] { return peer.messages.size() == 1; }));
     CHECK(peer.messages[0] == "H\1\0\0\0"s);
     predecessor->send("Apg", any_descriptor());
@@ -149,7 +149,7 @@
     CHECK(owner.events == std::vector<std::string>{"socket pg", "commit 7 3", "floor 33", "readmitted m1 49",
                                                    "client pg s half note open", "client rest i   open",
                                                    "floor 34"});
-    successor.commit(5, Time(Duration(6)));
+    successor.send_commit(5, Time(Duration(6)));
     successor.announce();
     REQUIRE(loop.until([&] { return peer.messages.size() == 3; }));
     CHECK(peer.messages[1] == "T\5\0\0\0\0\0\0\0\6\0\0\0\0\0\0\0"s);
--- a/tests/program/upgrade_test.cpp
+++ b/tests/program/upgrade_test.cpp
@@ -1,5 +1,5 @@
-// Two processes of one pooler, in one loop: channels between them, what the heir is given, and what becomes
-// of clients.
+// Two processes of one pooler, in one loop: channels between them, what the successor is given, and what
+// becomes of clients.
 #include <sys/socket.h>
 
 #include "program/process_handover.hpp"
@@ -83,11 +83,12 @@
             std::chrono::milliseconds client_timeout = 20s)
         : d(deployment),
           core(d.loop.io, d.clock, settings(), 9, limits(), d.backend, d.logger),
-          succession(d.loop.io, folder, "n1", *this, client_timeout) {
+          handover(d.loop.io, folder, "n1", *this, client_timeout) {
         core.list(EndpointListKind::full,
                   {d.endpoint(0, EndpointState::ready), d.endpoint(1, EndpointState::ready),
                    d.endpoint(2, EndpointState::ready)});
-        core.on_commit([this](std::uint64_t session, routing::Time at) { succession.commit(session, at); });
+        core.on_commit(
+            [this](std::uint64_t session, routing::Time at) { handover.send_commit(session, at); });
     }
     // Who was put back when is kept as long as members that left are. The rig's usual 0 s forgets it at the
     // next sweep, 10 ms later: whether both processes still knew it hung on the machine's speed.
@@ -101,25 +102,25 @@
             d.loop.io, transport::ListenAt(loopback(), true, inherited.release()), 64, d.known,
             adapters::PgOptions{}, core, d.logger);
         front->start();
-        succession.announce();
+        handover.announce();
     }
     std::vector<std::pair<std::string, int>> listening_sockets() override {
         return {{"pg", front->listening_socket()}};
     }
     policy::SessionTokens tokens() override { return core.tokens(); }
-    std::map<std::string, routing::Time> put_back() override { return core.put_back(); }
+    std::map<std::string, routing::Time> readmissions() override { return core.put_back(); }
     void inherit_socket(const std::string& name, Descriptor socket) override {
         CHECK(name == "pg");
         inherited = std::move(socket);
     }
     void inherit_tokens(policy::SessionTokens tokens) override { core.take_over(std::move(tokens)); }
-    void inherit_put_back(const std::string& uid, routing::Time at) override {
+    void inherit_readmission(const std::string& uid, routing::Time at) override {
         core.take_over_put_back(uid, at);
     }
     void inherit_client(const std::string&, routing::ClientHandover p) override {
         front->take_over(std::move(p));
     }
-    void on_company() override {}
+    void on_process_change() override {}
     void on_successor_ready() override { ++ready; }
     bool knows(const std::string& session) {
         for (auto& [key, at] : core.tokens().commits)
@@ -132,7 +133,7 @@
     std::unique_ptr<adapters::PgFront> front;
     Descriptor inherited;
     int ready = 0;
-    ProcessHandover succession;
+    ProcessHandover handover;
 };
 
 std::string write_to(const std::string& session) {
@@ -151,7 +152,7 @@
         .take();
 }
 
-TEST_CASE("the heir has the listener, the positions and the clients; what is under way goes on") {
+TEST_CASE("the successor has the listener, the positions and the clients; what is under way goes on") {
     Dice dice(8);
     for (int round = 0; round < 12; ++round) {
         PgDeployment d;
@@ -159,7 +160,7 @@
         Folder folder;
         Process predecessor(d, folder.path), successor(d, folder.path);
         d.loop.batch = [&] { predecessor.core.run_batch(), successor.core.run_batch(); };
-        CHECK(!predecessor.succession.ask());  // there is nobody
+        CHECK(!predecessor.handover.request_state());  // there is nobody
         predecessor.serve();
         Client client(d.loop, predecessor.front->local());
         client.send(pg::Writer().startup("u", "d").take());
@@ -168,16 +169,16 @@
         CHECK(client.reply() == "TDCZ");
         predecessor.core.set_excluded({"m1"});
         predecessor.core.set_excluded({});
-        REQUIRE(successor.succession.ask());
-        REQUIRE(d.loop.until([&] { return !successor.succession.inheriting(); }));
+        REQUIRE(successor.handover.request_state());
+        REQUIRE(d.loop.until([&] { return !successor.handover.inheriting(); }));
         CHECK(successor.inherited);
         REQUIRE(d.loop.until([&] { return successor.knows("a1"); }));
         CHECK(successor.core.put_back() == predecessor.core.put_back());
-        CHECK(!predecessor.succession.successor_ready());
+        CHECK(!predecessor.handover.successor_ready());
         successor.serve();
         REQUIRE(d.loop.until([&] { return predecessor.ready == 1; }));
         CHECK(successor.front->local() == predecessor.front->local());
-        CHECK(successor.succession.company());
+        CHECK(successor.handover.another_process());
         client.send(write_to("a2"));  // as they come
         CHECK(client.reply() == "TDCZ");
         REQUIRE(d.loop.until([&] { return successor.knows("a2"); }));
@@ -201,7 +202,7 @@
         predecessor.front->stop_accepting();
         auto hand = [&] {
             return predecessor.front->hand_over(
-                [&](auto p) { predecessor.succession.give("pg", std::move(p)); });
+                [&](auto p) { predecessor.handover.send_client("pg", std::move(p)); });
         };
         hand();
         d.loop.settle();
@@ -217,16 +218,16 @@
         CHECK(client.value == "1");
         hand();
         CHECK(predecessor.front->connections() == 0);
-        REQUIRE(d.loop.until([&] { return predecessor.succession.all_sent(); }));
+        REQUIRE(d.loop.until([&] { return predecessor.handover.all_sent(); }));
         late.send(startup.substr(cut));
         CHECK(late.reply() == "RZ");
-        client.send(write_to("a3"));  // on the same connection, at the heir; the elder hears of it
+        client.send(write_to("a3"));  // on the same connection, at the successor; the predecessor hears of it
         CHECK(client.reply() == "TDCZ");
         REQUIRE(d.loop.until([&] { return predecessor.knows("a3"); }));
         Client fresh(d.loop, successor.front->local());
         fresh.send(pg::Writer().startup("u", "d").take());
         CHECK(fresh.reply() == "RZ");
-        // What was written through the elder binds reads at the heir: a lagging replica won't do.
+        // What was written through the predecessor binds reads at the successor: a lagging replica won't do.
         for (int i : {1, 2}) d.hosts[i].lag_ms = 60000, d.hosts[i].checks = true;
         int before = d.hosts[0].queries;
         fresh.send(read_of("a1"));
@@ -236,25 +237,25 @@
     }
 }
 
-TEST_CASE("an elder that is absent, silent, dead or half done: the heir goes on alone") {
+TEST_CASE("a predecessor that is absent, silent, dead or half done: the successor goes on alone") {
     PgDeployment d;
     Folder folder;
     Process alone(d, "");
-    CHECK(!alone.succession.ask());
+    CHECK(!alone.handover.request_state());
     alone.serve();
-    CHECK(!alone.succession.company());
+    CHECK(!alone.handover.another_process());
     for (bool answers : {false, true}) {
-        std::vector<Descriptor> taken;  // an elder that says nothing, or not all
+        std::vector<Descriptor> taken;  // a predecessor that says nothing, or not all
         transport::ChannelListener listener(d.loop.io, folder.path, "n1.peer", [&](Descriptor socket) {
             taken.push_back(std::move(socket));
             if (answers) CHECK(::send(taken.back().get(), "F12345678", 9, 0) == 9);
             if (answers) taken.clear();
         });
         Process successor(d, folder.path, 5ms);
-        REQUIRE(successor.succession.ask());
-        REQUIRE(d.loop.until([&] { return !successor.succession.inheriting(); }));
+        REQUIRE(successor.handover.request_state());
+        REQUIRE(d.loop.until([&] { return !successor.handover.inheriting(); }));
         CHECK(!successor.inherited);
-        CHECK(!successor.succession.company());
+        CHECK(!successor.handover.another_process());
         successor.serve();
         Client client(d.loop, successor.front->local());
         client.send(pg::Writer().startup("u", "d").take());
@@ -262,7 +263,7 @@
     }
 }
 
-TEST_CASE("an heir that dies, or speaks another version, leaves the elder as it was") {
+TEST_CASE("a successor that dies, or speaks another version, leaves the predecessor as it was") {
     PgDeployment d;
     Folder folder;
     Process predecessor(d, folder.path);
@@ -275,10 +276,10 @@
         successor->start();
         successor->send(hello);
         d.loop.settle();
-        CHECK(predecessor.succession.company() == (hello[1] == '\1'));
-        CHECK(!predecessor.succession.successor_ready());
+        CHECK(predecessor.handover.another_process() == (hello[1] == '\1'));
+        CHECK(!predecessor.handover.successor_ready());
         successor->close();
-        REQUIRE(d.loop.until([&] { return !predecessor.succession.company(); }));
+        REQUIRE(d.loop.until([&] { return !predecessor.handover.another_process(); }));
     }
     Client client(d.loop, predecessor.front->local());
     client.send(pg::Writer().startup("u", "d").take());
