--- /dev/null
+++ b/src/program/endpoint_list_text.hpp
@@ -0,0 +1,16 @@
+// The endpoint list as it is stored for the next process: JSON in the discovery service's form, so that
+// routing::read_endpoint_listing() reads it back.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "routing/core.hpp"
+
+namespace indigovane::program {
+
+// Endpoints whose zone is not one of `zones` are written without a zone.
+std::string write_endpoint_list(const std::vector<routing::EndpointInfo>& endpoints,
+                                const std::vector<std::string>& zones, std::int64_t revision);
+
+}  // namespace indigovane::program
--- /dev/null
+++ b/src/program/graceful_shutdown.cpp
@@ -0,0 +1,111 @@
+#include "program/graceful_shutdown.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace indigovane::program {
+
+using routing::ClientHandover;
+using routing::Duration;
+using routing::Level;
+using routing::Time;
+using std::chrono::milliseconds;
+
+namespace {
+
+// Clients may still connect for so long after the signal: those who send them here notice late.
+constexpr auto kLinger = milliseconds(500);
+// Requests in flight get the longest deadline of all classes, at least this, and the slack.
+constexpr auto kMinDrain = std::chrono::seconds(3);
+// A kill comes 700 ms after the longest deadline at the earliest; kLinger is 500 of them.
+constexpr auto kDrainSlack = milliseconds(100);
+// For the answers to requests that are ended at the deadline.
+constexpr auto kFinalAnswers = milliseconds(50);
+constexpr auto kDrainCheckInterval = milliseconds(5);
+
+}  // namespace
+
+void GracefulShutdown::stop() {
+    PhaseMachine& phases = services_.phases;
+    if (phases.is_stopping()) return;
+    if (phases.is(Phase::inheriting)) return phases.enter(Phase::stopped);
+    phases.enter(Phase::lingering);
+    if (services_.process_handover->successor_ready()) return on_successor_ready();
+    timer_.expires_after(kLinger);
+    timer_.async_wait([this](const boost::system::error_code& error) {
+        if (!error && services_.phases.is(Phase::lingering)) begin_drain();
+    });
+}
+
+void GracefulShutdown::on_successor_ready() {
+    if (!services_.phases.is(Phase::lingering)) return;
+    timer_.cancel();
+    set_deadline();
+    for (auto& front : services_.fronts) front->stop_accepting();
+    // From now on the successor can open the store; it receives what is still committed here, and writes it.
+    if (services_.persistent_state) services_.persistent_state->close();
+    services_.phases.enter(Phase::handing_over);
+}
+
+void GracefulShutdown::on_successor_lost() {
+    if (services_.phases.is(Phase::handing_over)) begin_drain();
+}
+
+void GracefulShutdown::advance() {
+    if (services_.phases.is(Phase::handing_over)) hand_over_clients();
+    if (services_.phases.is(Phase::draining)) stop_if_drained();
+}
+
+// A request that comes late has less time than it asked for; those that are left at the deadline are answered
+// nevertheless.
+void GracefulShutdown::set_deadline() {
+    deadline_ = services_.clock.now() + std::max<Duration>(services_.config.longest_deadline, kMinDrain) +
+                kDrainSlack;
+    services_.core->finish_by(deadline_);
+}
+
+void GracefulShutdown::begin_drain() {
+    set_deadline();
+    for (auto& front : services_.fronts) {
+        front->stop_accepting();
+        front->close_idle();
+    }
+    services_.phases.enter(Phase::draining);
+}
+
+void GracefulShutdown::hand_over_clients() {
+    for (auto& front : services_.fronts)
+        clients_handed_over_ += front->hand_over([&](ClientHandover client) {
+            services_.process_handover->send_client(front->name(), std::move(client));
+        });
+    stop_if_drained();
+    if (services_.phases.is(Phase::stopped))
+        services_.log.log(Level::notice, "handover", "clients' connections went to the other process",
+                          {{"count", std::to_string(clients_handed_over_)}});
+}
+
+bool GracefulShutdown::is_drained() const {
+    if (!services_.idle()) return false;
+    for (const auto& front : services_.fronts)
+        if (front->connections() > 0 || front->lingering() > 0) return false;
+    return !services_.phases.is(Phase::handing_over) || services_.process_handover->all_sent();
+}
+
+void GracefulShutdown::stop_if_drained() {
+    bool drained = is_drained();
+    Time now = services_.clock.now();
+    if (now >= deadline_ && !services_.core->idle()) services_.core->finish_all();
+    if (!drained && now < deadline_ + kFinalAnswers) return schedule_check();
+    if (services_.persistent_state && services_.persistent_state->is_open())
+        services_.persistent_state->close();
+    services_.phases.enter(Phase::stopped);
+}
+
+// One wait at a time: a second one would cancel the first, whose end wakes the loop, which would begin anew.
+void GracefulShutdown::schedule_check() {
+    if (std::exchange(check_scheduled_, true)) return;
+    timer_.expires_after(kDrainCheckInterval);
+    timer_.async_wait([this](const boost::system::error_code&) { check_scheduled_ = false; });
+}
+
+}  // namespace indigovane::program
--- /dev/null
+++ b/src/program/operator_calls.cpp
@@ -0,0 +1,115 @@
+#include "program/operator_calls.hpp"
+
+#include <nlohmann/json.hpp>
+
+#include "program/site_text.hpp"
+
+namespace indigovane::program {
+
+using nlohmann::ordered_json;
+using routing::SiteController;
+
+namespace {
+
+// On one line; bytes that are no UTF-8 are replaced.
+std::string one_line(const ordered_json& json) {
+    return json.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
+}
+
+// The name of a request that has no statement of its own: those of the REST front and the known forms.
+std::string fixed_shape_name(const limits::ShapeId& id) {
+    using Verb = routing::ClientRequest::Verb;
+    for (auto [verb, name] :
+         {std::pair{Verb::lookup, "lookup"}, {Verb::write, "write"}, {Verb::page, "page"}}) {
+        statement::Shape shape = adapters::fixed_shape(verb);
+        if (shape.high == id.high && shape.low == id.low) return name;
+    }
+    return {};
+}
+
+template <typename Line>
+ordered_json shape_json(const Line& line, const adapters::Statements& statements) {
+    statement::Shape shape{line.shape.high, line.shape.low};
+    const auto* known = statements.known(shape);
+    ordered_json json;
+    json["shape"] = shape.hex();
+    json["tenant"] = line.tenant;
+    json["text"] = known ? known->text : fixed_shape_name(line.shape);
+    json["kind"] = known ? statement::name(known->kind) : "";
+    json["class"] = known ? known->request_class : "";
+    json["work_ms"] = line.work.count() / 1000;
+    json["mean_ms"] = double(line.view.mean.count()) / 1000;
+    json["p95_ms"] = double(line.view.tail.count()) / 1000;
+    json["standing"] = limits::name(line.view.standing);
+    json["cap"] = line.cap;
+    json["in_flight"] = line.in_flight;
+    return json;
+}
+
+}  // namespace
+
+OperatorCalls::Reply OperatorCalls::check() {
+    return {services_.phases.is_regular(), name(services_.phases.current())};
+}
+
+OperatorCalls::Reply OperatorCalls::set_excluded(const std::string& uid, bool excluded) {
+    ExcludedEndpoints& excluded_endpoints = services_.excluded_endpoints;
+    try {
+        excluded_endpoints.refresh();
+        // One that has left the list may still be readmitted: it was excluded under this id.
+        if (!services_.core->knows(uid) && !excluded_endpoints.uids().count(uid))
+            return {false, "no host has this id"};
+        excluded_endpoints.change(uid, excluded);
+    } catch (const std::exception& error) {
+        return {false, error.what()};
+    }
+    services_.core->set_excluded(excluded_endpoints.uids());
+    Reply reply{true, excluded ? "taken out" : "in use", {}};
+    if (services_.persistent_state && services_.persistent_state->is_open())
+        reply.later = [this, text = reply.text](std::function<void(std::string)> answer) {
+            services_.persistent_state->hosts(
+                services_.excluded_endpoints.uids(), services_.core->put_back(),
+                [text, answer = std::move(answer)](bool on_disk) {
+                    answer(on_disk ? text : text + " (not on disk: see the log)");
+                });
+        };
+    return reply;
+}
+
+OperatorCalls::Reply OperatorCalls::shapes(std::size_t most) {
+    if (!services_.limited_admission) return {false, "limits by cost are off"};
+    limits::Time now(services_.clock.now().time_since_epoch());
+    ordered_json lines = ordered_json::array();
+    for (const auto& line : services_.limited_admission->limiter().top(most, now))
+        lines.push_back(shape_json(line, *services_.statements));
+    return {true, one_line(lines)};
+}
+
+OperatorCalls::Reply OperatorCalls::site_status() {
+    const SiteController* sites = services_.core->sites();
+    if (!sites) return Operations::site_status();
+    auto now = SiteController::time(services_.clock.now());
+    return {true, status_json(sites->manager(), services_.config.zones, now).dump(), {}};
+}
+
+// Made of what this pooler has seen of its own traffic.
+OperatorCalls::Reply OperatorCalls::site_plan(const std::string& zone_name) {
+    const SiteController* sites = services_.core->sites();
+    if (!sites) return Operations::site_plan(zone_name);
+    auto zone = zone_number(services_.config.zones, zone_name);
+    if (!zone) return {false, "no zone has this name", {}};
+    auto now = SiteController::time(services_.clock.now());
+    site::Plan plan = site::make_plan(sites->manager().plan_input({site::SiteId{*zone}}, now));
+    auto uid = [&](site::HostId id) { return services_.core->uid(routing::EndpointId(std::uint32_t(id))); };
+    return {true, one_line(plan_json(plan, services_.config.zones, uid)), {}};
+}
+
+OperatorCalls::Reply OperatorCalls::site_drain(const std::string& zone_name, bool on) {
+    if (!services_.core->sites()) return Operations::site_drain(zone_name, on);
+    auto zone = zone_number(services_.config.zones, zone_name);
+    if (!zone) return {false, "no zone has this name", {}};
+    if (!services_.core->drain_site(*zone, on)) return {true, "nothing to do", {}};
+    return {true, on ? "its load is sent away" : "its load comes back", {}};
+}
+
+}  // namespace indigovane::program
--- a/src/program/process_handover.hpp
+++ b/src/program/process_handover.hpp
@@ -21,7 +21,7 @@
 //   to the predecessor: none, inheriting (its state is on its way), sharing
 //   to the successor:   none, waiting (for its hello), sharing, ready (it serves: clients may be sent)
 // Belongs to the thread that runs `io`; callbacks come from there.
-class ProcessHandover : private transport::Channel::Handler {
+class ProcessHandover final : private transport::Channel::Handler {
   public:
     // Time for a predecessor to send its whole state.
     static constexpr std::chrono::milliseconds kStateTimeout{2000};
--- /dev/null
+++ b/tests/program/resource_budget_test.cpp
@@ -0,0 +1,46 @@
+// How descriptors and memory are divided.
+#include "program/resource_budget.hpp"
+
+#include <doctest/doctest.h>
+
+namespace indigovane::testing {
+namespace {
+
+program::Config config_with(std::size_t sockets) {
+    program::Config config;
+    config.sockets = sockets;
+    config.memory_mb = 100;
+    return config;
+}
+
+TEST_CASE("budget: all descriptors are given out, and no more than there are") {
+    for (bool rest : {false, true})
+        for (bool control : {false, true}) {
+            program::Config config = config_with(1024);
+            config.rest.enabled = rest;
+            if (control) config.control.emplace();
+            program::ResourceBudget budget = program::make_resource_budget(config);
+            std::size_t reserved = 24 + (rest ? 32 : 16) + (control ? 49 : 0);
+            CHECK(budget.core.links + budget.pg_clients + budget.rest_clients + reserved == 1024);
+            CHECK((budget.rest_clients > 0) == rest);
+            CHECK(budget.served_clients == 170);
+        }
+}
+
+TEST_CASE("budget: memory is divided by fixed shares, what is unread among the fronts that are on") {
+    program::Config config = config_with(1024);
+    program::ResourceBudget budget = program::make_resource_budget(config);
+    CHECK(budget.core.bytes == (25u << 20));
+    CHECK(budget.long_statement_bytes == (40u << 20));
+    CHECK(budget.unread_bytes == (20u << 20));
+    config.rest.enabled = true;
+    CHECK(program::make_resource_budget(config).unread_bytes == (10u << 20));
+}
+
+TEST_CASE("budget: too few descriptors for the fronts that are on end the start") {
+    CHECK_THROWS_AS(program::make_resource_budget(config_with(63)), program::ConfigError);
+    CHECK(program::make_resource_budget(config_with(64)).pg_clients == 17);
+}
+
+}  // namespace
+}  // namespace indigovane::testing
