--- a/src/program/config.hpp
+++ b/src/program/config.hpp
@@ -1,14 +1,24 @@
-// What the program is told: the platform's file and variables, and the files of its own.
+// The configuration of the process: the platform's JSON file with its environment variables, and the
+// operator's files beside it. Where its parts are read:
+//
+//   platform's file           program/platform_config.cpp
+//   REST front (JSON)         program/rest_config.cpp
+//   statements, limits (TOML) program/statement_rules.hpp
+//   store (TOML)              program/store_config.hpp
+//   links between poolers     program/peer_config.hpp
+//   sites (TOML)              program/site_config.hpp
+//
+// Every error is a ConfigError. Which settings a reload applies: program/reload.hpp.
 #pragma once
 
 #include <map>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <vector>
 
 #include "adapters/classes.hpp"
 #include "policy/routing_policy.hpp"
+#include "program/config_error.hpp"
 #include "program/peer_config.hpp"
 #include "program/site_config.hpp"
 #include "program/statement_rules.hpp"
@@ -19,34 +29,35 @@
 
 namespace indigovane::program {
 
-struct ConfigError : std::runtime_error {
-    using std::runtime_error::runtime_error;
-};
-
+// The protocol that database hosts are spoken to in.
 enum class Wire { pg, rest };
 
 // The REST front's file.
 struct RestConfig {
     bool enabled = false;
     transport::SocketAddress listen;
-    std::uint32_t page_size = 50, page_size_most = 500;
-    std::size_t connections = 256;
+    std::uint32_t page_size = 50;  // items, where the request names no number
+    std::uint32_t page_size_most = 500;
+    std::size_t connections = 256;                   // of clients
     std::optional<transport::SocketAddress> syslog;  // a collector on this machine
 };
 
 struct Config {
     std::string name = "indigovane";
-    transport::SocketAddress listen, discovery;
+    transport::SocketAddress listen;
+    transport::SocketAddress discovery;
     std::optional<transport::SocketAddress> control;  // for operators alone; none: that front is off
     std::uint64_t seed = 0;
-    std::size_t memory_mb = 192, sockets = 1024;
-    routing::EndpointListing known;
+    std::size_t memory_mb = 192;
+    std::size_t sockets = 1024;      // descriptors
+    routing::EndpointListing known;  // the endpoint list until the discovery service has sent its own
     policy::Settings settings;
     std::vector<std::string> zones;
     adapters::Classes classes;
-    routing::Duration connect_timeout = std::chrono::milliseconds(250), idle_limit = std::chrono::seconds(30),
-                      longest_deadline{};
-    Wire members = Wire::pg;  // how members are spoken to
+    routing::Duration connect_timeout = std::chrono::milliseconds(250);
+    routing::Duration idle_limit = std::chrono::seconds(30);
+    routing::Duration longest_deadline{};  // of all classes
+    Wire members = Wire::pg;               // how database hosts are spoken to
     RestConfig rest;
     std::optional<StoreConfig> store;           // none: nothing outlasts the process
     std::optional<StatementConfig> statements;  // none: the package is off
@@ -54,27 +65,34 @@
     bool peers_permitted = false;
     std::vector<transport::SocketAddress> peers;
     std::optional<transport::SocketAddress> peer_listen;
-    std::optional<PeerConfig> peering;  // none: nothing is told and nothing heard
+    std::optional<PeerConfig> peering;  // none: no gossip is sent or received
     std::optional<SiteConfig> sites;    // none: sites are not watched
     // The keys that the file holds, by path, with the type of each: a file read again must hold them all.
-    std::map<std::string, char> shape;
-    std::string fixed;  // the text of all that only a start takes in, to tell whether it has changed
+    std::map<std::string, char> key_types;
+    // The text of all that only a start applies, to tell whether it has changed.
+    std::string restart_only;
 };
 
-// Reads $LB_CONFIG's file; LB_NAME, LB_LISTEN and LB_DISCOVERY fill in what it leaves out.
+// The platform's file; LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_CONTROL fill in what it leaves out. Throws
+// ConfigError.
 Config read_platform_config(const std::string& path);
 Config parse_platform_config(const std::string& text);
 // Throws ConfigError where `fresh` lacks a key that `old` holds: half a file, or one of another kind.
 void check_complete(const Config& fresh, const Config& old);
-// The operator's file of statements, with what it says of classes checked against the settings and its bounds
-// laid over theirs (the tighter counts). Throws StatementConfigError.
-void read_statements(const std::string& path, Config& config);
-void take_statements(StatementConfig statements, const std::string& path, Config& config);
-// Throws FileError, or ConfigError where the platform's file permits or names no peers.
-void take_peers(PeerConfig peering, const std::string& path, Config& config);
-// Throws FileError, or ConfigError where it names a class that the platform's file has not.
-void take_sites(SiteConfig sites, const std::string& path, Config& config);
+
+// The REST front's file, read into `config`. Throws ConfigError.
 void read_rest_config(const std::string& path, Config& config);
 void parse_rest_config(const std::string& text, Config& config);
 
+// Each of these checks an operator's file, which was read from `path`, against the platform's configuration
+// and adds it to that. Throws ConfigError.
+//
+// Statements: what the file says of classes; its bounds on staleness are combined with those of the settings
+// (the tighter counts).
+void take_statements(StatementConfig statements, const std::string& path, Config& config);
+// Peers: the platform must permit and name them.
+void take_peers(PeerConfig peering, const std::string& path, Config& config);
+// Sites: the classes that it names must exist.
+void set_sites(SiteConfig sites, const std::string& path, Config& config);
+
 }  // namespace indigovane::program
--- a/src/program/lifecycle.hpp
+++ b/src/program/lifecycle.hpp
@@ -28,7 +28,7 @@
     Lifecycle(const Lifecycle&) = delete;
     Lifecycle& operator=(const Lifecycle&) = delete;
 
-    // Serves until SIGTERM or SIGINT; returns the exit status. Throws ConfigError, FileError or
+    // Serves until SIGTERM or SIGINT; returns the exit status. Throws ConfigError or
     // boost::system::system_error where the process can't start.
     int run();
     Phase phase() const { return services_.phases.current(); }
--- a/src/program/log.hpp
+++ b/src/program/log.hpp
@@ -14,6 +14,7 @@
     using Sink = std::function<bool(const std::string& line)>;  // false: the line is lost
 
     Log(std::string name, std::string process, Sink sink);
+    virtual ~Log() = default;
     void also(std::function<void(const std::string& line)> sink) { more_ = std::move(sink); }
     void log(routing::Level level, const char* id, const std::string& text, const Data& data) override;
     bool wants(const char* id) override { return room_for(id) != nullptr; }
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -63,9 +63,12 @@
     }
     if (values.count("sites")) {
         std::string file = values["sites"].as<std::string>();
-        program::take_sites(program::read_site_config(file), file, config);
+        program::set_sites(program::read_site_config(file), file, config);
+    }
+    if (values.count("statements")) {
+        std::string file = values["statements"].as<std::string>();
+        program::take_statements(program::read_statement_config(file), file, config);
     }
-    if (values.count("statements")) program::read_statements(values["statements"].as<std::string>(), config);
     return config;
 }
 
--- a/src/program/operator_calls.hpp
+++ b/src/program/operator_calls.hpp
@@ -10,6 +10,7 @@
 class OperatorCalls final : public adapters::Operations {
   public:
     explicit OperatorCalls(Services& services) : services_(services), diversion_(services) {}
+    virtual ~OperatorCalls() = default;
 
     Reply check() override;
     Reply set_down(const std::string& uid) override { return set_excluded(uid, true); }
--- a/src/program/peer_config.cpp
+++ b/src/program/peer_config.cpp
@@ -5,13 +5,13 @@
 namespace indigovane::program {
 
 PeerConfig parse_peer_config(const std::string& text, const std::string& file) {
-    PeerConfig c;
-    read_only_table(text, file, "peers", [&](TomlReader&, TomlReader::Table& t) {
-        c.cluster = t.name("cluster");
-        t.duration("again", c.again);
-        t.duration("gather", c.gather);
+    PeerConfig config;
+    read_single_table(text, file, "peers", [&](TomlReader&, TomlReader::Table& table) {
+        config.cluster = table.read_required_name("cluster");
+        table.read_duration("again", config.again);
+        table.read_duration("gather", config.gather);
     });
-    return c;
+    return config;
 }
 
 PeerConfig read_peer_config(const std::string& path) {
--- a/src/program/peer_config.hpp
+++ b/src/program/peer_config.hpp
@@ -4,7 +4,8 @@
 
 #include <string>
 
-#include "program/units.hpp"
+#include "limits/types.hpp"
+#include "program/config_error.hpp"
 
 namespace indigovane::program {
 
@@ -14,7 +15,7 @@
     limits::Duration gather = std::chrono::milliseconds(20);
 };
 
-// Throws FileError.
+// Throws ConfigError.
 PeerConfig parse_peer_config(const std::string& text, const std::string& file);
 PeerConfig read_peer_config(const std::string& path);
 
--- a/src/program/persistent_state.cpp
+++ b/src/program/persistent_state.cpp
@@ -76,7 +76,7 @@
     store::Recovered found;
     std::string why;
     if (store::IoStatus s = store::open_folder(config_.folder, environment); !s.ok())
-        throw FileError(config_.folder + ": " + s.text());
+        throw ConfigError(config_.folder, s.text());
     store::OpenOptions options;
     options.log_worker.writer.segment = config_.segment;
     options.log_worker.budget = config_.budget;
@@ -96,7 +96,7 @@
                     {{"file", config_.folder + "/" + f.file}, {"offset", std::to_string(f.offset)}});
     if (thread_) return begin(found);
     if (must || found.outcome != store::Recovered::Outcome::fresh || why != "another process has it open")
-        throw FileError(config_.folder + ": " + why);
+        throw ConfigError(config_.folder, why);
     // Until it is ours, what is acknowledged here is in no store: the next start must know.
     keep_witness(Witness::lapsed);
     timer_.expires_after(kOpenAgain);
--- a/src/program/persistent_state.hpp
+++ b/src/program/persistent_state.hpp
@@ -24,7 +24,7 @@
                     routing::Logger& logger);
     ~PersistentState();
 
-    // `wait`: another process may have it open still: it is tried again until it has not. Throws FileError
+    // `wait`: another process may have it open still: it is tried again until it has not. Throws ConfigError
     // where it can't be used for another reason.
     void open(bool wait);
     bool is_open() const { return thread_ != nullptr; }
--- a/src/program/process_handover.hpp
+++ b/src/program/process_handover.hpp
@@ -40,15 +40,13 @@
         virtual void inherit_client(const std::string& front, routing::ClientHandover client) = 0;
         virtual void on_process_change() = 0;  // another_process() may answer otherwise than before
         virtual void on_successor_ready() = 0;
-
-      protected:
-        ~HandoverOwner() = default;
+        virtual ~HandoverOwner() = default;
     };
 
     // `folder` is shared by both processes; an empty one: there is never another process.
     ProcessHandover(boost::asio::io_context& io, std::string folder, std::string name,
                     HandoverOwner& handover_owner, std::chrono::milliseconds state_timeout = kStateTimeout);
-    ~ProcessHandover();
+    virtual ~ProcessHandover();
 
     // Connects to a predecessor and requests its state; false: there is none.
     bool request_state();
--- a/src/program/reload.cpp
+++ b/src/program/reload.cpp
@@ -84,7 +84,7 @@
                      {{"discovery", address_text(fresh.discovery)},
                       {"classes", std::to_string(fresh.classes.all().size())}});
     log_classes(services.config, services.log);
-    if (fresh.fixed != services.config.fixed)
+    if (fresh.restart_only != services.config.restart_only)
         warn(services, "other changes than those of discovery and settings take effect at the next start");
 }
 
--- a/src/program/site_command.cpp
+++ b/src/program/site_command.cpp
@@ -32,9 +32,9 @@
         auto request_class = std::find_if(classes.begin(), classes.end(),
                                           [&](auto& c) { return c.request_class == d.request_class; });
         if (request_class == classes.end())
-            throw FileError(path + ": [[demand]]: no class is named '" + d.request_class + "'");
+            throw ConfigError(path, "[[demand]]: no class is named '" + d.request_class + "'");
         if (d.group && !groups.count(*d.group))
-            throw FileError(path + ": [[demand]]: no host belongs to group " + std::to_string(*d.group));
+            throw ConfigError(path, "[[demand]]: no host belongs to group " + std::to_string(*d.group));
         for (std::uint32_t g : groups) {
             if (d.group && *d.group != g) continue;
             site::Demand each = *request_class;
@@ -78,11 +78,11 @@
     std::string path = values["sites"].as<std::string>();
     SiteConfig sites = read_site_config(path);
     if (sites.demand.empty())
-        throw FileError(path + ": a plan needs [[demand]]: what each class asks for, and what it costs");
+        throw ConfigError(path, "a plan needs [[demand]]: what each class asks for, and what it costs");
     site::PlanInput in = input_of(config, sites, path);
     for (const std::string& name : values["lose"].as<std::vector<std::string>>()) {
         auto zone = zone_number(config.zones, name);
-        if (!zone) throw FileError("no zone is named '" + name + "' in the configuration's settings.azs");
+        if (!zone) throw ConfigError("no zone is named '" + name + "' in the configuration's settings.azs");
         in.lost.insert(site::SiteId{*zone});
     }
     auto host = [&](site::HostId id) { return config.known.members[std::size_t(id)].uid; };
--- a/src/program/site_config.cpp
+++ b/src/program/site_config.cpp
@@ -4,89 +4,137 @@
 
 namespace indigovane::program {
 
+using limits::Duration;
+
 namespace {
 
-void share(TomlReader::Table& t, const char* key, double& out) {
-    t.unit<double>(key, out, "a share like \"80%\", up to 100%", [](std::string_view text) {
-        auto v = read_percentage(text);
-        return v && *v >= 0 && *v <= 1 ? v : std::nullopt;
+constexpr unsigned kMaxHosts = 1000;  // of counts of hosts and probes in a verdict
+constexpr std::uint32_t kMaxGroup = 1'000'000;
+constexpr double kMaxNumber = 1e9;
+
+// The file's keys, each mapped once to its setting.
+template <typename T>
+struct Key {
+    const char* name;
+    T site::Settings::*setting;
+};
+
+constexpr Key<Duration> kDurations[] = {
+    {"quiet", &site::Settings::quiet},
+    {"fresh", &site::Settings::fresh},
+    {"stall", &site::Settings::stall},
+    {"lapse", &site::Settings::lapse},
+    {"hold", &site::Settings::hold},
+    {"hold_most", &site::Settings::hold_most},
+    {"flap_memory", &site::Settings::flap_memory},
+    {"ramp", &site::Settings::ramp},
+    {"ramp_most", &site::Settings::ramp_most},
+    {"ramp_unsure", &site::Settings::ramp_unsure},
+    {"ramp_warm", &site::Settings::ramp_warm},
+    {"probe_every", &site::Settings::probe_every},
+    {"starve", &site::Settings::starve},
+    {"retry_after", &site::Settings::retry_after},
+};
+constexpr Key<double> kPercentages[] = {
+    {"doubt", &site::Settings::doubt},     {"witness", &site::Settings::witness},
+    {"trickle", &site::Settings::trickle}, {"ceiling", &site::Settings::ceiling},
+    {"floor", &site::Settings::floor},
+};
+constexpr Key<bool> kSwitches[] = {
+    {"hold_out", &site::Settings::exclude},        {"rescue", &site::Settings::abandon_unresponsive},
+    {"ramp_probes", &site::Settings::ramp_probes}, {"shed", &site::Settings::shed},
+    {"budget", &site::Settings::budget},           {"pace", &site::Settings::pace},
+    {"doubt_self", &site::Settings::doubt_self},   {"by_tenant", &site::Settings::by_tenant},
+    {"by_age", &site::Settings::by_age},
+};
+constexpr Key<double> kNumbers[] = {
+    {"probes_per_host", &site::Settings::probes_per_host},
+    {"repeat_income", &site::Settings::repeat_income},
+    {"repeat_most", &site::Settings::repeat_most},
+};
+
+void read_percentage_of(TomlReader::Table& table, const char* key, double& out) {
+    table.read_with_unit<double>(key, out, "a share like \"80%\", up to 100%", [](std::string_view text) {
+        auto fraction = read_percentage(text);
+        return fraction && *fraction >= 0 && *fraction <= 1 ? fraction : std::nullopt;
     });
 }
 
-void positive(TomlReader::Table& t, const char* key, double& out) {
-    const toml::node* node = t.get(key);
+// A whole number or a decimal.
+void read_positive(TomlReader::Table& table, const char* key, double& out) {
+    constexpr const char* kWanted = "a number above 0";
+    const toml::node* node = table.find(key);
     if (!node) return;
-    if (node->is_integer()) {
-        std::int64_t v = 0;
-        t.value<std::int64_t>(key, v, "a number above 0", [](std::int64_t n) { return n > 0; });
-        if (v > 0) out = double(v);
-    } else {
-        t.value<double>(key, out, "a number above 0", [](double n) { return n > 0 && n < 1e9; });
-    }
+    if (!node->is_integer())
+        return table.read_value<double>(key, out, kWanted,
+                                        [](double number) { return number > 0 && number < kMaxNumber; });
+    std::int64_t whole = 0;
+    table.read_value<std::int64_t>(key, whole, kWanted, [](std::int64_t number) { return number > 0; });
+    if (whole > 0) out = double(whole);
 }
 
 // A table of names, each with a number above 0.
-std::map<std::string, double> weights(TomlReader& reader, TomlReader::Table& t, const char* key) {
-    std::map<std::string, double> out;
-    reader.one(t, key, [&](TomlReader::Table& names) {
-        for (const auto& [name, node] : names.raw()) {
-            double v = 0;
-            positive(names, std::string(name.str()).c_str(), v);
-            if (v > 0) out[std::string(name.str())] = v;
+std::map<std::string, double> read_weights(TomlReader& reader, TomlReader::Table& table, const char* key) {
+    std::map<std::string, double> weights;
+    reader.read_table(table, key, [&](TomlReader::Table& names) {
+        for (const auto& [name_key, node] : names.raw()) {
+            std::string name(name_key.str());
+            double weight = 0;
+            read_positive(names, name.c_str(), weight);
+            if (weight > 0) weights[name] = weight;
         }
     });
-    return out;
+    return weights;
 }
 
-void read_sites(TomlReader& reader, TomlReader::Table& t, site::Settings& s) {
-    s.enabled = true;
-    for (auto [key, out] : {std::pair{"quiet", &s.quiet},
-                            {"fresh", &s.fresh},
-                            {"stall", &s.stall},
-                            {"lapse", &s.lapse},
-                            {"hold", &s.hold},
-                            {"hold_most", &s.hold_most},
-                            {"flap_memory", &s.flap_memory},
-                            {"ramp", &s.ramp},
-                            {"ramp_most", &s.ramp_most},
-                            {"ramp_unsure", &s.ramp_unsure},
-                            {"ramp_warm", &s.ramp_warm},
-                            {"probe_every", &s.probe_every},
-                            {"starve", &s.starve},
-                            {"retry_after", &s.retry_after}})
-        t.duration(key, *out);
-    for (auto [key, out] : {std::pair{"doubt", &s.doubt},
-                            {"witness", &s.witness},
-                            {"trickle", &s.trickle},
-                            {"ceiling", &s.ceiling},
-                            {"floor", &s.floor}})
-        share(t, key, *out);
-    for (auto [key, out] : {std::pair{"hold_out", &s.exclude},
-                            {"rescue", &s.abandon_unresponsive},
-                            {"ramp_probes", &s.ramp_probes},
-                            {"shed", &s.shed},
-                            {"budget", &s.budget},
-                            {"pace", &s.pace},
-                            {"doubt_self", &s.doubt_self},
-                            {"by_tenant", &s.by_tenant},
-                            {"by_age", &s.by_age}})
-        t.value<bool>(key, *out, "true or false");
-    t.size<unsigned>("least", s.least, 1, 1000);
-    t.size<unsigned>("back", s.back, 1, 1000);
-    t.size<unsigned>("confirm", s.confirm, 0, 1000);
-    positive(t, "probes_per_host", s.probes_per_host);
-    positive(t, "repeat_income", s.repeat_income);
-    positive(t, "repeat_most", s.repeat_most);
-    s.last = t.names("last");
-    s.shares = weights(reader, t, "shares");
-    auto ordered = [&](bool fits, const char* what) {
-        if (!fits) reader.wrong(t.raw().source(), what);
+// Settings that contradict each other would make verdicts flap.
+void check_order(TomlReader& reader, TomlReader::Table& table, const site::Settings& settings) {
+    auto require = [&](bool holds, const char* what) {
+        if (!holds) reader.report_error(table.raw().source(), what);
     };
-    // What contradicts itself would switch on and off by itself.
-    ordered(s.quiet < s.fresh, "quiet: shorter than 'fresh'");
-    ordered(s.hold <= s.hold_most, "hold: at most 'hold_most'");
-    ordered(s.ramp <= s.ramp_most, "ramp: at most 'ramp_most'");
-    ordered(s.ceiling > 0, "ceiling: above 0%");
+    require(settings.quiet < settings.fresh, "quiet: shorter than 'fresh'");
+    require(settings.hold <= settings.hold_most, "hold: at most 'hold_most'");
+    require(settings.ramp <= settings.ramp_most, "ramp: at most 'ramp_most'");
+    require(settings.ceiling > 0, "ceiling: above 0%");
+}
+
+void read_sites(TomlReader& reader, TomlReader::Table& table, site::Settings& settings) {
+    settings.enabled = true;
+    for (const auto& key : kDurations) table.read_duration(key.name, settings.*key.setting);
+    for (const auto& key : kPercentages) read_percentage_of(table, key.name, settings.*key.setting);
+    for (const auto& key : kSwitches) table.read_bool(key.name, settings.*key.setting);
+    table.read_whole_number<unsigned>("least", settings.least, 1, kMaxHosts);
+    table.read_whole_number<unsigned>("back", settings.back, 1, kMaxHosts);
+    table.read_whole_number<unsigned>("confirm", settings.confirm, 0, kMaxHosts);
+    for (const auto& key : kNumbers) read_positive(table, key.name, settings.*key.setting);
+    settings.last = table.read_names("last");
+    settings.shares = read_weights(reader, table, "shares");
+    check_order(reader, table, settings);
+}
+
+// The rate of all tenants together, or by tenant, but not both.
+void read_rate(TomlReader& reader, TomlReader::Table& table, SiteDemand& demand) {
+    read_positive(table, "per_second", demand.per_second);
+    demand.tenants = read_weights(reader, table, "tenants");
+    if (demand.tenants.empty()) return;
+    if (demand.per_second > 0)
+        reader.report_error(table.raw().source(), "[[demand]]: 'per_second' or 'tenants'");
+    for (const auto& [name, rate] : demand.tenants) demand.per_second += rate;
+}
+
+SiteDemand read_demand(TomlReader& reader, TomlReader::Table& table) {
+    SiteDemand demand;
+    demand.request_class = table.read_required_name("class");
+    if (table.find("group")) {
+        std::uint32_t group = 0;
+        table.read_whole_number<std::uint32_t>("group", group, 0, kMaxGroup);
+        demand.group = group;
+    }
+    read_rate(reader, table, demand);
+    table.read_duration("work", demand.work);
+    if (demand.per_second <= 0 || demand.work.count() <= 0)
+        reader.report_error(table.raw().source(), "[[demand]] needs 'per_second' and 'work'");
+    return demand;
 }
 
 }  // namespace
@@ -94,34 +142,20 @@
 SiteConfig parse_site_config(const std::string& text, const std::string& file) {
     toml::table parsed = parse_toml(text, file);
     TomlReader reader(file);
-    SiteConfig c;
+    SiteConfig config;
     {
         TomlReader::Table root(reader, parsed, "the file");
-        if (!root.get("sites")) reader.wrong(parsed.source(), "[sites] is missing");
-        reader.one(root, "sites", [&](TomlReader::Table& t) { read_sites(reader, t, c.settings); });
-        reader.one(root, "plan", [&](TomlReader::Table& t) { positive(t, "cores", c.cores); });
-        reader.each(root, "demand", [&](TomlReader::Table& t) {
-            SiteDemand d;
-            d.request_class = t.name("class");
-            if (t.get("group")) {
-                std::uint32_t group = 0;
-                t.size<std::uint32_t>("group", group, 0, 1'000'000);
-                d.group = group;
-            }
-            positive(t, "per_second", d.per_second);
-            d.tenants = weights(reader, t, "tenants");
-            if (!d.tenants.empty()) {
-                if (d.per_second > 0) reader.wrong(t.raw().source(), "[[demand]]: 'per_second' or 'tenants'");
-                for (const auto& [name, rate] : d.tenants) d.per_second += rate;
-            }
-            t.duration("work", d.work);
-            if (d.per_second <= 0 || d.work.count() <= 0)
-                reader.wrong(t.raw().source(), "[[demand]] needs 'per_second' and 'work'");
-            c.demand.push_back(std::move(d));
+        if (!root.find("sites")) reader.report_error(parsed.source(), "[sites] is missing");
+        reader.read_table(root, "sites",
+                          [&](TomlReader::Table& table) { read_sites(reader, table, config.settings); });
+        reader.read_table(root, "plan",
+                          [&](TomlReader::Table& table) { read_positive(table, "cores", config.cores); });
+        reader.read_tables(root, "demand", [&](TomlReader::Table& table) {
+            config.demand.push_back(read_demand(reader, table));
         });
     }
     reader.finish();
-    return c;
+    return config;
 }
 
 SiteConfig read_site_config(const std::string& path) {
--- a/src/program/site_config.hpp
+++ b/src/program/site_config.hpp
@@ -4,7 +4,8 @@
 
 #include <string>
 
-#include "program/units.hpp"
+#include "limits/types.hpp"
+#include "program/config_error.hpp"
 #include "site/plan.hpp"
 
 namespace indigovane::program {
@@ -23,7 +24,7 @@
     std::vector<SiteDemand> demand;
 };
 
-// Throws FileError.
+// Throws ConfigError.
 SiteConfig parse_site_config(const std::string& text, const std::string& file);
 SiteConfig read_site_config(const std::string& path);
 
--- a/src/program/startup.hpp
+++ b/src/program/startup.hpp
@@ -11,7 +11,7 @@
 void create_core(Services& services);
 void create_discovery_client(Services& services);
 // What earlier processes have left: the store, excluded endpoints, cost of statement shapes, the endpoint
-// list. Throws FileError where the store can't be used: rather no start than operators who believe in it.
+// list. Throws ConfigError where the store can't be used: rather no start than operators who believe in it.
 void restore_state(Services& services);
 // Serving does not depend on the peer link: where it can't be opened, the log says so.
 void open_peer_link(Services& services);
--- a/src/program/statement_rules.cpp
+++ b/src/program/statement_rules.cpp
@@ -1,8 +1,6 @@
 #include "program/statement_rules.hpp"
 
 #include <algorithm>
-#include <charconv>
-#include <functional>
 #include <set>
 
 #include "program/toml_reader.hpp"
@@ -16,154 +14,202 @@
 
 namespace {
 
-Effect effect(TomlReader::Table& t, Effect fallback) {
+constexpr std::size_t kKiB = 1 << 10;
+constexpr std::size_t kMiB = 1 << 20;
+constexpr std::size_t kGiB = 1 << 30;
+constexpr std::int64_t kMaxCostUs = 60'000'000;
+constexpr double kMaxReserve = 0.9;
+constexpr double kMinOtherShare = 0.01;  // of tenants without a share of their own
+constexpr double kRoundingError = 1e-9;  // of a sum of shares
+
+Effect read_effect(TomlReader::Table& table, Effect fallback) {
+    std::string text;
+    table.read_value<std::string>("effect", text, "\"reads\", \"writes\" or \"session\"",
+                                  [](const std::string& effect) {
+                                      return effect == "reads" || effect == "writes" || effect == "session";
+                                  });
+    if (text == "reads") return Effect::reads;
+    if (text == "writes") return Effect::writes;
+    if (text == "session") return Effect::session;
+    return fallback;
+}
+
+void read_route(TomlReader::Table& table, const char* key, Route& out) {
     std::string text;
-    t.value<std::string>("effect", text, "\"reads\", \"writes\" or \"session\"",
-                         [](std::string s) { return s == "reads" || s == "writes" || s == "session"; });
-    return text == "reads"     ? Effect::reads
-           : text == "writes"  ? Effect::writes
-           : text == "session" ? Effect::session
-                               : fallback;
+    table.read_value<std::string>(key, text, "\"primary\" or \"refuse\"", [](const std::string& route) {
+        return route == "primary" || route == "refuse";
+    });
+    if (!text.empty()) out = text == "primary" ? Route::primary : Route::refuse;
+}
+
+// Above 0%, up to 100%.
+void read_share(TomlReader::Table& table, const char* key, double& out, const char* wanted) {
+    table.read_with_unit<double>(key, out, wanted, [](std::string_view text) {
+        auto share = read_percentage(text);
+        return share && *share > 0 && *share <= 1 ? share : std::nullopt;
+    });
 }
 
-void read_classes(TomlReader& reader, TomlReader::Table& root, StatementConfig& c) {
-    std::set<std::string> seen;
-    reader.each(root, "class", [&](TomlReader::Table& t) {
+// Reads [[class]]. A shape, table or kind belongs to one class at most.
+class ClassReader {
+  public:
+    ClassReader(TomlReader& reader, statement::Rules& rules) : reader_(reader), rules_(rules) {}
+
+    void read(TomlReader::Table& table) {
         statement::ClassRule rule;
-        rule.name = t.name();
-        for (const std::string& hex : t.names("shapes")) {
+        rule.name = table.read_required_name();
+        read_shapes(table, rule);
+        read_relations(table, rule);
+        read_kinds(table, rule);
+        Duration cost{};
+        Duration bound{};
+        table.read_duration("cost", cost);
+        table.read_duration("bound", bound);
+        rule.cost_us = std::uint32_t(std::min(std::int64_t(cost.count()), kMaxCostUs));
+        rule.bound_us = std::uint64_t(bound.count());
+        if (rule.shapes.empty() && rule.tables.empty() && rule.kinds.empty() && bound.count() == 0)
+            reader_.report_error(table.raw().source(),
+                                 "[[class]] names no shapes, tables, kinds or bound: it says nothing");
+        rules_.add_class(std::move(rule));
+    }
+
+  private:
+    // False, and an error at the key: another class, or this one, has it already.
+    bool assign(TomlReader::Table& table, const char* key, const char* what, const std::string& item) {
+        if (assigned_.insert(std::string(what) + " " + item).second) return true;
+        report(table, key, "'" + item + "' has a class already");
+        return false;
+    }
+    void report(TomlReader::Table& table, const char* key, const std::string& what) {
+        reader_.report_error(table.raw().get(key)->source(), std::string(key) + ": " + what);
+    }
+    void read_shapes(TomlReader::Table& table, statement::ClassRule& rule) {
+        for (const std::string& hex : table.read_names("shapes")) {
             statement::Shape shape;
             if (!statement::Shape::parse(hex, shape))
-                reader.wrong(t.raw().get("shapes")->source(),
-                             "shapes: '" + hex + "' is no shape of 32 hex digits");
-            else if (!seen.insert("shape " + hex).second)
-                reader.wrong(t.raw().get("shapes")->source(), "shapes: '" + hex + "' has a class already");
-            else
+                report(table, "shapes", "'" + hex + "' is no shape of 32 hex digits");
+            else if (assign(table, "shapes", "shape", hex))
                 rule.shapes.push_back(shape);
         }
-        rule.tables = t.names("tables");
-        for (const std::string& table : rule.tables)
-            if (!seen.insert("table " + table).second)
-                reader.wrong(t.raw().get("tables")->source(), "tables: '" + table + "' has a class already");
-        for (const std::string& text : t.names("kinds")) {
+    }
+    void read_relations(TomlReader::Table& table, statement::ClassRule& rule) {
+        rule.tables = table.read_names("tables");
+        for (const std::string& relation : rule.tables) assign(table, "tables", "table", relation);
+    }
+    void read_kinds(TomlReader::Table& table, statement::ClassRule& rule) {
+        for (const std::string& text : table.read_names("kinds")) {
             Kind kind{};
             if (!statement::parse_kind(text, kind) || kind == Kind::many || kind == Kind::invalid)
-                reader.wrong(
-                    t.raw().get("kinds")->source(),
-                    "kinds: '" + text + "' is none of read, locking, write, session, transaction, utility");
-            else if (!seen.insert("kind " + text).second)
-                reader.wrong(t.raw().get("kinds")->source(), "kinds: '" + text + "' has a class already");
-            else
+                report(table, "kinds",
+                       "'" + text + "' is none of read, locking, write, session, transaction, utility");
+            else if (assign(table, "kinds", "kind", text))
                 rule.kinds.push_back(kind);
         }
-        Duration cost{}, bound{};
-        t.duration("cost", cost);
-        t.duration("bound", bound);
-        rule.cost_us = std::uint32_t(std::min<std::int64_t>(cost.count(), 60'000'000));
-        rule.bound_us = std::uint64_t(bound.count());
-        if (rule.shapes.empty() && rule.tables.empty() && rule.kinds.empty() && bound.count() == 0)
-            reader.wrong(t.raw().source(),
-                         "[[class]] names no shapes, tables, kinds or bound: it says nothing");
-        c.rules.add_class(std::move(rule));
-    });
+    }
+
+    TomlReader& reader_;
+    statement::Rules& rules_;
+    std::set<std::string> assigned_;  // "shape ...", "table ...", "kind ..."
+};
+
+void read_statements(TomlReader::Table& table, StatementConfig& config) {
+    table.read_bool("open", config.open);
+    read_route(table, "unparsed", config.rules.policy.unparsed);
+    read_route(table, "session", config.rules.policy.session);
+    read_route(table, "transaction", config.rules.policy.transaction);
+    table.read_size("cache", config.judge.cache, "a size like \"8MiB\", from 64KiB to 1GiB", 64 * kKiB, kGiB);
+    table.read_size("longest_parsed", config.judge.longest_parsed, "a size like \"16KiB\", from 256B to 1MiB",
+                    256, kMiB);
+    table.read_whole_number<double>("parses_per_second", config.judge.parses_per_second, 1, 1e6);
+    if (table.find("group")) {
+        std::uint32_t group = 0;
+        table.read_whole_number<std::uint32_t>("group", group, 0, 0xffffffffu);
+        config.group = group;
+    }
+    table.read_value<std::string>("read_class", config.read_class, "a class's name");
+    table.read_value<std::string>("primary_class", config.primary_class, "a class's name");
+    table.read_value<std::string>("write_class", config.write_class, "a class's name");
 }
 
-void read_limits(TomlReader& reader, TomlReader::Table& root, StatementConfig& c) {
-    limits::Settings& l = c.limits;
-    reader.one(root, "limits", [&](TomlReader::Table& t) {
-        t.value<bool>("enabled", l.enabled, "true or false");
-        t.duration("work", l.work);
-        t.unit<double>("reserve", l.reserve, "a percentage like \"25%\", up to 90%", [](std::string_view s) {
-            auto p = read_percentage(s);
-            return p && *p <= 0.9 ? p : std::nullopt;
-        });
-        t.size<std::size_t>("queue", l.queue, 0, 100000);
-        t.duration("wait", l.wait, false);
-        t.size<std::size_t>("shapes", l.shapes, 16, 1000000);
-        t.unit<double>("shape_share", l.shape_share, "a percentage like \"25%\"", [](std::string_view s) {
-            auto p = read_percentage(s);
-            return p && *p > 0 && *p <= 1 ? p : std::nullopt;
-        });
-        t.duration("costly", l.costly);
-        t.size<unsigned>("trial", l.trial, 1, 1000);
-        t.size<unsigned>("trial_outcomes", l.trial_outcomes, 1, 1000);
-        t.size<unsigned>("timeouts", l.timeouts, 1, 1000);
-        t.duration("quarantine", l.quarantine);
-        t.duration("quarantine_most", l.quarantine_most);
-        t.duration("longest_retry_after", l.max_retry_after);
-        if (l.quarantine_most < l.quarantine)
-            reader.wrong(t.raw().source(), "quarantine_most: shorter than quarantine");
+void read_declarations(TomlReader& reader, TomlReader::Table& root, statement::Rules& rules) {
+    reader.read_tables(root, "function", [&](TomlReader::Table& table) {
+        std::string name = table.read_required_name();
+        rules.declare_function(name, read_effect(table, Effect::writes));
+    });
+    reader.read_tables(root, "operator", [&](TomlReader::Table& table) {
+        std::string name = table.read_required_name();
+        rules.declare_operator(name, read_effect(table, Effect::reads));
     });
+    reader.read_tables(root, "relation", [&](TomlReader::Table& table) {
+        std::string name = table.read_required_name();
+        rules.declare_relation(name, read_effect(table, Effect::writes));
+    });
+    reader.read_tables(root, "type",
+                       [&](TomlReader::Table& table) { rules.declare_type(table.read_required_name()); });
+}
+
+void read_limits(TomlReader& reader, TomlReader::Table& table, limits::Settings& limits) {
+    table.read_bool("enabled", limits.enabled);
+    table.read_duration("work", limits.work);
+    table.read_with_unit<double>("reserve", limits.reserve, "a percentage like \"25%\", up to 90%",
+                                 [](std::string_view text) {
+                                     auto reserve = read_percentage(text);
+                                     return reserve && *reserve <= kMaxReserve ? reserve : std::nullopt;
+                                 });
+    table.read_whole_number<std::size_t>("queue", limits.queue, 0, 100000);
+    table.read_duration_or_zero("wait", limits.wait);
+    table.read_whole_number<std::size_t>("shapes", limits.shapes, 16, 1000000);
+    read_share(table, "shape_share", limits.shape_share, "a percentage like \"25%\"");
+    table.read_duration("costly", limits.costly);
+    table.read_whole_number<unsigned>("trial", limits.trial, 1, 1000);
+    table.read_whole_number<unsigned>("trial_outcomes", limits.trial_outcomes, 1, 1000);
+    table.read_whole_number<unsigned>("timeouts", limits.timeouts, 1, 1000);
+    table.read_duration("quarantine", limits.quarantine);
+    table.read_duration("quarantine_most", limits.quarantine_most);
+    table.read_duration("longest_retry_after", limits.max_retry_after);
+    if (limits.quarantine_most < limits.quarantine)
+        reader.report_error(table.raw().source(), "quarantine_most: shorter than quarantine");
+}
+
+// [[share]] of tenants; "*" stands for all others, which share what is left where it isn't given.
+void read_tenant_shares(TomlReader& reader, TomlReader::Table& root, limits::Settings& limits) {
     double total = 0;
-    reader.each(root, "share", [&](TomlReader::Table& t) {
-        std::string tenant = t.name("tenant");
+    reader.read_tables(root, "share", [&](TomlReader::Table& table) {
+        std::string tenant = table.read_required_name("tenant");
         double share = 0;
-        t.unit<double>("share", share, "a percentage like \"59%\"", [](std::string_view s) {
-            auto p = read_percentage(s);
-            return p && *p > 0 && *p <= 1 ? p : std::nullopt;
-        });
-        if (!t.raw().get("share")) reader.wrong(t.raw().source(), "[[share]] needs a 'share'");
+        read_share(table, "share", share, "a percentage like \"59%\"");
+        if (!table.raw().get("share")) reader.report_error(table.raw().source(), "[[share]] needs a 'share'");
         total += share;
-        if (total > 1 + 1e-9) reader.wrong(t.raw().source(), "the shares come to more than 100%");
+        if (total > 1 + kRoundingError)
+            reader.report_error(table.raw().source(), "the shares come to more than 100%");
         if (tenant == "*")
-            l.other_share = share;
-        else if (!l.shares.emplace(tenant, share).second)
-            reader.wrong(t.raw().source(), "'" + tenant + "' has a share already");
+            limits.other_share = share;
+        else if (!limits.shares.emplace(tenant, share).second)
+            reader.report_error(table.raw().source(), "'" + tenant + "' has a share already");
     });
-    if (!l.shares.empty() && l.other_share >= 1) l.other_share = std::max(0.01, 1 - total);
+    if (!limits.shares.empty() && limits.other_share >= 1)
+        limits.other_share = std::max(kMinOtherShare, 1 - total);
 }
 
 }  // namespace
 
 StatementConfig parse_statement_config(const std::string& text, const std::string& file) {
     toml::table parsed = parse_toml(text, file);
-    StatementConfig c;
+    StatementConfig config;
     TomlReader reader(file);
     {
         TomlReader::Table root(reader, parsed, "the file");
-        reader.one(root, "statements", [&](TomlReader::Table& t) {
-            t.value<bool>("open", c.open, "true or false");
-            t.route("unparsed", c.rules.policy.unparsed);
-            t.route("session", c.rules.policy.session);
-            t.route("transaction", c.rules.policy.transaction);
-            auto bytes = [](std::size_t least, std::size_t most) {
-                return [=](std::string_view s) {
-                    auto v = read_size(s);
-                    return v && *v >= least && *v <= most ? v : std::nullopt;
-                };
-            };
-            t.unit<std::size_t>("cache", c.judge.cache, "a size like \"8MiB\", from 64KiB to 1GiB",
-                                bytes(64 << 10, 1 << 30));
-            t.unit<std::size_t>("longest_parsed", c.judge.longest_parsed,
-                                "a size like \"16KiB\", from 256B to 1MiB", bytes(256, 1 << 20));
-            t.size<double>("parses_per_second", c.judge.parses_per_second, 1, 1e6);
-            if (t.get("group")) {
-                std::uint32_t group = 0;
-                t.size<std::uint32_t>("group", group, 0, 0xffffffffu);
-                c.group = group;
-            }
-            t.value<std::string>("read_class", c.read_class, "a class's name");
-            t.value<std::string>("primary_class", c.primary_class, "a class's name");
-            t.value<std::string>("write_class", c.write_class, "a class's name");
-        });
-        reader.each(root, "function", [&](TomlReader::Table& t) {
-            std::string name = t.name();
-            c.rules.declare_function(name, effect(t, Effect::writes));
-        });
-        reader.each(root, "operator", [&](TomlReader::Table& t) {
-            std::string name = t.name();
-            c.rules.declare_operator(name, effect(t, Effect::reads));
-        });
-        reader.each(root, "relation", [&](TomlReader::Table& t) {
-            std::string name = t.name();
-            c.rules.declare_relation(name, effect(t, Effect::writes));
-        });
-        reader.each(root, "type", [&](TomlReader::Table& t) { c.rules.declare_type(t.name()); });
-        read_classes(reader, root, c);
-        read_limits(reader, root, c);
+        reader.read_table(root, "statements",
+                          [&](TomlReader::Table& table) { read_statements(table, config); });
+        read_declarations(reader, root, config.rules);
+        ClassReader classes(reader, config.rules);
+        reader.read_tables(root, "class", [&](TomlReader::Table& table) { classes.read(table); });
+        reader.read_table(root, "limits",
+                          [&](TomlReader::Table& table) { read_limits(reader, table, config.limits); });
+        read_tenant_shares(reader, root, config.limits);
     }
     reader.finish();
-    return c;
+    return config;
 }
 
 StatementConfig read_statement_config(const std::string& path) {
--- a/src/program/statement_rules.hpp
+++ b/src/program/statement_rules.hpp
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "limits/types.hpp"
+#include "program/config_error.hpp"
 #include "program/units.hpp"
 #include "statement/statement_analyzer.hpp"
 
@@ -22,7 +23,8 @@
     std::string read_class, primary_class, write_class;
 };
 
-using StatementConfigError = FileError;
+// The name that other folders' tests use.
+using StatementConfigError = ConfigError;
 
 StatementConfig parse_statement_config(const std::string& text, const std::string& file);
 StatementConfig read_statement_config(const std::string& path);
--- a/src/program/store_config.cpp
+++ b/src/program/store_config.cpp
@@ -5,35 +5,44 @@
 
 namespace indigovane::program {
 
+namespace {
+
+constexpr std::size_t kKiB = 1 << 10;
+constexpr std::size_t kMiB = 1 << 20;
+constexpr std::size_t kGiB = 1 << 30;
+
+void read_store(TomlReader::Table& table, StoreConfig& config) {
+    config.folder = table.read_required_name("folder");
+    table.read_size("budget", config.budget, "a size like \"256MiB\", from 1MiB to 64GiB", kMiB, 64 * kGiB);
+    table.read_size("segment", config.segment, "a size like \"4MiB\", from 64KiB to 64MiB", 64 * kKiB,
+                    64 * kMiB);
+    table.read_size("compact_per_second", config.compact_per_second, "a size like \"8MiB\", from 64KiB up",
+                    64 * kKiB, 4 * kGiB);
+    table.read_duration_or_zero("sync_interval", config.sync_interval);
+    table.read_duration("retention", config.retention);
+    table.read_duration("lease", config.lease);
+    table.read_bool("salvage", config.salvage);
+}
+
+void check_store(TomlReader& reader, TomlReader::Table& table, StoreConfig& config) {
+    const toml::node* folder = table.find("folder");
+    if (!folder || config.folder.empty()) return;
+    store::FolderCheck check = store::check_folder(config.folder);
+    if (!check.status.ok()) reader.report_error(folder->source(), "folder: " + check.status.text());
+    config.in_memory = check.in_memory;
+    if (config.budget < 4 * config.segment)
+        reader.report_error(table.raw().source(), "budget: at least four segments are needed");
+}
+
+}  // namespace
+
 StoreConfig parse_store_config(const std::string& text, const std::string& file) {
-    StoreConfig c;
-    read_only_table(text, file, "store", [&](TomlReader& reader, TomlReader::Table& t) {
-        c.folder = t.name("folder");
-        auto bytes = [](std::size_t least, std::size_t most) {
-            return [=](std::string_view s) {
-                auto v = read_size(s);
-                return v && *v >= least && *v <= most ? v : std::nullopt;
-            };
-        };
-        t.unit<std::size_t>("budget", c.budget, "a size like \"256MiB\", from 1MiB to 64GiB",
-                            bytes(1 << 20, std::size_t(64) << 30));
-        t.unit<std::size_t>("segment", c.segment, "a size like \"4MiB\", from 64KiB to 64MiB",
-                            bytes(64 << 10, 64 << 20));
-        t.unit<std::size_t>("compact_per_second", c.compact_per_second, "a size like \"8MiB\", from 64KiB up",
-                            bytes(64 << 10, std::size_t(4) << 30));
-        t.duration("sync_interval", c.sync_interval, false);
-        t.duration("retention", c.retention);
-        t.duration("lease", c.lease);
-        t.value<bool>("salvage", c.salvage, "true or false");
-        const toml::node* folder = t.get("folder");
-        if (!folder || c.folder.empty()) return;
-        store::FolderCheck check = store::check_folder(c.folder);
-        if (!check.status.ok()) reader.wrong(folder->source(), "folder: " + check.status.text());
-        c.in_memory = check.in_memory;
-        if (c.budget < 4 * c.segment)
-            reader.wrong(t.raw().source(), "budget: at least four segments are needed");
+    StoreConfig config;
+    read_single_table(text, file, "store", [&](TomlReader& reader, TomlReader::Table& table) {
+        read_store(table, config);
+        check_store(reader, table, config);
     });
-    return c;
+    return config;
 }
 
 StoreConfig read_store_config(const std::string& path) {
--- a/src/program/store_config.hpp
+++ b/src/program/store_config.hpp
@@ -3,7 +3,8 @@
 
 #include <string>
 
-#include "program/units.hpp"
+#include "limits/types.hpp"
+#include "program/config_error.hpp"
 
 namespace indigovane::program {
 
@@ -19,7 +20,7 @@
     bool in_memory = false;  // the folder is: told as a warning
 };
 
-// Throws FileError: what is wrong with the file, or with the folder (not there, another's, not writable).
+// Throws ConfigError: what is wrong with the file, or with the folder (not there, another's, not writable).
 StoreConfig parse_store_config(const std::string& text, const std::string& file);
 StoreConfig read_store_config(const std::string& path);
 
