--- a/src/program/store_command.cpp
+++ b/src/program/store_command.cpp
@@ -1,344 +1,193 @@
 #include "program/store_command.hpp"
 
 #include <boost/program_options.hpp>
-#include <chrono>
-#include <iostream>
+#include <istream>
 #include <map>
 #include <nlohmann/json.hpp>
+#include <ostream>
 #include <random>
 
-#include "store/log_worker.hpp"
-#include "store/positions.hpp"
+#include "program/offline_store.hpp"
+#include "program/store_record_json.hpp"
 
 namespace indigovane::program {
 
 namespace options = boost::program_options;
 using nlohmann::ordered_json;
-using namespace indigovane::store;
+using store::Record;
+using store::Recovered;
+using store::Space;
 
 namespace {
 
-constexpr int kTorn = 3, kDamaged = 4;
+// Exit statuses.
+constexpr int kSuccess = 0;
+constexpr int kFailure = 1;
+constexpr int kTornTail = 3;
+constexpr int kDamaged = 4;
+
+// What each subcommand works with.
+struct Invocation {
+    std::string folder;
+    bool salvage = false;
+    std::istream& in;
+    std::ostream& out;
+    std::ostream& errors;
+
+    OfflineStore open(OfflineStore::Access access) const { return {folder, salvage, access}; }
+    void print_findings(const Recovered& recovered) const {
+        for (const store::Finding& finding : recovered.findings)
+            errors << "indigovane store: " << folder << "/" << finding.text() << "\n";
+    }
+    void print_status(const Recovered& recovered) const {
+        errors << "indigovane store: " << recovered.status.text() << "\n";
+    }
+    // Prints the findings; false, and the reason as well: there is nothing to go on with.
+    bool is_usable(const Recovered& recovered) const {
+        print_findings(recovered);
+        if (!recovered.usable() && !recovered.status.ok()) print_status(recovered);
+        return recovered.usable();
+    }
+    void print(const OfflineStore::Entry& entry) const {
+        out << write_record_line(entry.record, entry.sequence) << "\n";
+    }
+};
 
-std::uint64_t now_ms() {
-    return std::uint64_t(std::chrono::duration_cast<std::chrono::milliseconds>(
-                             std::chrono::system_clock::now().time_since_epoch())
-                             .count());
+int dump(const Invocation& invocation) {
+    OfflineStore opened = invocation.open(OfflineStore::Access::read);
+    if (!invocation.is_usable(opened.recovered())) return kFailure;
+    for (const auto& [key, entry] : opened.entries()) invocation.print(entry);
+    return kSuccess;
 }
 
-std::string hex(std::string_view bytes) {
-    static constexpr char digits[] = "0123456789abcdef";
-    std::string out;
-    for (char c : bytes) {
-        out += digits[std::uint8_t(c) >> 4];
-        out += digits[std::uint8_t(c) & 15];
-    }
-    return out;
-}
-std::optional<std::string> unhex(std::string_view text) {
-    auto digit = [](char c) {
-        return c >= '0' && c <= '9' ? c - '0' : c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
-    };
-    std::string out;
-    if (text.size() % 2) return std::nullopt;
-    for (std::size_t i = 0; i < text.size(); i += 2) {
-        int high = digit(text[i]), low = digit(text[i + 1]);
-        if (high < 0 || low < 0) return std::nullopt;
-        out += char(high << 4 | low);
-    }
-    return out;
+int get(const Invocation& invocation, const std::string& space_name, const std::string& key_text) {
+    auto space = store::read_space(space_name);
+    if (!space) throw OfflineStoreError("there is no space '" + space_name + "'");
+    std::optional<std::string> key = key_text;
+    if (*space == Space::positions) key = read_session_key(key_text);
+    if (!key) throw OfflineStoreError("a session is 16 hex digits");
+    OfflineStore opened = invocation.open(OfflineStore::Access::read);
+    if (!opened.recovered().usable()) {
+        invocation.is_usable(opened.recovered());
+        return kFailure;
+    }
+    auto found = opened.entries().find({*space, *key});
+    if (found == opened.entries().end()) throw OfflineStoreError("there is no such key");
+    invocation.print(found->second);
+    return kSuccess;
 }
 
-// A value that is text stands as text, any other as {"hex": ...}; keys and values of positions as numbers
-// would lose digits in JSON, so a session is 16 hex digits and its value an object.
-bool is_text(std::string_view bytes) {
-    for (char c : bytes)
-        if (std::uint8_t(c) < 0x20 || std::uint8_t(c) >= 0x7f) return false;
-    return true;
-}
-ordered_json shown(std::string_view bytes) {
-    if (is_text(bytes)) return std::string(bytes);
-    return {{"hex", hex(bytes)}};
-}
-std::optional<std::string> unshown(const ordered_json& value) {
-    if (value.is_string()) return value.get<std::string>();
-    if (value.is_object() && value.size() == 1 && value.contains("hex") && value["hex"].is_string())
-        return unhex(value["hex"].get<std::string>());
-    return std::nullopt;
+ordered_json statistics(const OfflineStore& opened) {
+    std::uint64_t live_bytes = 0;
+    std::map<std::string, std::uint64_t> by_space;
+    for (const auto& [key, entry] : opened.entries()) {
+        live_bytes += store::cost(entry.record.key.size(), entry.record.value.size());
+        ++by_space[store::name(key.first)];
+    }
+    const Recovered& recovered = opened.recovered();
+    ordered_json json;
+    json["state"] = recovered.outcome == Recovered::Outcome::torn ? "torn" : "whole";
+    json["segments"] = recovered.manifest.segments.size();
+    json["epoch"] = recovered.manifest.epoch;
+    json["bytes"] = recovered.bytes;
+    json["records"] = recovered.records;
+    json["live_records"] = opened.entries().size();
+    json["live_bytes"] = live_bytes;
+    json["next_sequence"] = recovered.next_sequence;
+    json["spaces"] = by_space;
+    return json;
 }
 
-struct Line {
-    Record record;
-    std::uint64_t sequence = 0;
-};
-
-ordered_json to_json(const Line& line) {
-    const Record& r = line.record;
-    ordered_json o;
-    o["space"] = name(r.space);
-    if (r.space == Space::positions) {
-        std::uint64_t value = decode_u64(r.value).value_or(0);
-        o["key"] = hex(r.key);
-        o["value"] = {{"commit_us", Positions::commit(value)}, {"open", Positions::open(value)}};
-    } else {
-        o["key"] = shown(r.key);
-        o["value"] = shown(r.value);
+int stat(const Invocation& invocation) {
+    OfflineStore opened = invocation.open(OfflineStore::Access::read);
+    if (!opened.recovered().usable()) {
+        invocation.is_usable(opened.recovered());
+        return kFailure;
     }
-    o["sequence"] = line.sequence;
-    if (r.expires_ms > 0) o["expires_ms"] = r.expires_ms;
-    return o;
+    invocation.out << statistics(opened).dump(2) << "\n";
+    return kSuccess;
 }
 
-std::optional<Record> from_json(const ordered_json& o, std::string& why) {
-    auto wrong = [&](const char* what) {
-        why = what;
-        return std::nullopt;
-    };
-    if (!o.is_object()) return wrong("an object is wanted");
-    for (auto& [key, value] : o.items())
-        if (key != "space" && key != "key" && key != "value" && key != "sequence" && key != "expires_ms")
-            return wrong("a key that is not known");
-    if (!o.contains("space") || !o["space"].is_string()) return wrong("space: a name is wanted");
-    auto space = read_space(o["space"].get<std::string>());
-    if (!space) return wrong("space: there is none of this name");
-    if (!o.contains("key") || !o.contains("value")) return wrong("key and value are wanted");
-    Record r;
-    r.space = *space;
-    if (o.contains("expires_ms")) {
-        if (!o["expires_ms"].is_number_unsigned()) return wrong("expires_ms: a number is wanted");
-        r.expires_ms = o["expires_ms"].get<std::uint64_t>();
-    }
-    if (r.space == Space::positions) {
-        auto key = o["key"].is_string() ? unhex(o["key"].get<std::string>()) : std::nullopt;
-        const auto& v = o["value"];
-        if (!key || key->size() != 8) return wrong("key: a session is 16 hex digits");
-        if (!v.is_object() || !v.contains("commit_us") || !v["commit_us"].is_number_unsigned() ||
-            !v.contains("open") || !v["open"].is_boolean() || v["commit_us"].get<std::uint64_t>() >> 62)
-            return wrong("value: {\"commit_us\": number, \"open\": true or false} is wanted");
-        r.key = *key;
-        r.value = encode_u64(Positions::value(v["commit_us"].get<std::uint64_t>(), v["open"].get<bool>()));
-        return r;
+int verify(const Invocation& invocation) {
+    OfflineStore opened = invocation.open(OfflineStore::Access::read);
+    const Recovered& recovered = opened.recovered();
+    invocation.print_findings(recovered);
+    switch (recovered.outcome) {
+        case Recovered::Outcome::whole:
+            invocation.out << "whole: " << recovered.records << " records in "
+                           << recovered.manifest.segments.size() << " segments\n";
+            return kSuccess;
+        case Recovered::Outcome::torn:
+            invocation.out << "torn tail: " << recovered.findings.back().text() << "\n";
+            return kTornTail;
+        case Recovered::Outcome::damaged:
+            invocation.out << "damaged: " << recovered.findings.back().text() << "\n";
+            return kDamaged;
+        case Recovered::Outcome::newer:
+            invocation.out << "newer: " << recovered.findings.back().text() << "\n";
+            return kFailure;
+        default:
+            invocation.print_status(recovered);
+            return kFailure;
     }
-    auto key = unshown(o["key"]), value = unshown(o["value"]);
-    if (!key || !value) return wrong("key and value: text or {\"hex\": \"...\"}");
-    if (key->size() > kKeyMost || value->size() > kValueMost) return wrong("key or value: too long");
-    r.key = *key;
-    r.value = *value;
-    return r;
 }
 
-class Command {
-  public:
-    Command(std::string folder, bool salvage, std::ostream& out, std::ostream& errors)
-        : folder_(std::move(folder)), salvage_(salvage), out_(out), errors_(errors) {}
-
-    // `make`: the folder may be empty, or not there yet.
-    bool open(bool make, bool writes = false) {
-        if (!make) {
-            if (FolderCheck check = check_folder(folder_); !check.status.ok())
-                return fail(check.status.text());
-        }
-        if (IoStatus s = open_folder(folder_, environment_); !s.ok()) return fail(s.text());
-        if (IoStatus s = environment_->lock(lock_, make || writes); !s.ok())
-            return fail(s.code == EWOULDBLOCK ? "another process has it open" : s.text());
-        found_ = recover(*environment_, salvage_, [&](Record&& r, std::uint64_t sequence) {
-            auto at = std::pair(r.space, r.key);
-            if (r.type == Record::Type::remove)
-                live_.erase(at);
-            else
-                live_[at] = {std::move(r), sequence};
-        });
-        std::uint64_t now = now_ms();
-        std::erase_if(live_, [&](auto& item) {
-            return item.second.record.expires_ms != 0 && item.second.record.expires_ms <= now;
-        });
-        if (found_.outcome == Recovered::Outcome::fresh && !make) return fail("there is no store in it");
-        return true;
-    }
-    bool fail(const std::string& why) {
-        errors_ << "indigovane store: " << folder_ << ": " << why << "\n";
-        return false;
-    }
-    void tell() const {
-        for (const Finding& f : found_.findings)
-            errors_ << "indigovane store: " << folder_ << "/" << f.text() << "\n";
-    }
-    int unusable() const {
-        tell();
-        if (!found_.status.ok()) errors_ << "indigovane store: " << found_.status.text() << "\n";
-        return 1;
-    }
-
-    int dump() {
-        if (!open(false)) return 1;
-        if (!found_.usable()) return unusable();
-        tell();
-        for (auto& [at, line] : live_)
-            out_ << to_json(line).dump(-1, ' ', false, ordered_json::error_handler_t::replace) << "\n";
-        return 0;
-    }
-
-    int get(const std::string& space_name, const std::string& key_text) {
-        auto space = read_space(space_name);
-        if (!space) return fail("there is no space '" + space_name + "'"), 1;
-        std::string key = key_text;
-        if (*space == Space::positions) {
-            auto bytes = unhex(key_text);
-            if (!bytes || bytes->size() != 8) return fail("a session is 16 hex digits"), 1;
-            key = *bytes;
-        }
-        if (!open(false)) return 1;
-        if (!found_.usable()) return unusable();
-        auto it = live_.find({*space, key});
-        if (it == live_.end()) return fail("there is no such key"), 1;
-        out_ << to_json(it->second).dump(-1, ' ', false, ordered_json::error_handler_t::replace) << "\n";
-        return 0;
-    }
-
-    int stat() {
-        if (!open(false)) return 1;
-        if (!found_.usable()) return unusable();
-        std::uint64_t live = 0;
-        std::map<std::string, std::uint64_t> counts;
-        for (auto& [at, line] : live_) {
-            live += cost(line.record.key.size(), line.record.value.size());
-            ++counts[name(at.first)];
-        }
-        ordered_json o;
-        o["state"] = found_.outcome == Recovered::Outcome::torn ? "torn" : "whole";
-        o["segments"] = found_.manifest.segments.size();
-        o["epoch"] = found_.manifest.epoch;
-        o["bytes"] = found_.bytes;
-        o["records"] = found_.records;
-        o["live_records"] = live_.size();
-        o["live_bytes"] = live;
-        o["next_sequence"] = found_.next_sequence;
-        o["spaces"] = counts;
-        out_ << o.dump(2) << "\n";
-        return 0;
-    }
-
-    int verify() {
-        if (!open(false)) return 1;
-        tell();
-        switch (found_.outcome) {
-            case Recovered::Outcome::whole:
-                out_ << "whole: " << found_.records << " records in " << found_.manifest.segments.size()
-                     << " segments\n";
-                return 0;
-            case Recovered::Outcome::torn:
-                out_ << "torn tail: " << found_.findings.back().text() << "\n";
-                return kTorn;
-            case Recovered::Outcome::damaged:
-                out_ << "damaged: " << found_.findings.back().text() << "\n";
-                return kDamaged;
-            case Recovered::Outcome::newer:
-                out_ << "newer: " << found_.findings.back().text() << "\n";
-                return 1;
-            default:
-                errors_ << "indigovane store: " << found_.status.text() << "\n";
-                return 1;
-        }
-    }
+std::vector<Record> live_records(const OfflineStore& opened) {
+    std::vector<Record> records;
+    for (const auto& [key, entry] : opened.entries()) records.push_back(entry.record);
+    return records;
+}
 
-    // All that lives, in a new generation.
-    int compact() {
-        if (!open(false, true)) return 1;
-        if (!found_.usable()) return unusable();
-        tell();
-        std::uint64_t before = found_.bytes;
-        Writer writer(*environment_, {});
-        if (IoStatus s = begin(writer, 0); !s.ok()) return fail(s.text()), 1;
-        if (IoStatus s = writer.restart(found_.next_sequence); !s.ok()) return fail(s.text()), 1;
-        std::vector<Record> records;
-        for (auto& [at, line] : live_) records.push_back(line.record);
-        if (!write(writer, std::move(records), found_.next_sequence)) return 1;
-        if (IoStatus s = writer.switch_over(); !s.ok()) return fail(s.text()), 1;
-        out_ << before << " bytes before, " << writer.bytes() << " after, " << live_.size() << " records\n";
-        return 0;
-    }
+// All live records, in a new generation.
+int compact(const Invocation& invocation) {
+    OfflineStore opened = invocation.open(OfflineStore::Access::rewrite);
+    if (!invocation.is_usable(opened.recovered())) return kFailure;
+    std::uint64_t before = opened.recovered().bytes;
+    std::uint64_t after = opened.rewrite(live_records(opened), 0);
+    invocation.out << before << " bytes before, " << after << " after, " << opened.entries().size()
+                   << " records\n";
+    return kSuccess;
+}
 
-    int load(std::istream& in) {
-        std::vector<Record> records;
-        std::string text, why;
-        for (std::size_t number = 1; std::getline(in, text); ++number) {
-            if (text.empty()) continue;
-            auto o = ordered_json::parse(text, nullptr, false);
-            auto record = o.is_discarded() ? (why = "it is no JSON", std::nullopt) : from_json(o, why);
-            // All or nothing: half of what was meant is worse than none.
-            if (!record)
-                return fail("line " + std::to_string(number) + ": " + why + "; nothing was loaded"), 1;
-            records.push_back(std::move(*record));
+// All lines or none: half of what was meant is worse than nothing.
+std::vector<Record> read_records(std::istream& in) {
+    std::vector<Record> records;
+    std::string line;
+    for (std::size_t number = 1; std::getline(in, line); ++number) {
+        if (line.empty()) continue;
+        try {
+            records.push_back(read_record_line(line));
+        } catch (const RecordFormatError& error) {
+            throw OfflineStoreError("line " + std::to_string(number) + ": " + error.what() +
+                                    "; nothing was loaded");
         }
-        if (!open(true)) return 1;
-        if (!found_.usable()) return unusable();
-        tell();
-        std::random_device random;
-        Writer writer(*environment_, {});
-        if (IoStatus s = begin(writer, std::uint64_t(random()) << 32 | random()); !s.ok())
-            return fail(s.text()), 1;
-        std::size_t count = records.size();
-        // A new generation of what was there and what comes: one or the other after a crash, never half.
-        std::vector<Record> all;
-        for (auto& [at, line] : live_) all.push_back(line.record);
-        for (Record& r : records) all.push_back(std::move(r));
-        if (IoStatus s = writer.restart(found_.next_sequence); !s.ok()) return fail(s.text()), 1;
-        if (!write(writer, std::move(all), found_.next_sequence)) return 1;
-        if (IoStatus s = writer.switch_over(); !s.ok()) return fail(s.text()), 1;
-        out_ << count << " records loaded\n";
-        return 0;
     }
+    return records;
+}
 
-  private:
-    IoStatus begin(Writer& writer, std::uint64_t number) {
-        return found_.salvaged ? writer.adopt(found_, number) : writer.begin(found_, number);
-    }
-    bool write(Writer& writer, std::vector<Record> records, std::uint64_t sequence) {
-        std::vector<Batch> group;
-        std::size_t bytes = 0;
-        auto flush = [&] {
-            if (group.empty()) return true;
-            IoStatus s = writer.write(group);
-            group.clear();
-            bytes = 0;
-            return s.ok() || fail(s.text());
-        };
-        Batch batch;
-        auto add = [&] {
-            if (batch.records.empty()) return;
-            batch.sequence = sequence;
-            sequence += batch.records.size();
-            group.push_back(std::move(batch));
-            batch = {};
-        };
-        std::size_t in_batch = 0;
-        for (Record& r : records) {
-            std::size_t size = cost(r.key.size(), r.value.size());
-            if (in_batch + size > (1u << 20)) {
-                add();
-                in_batch = 0;
-            }
-            in_batch += size;
-            bytes += size;
-            batch.records.push_back(std::move(r));
-            if (bytes > (4u << 20)) {
-                add();
-                in_batch = 0;
-                if (!flush()) return false;
-            }
-        }
-        add();
-        return flush();
-    }
+// A new generation of what was there and what is loaded.
+int load(const Invocation& invocation) {
+    std::vector<Record> loaded = read_records(invocation.in);
+    OfflineStore opened = invocation.open(OfflineStore::Access::create);
+    if (!invocation.is_usable(opened.recovered())) return kFailure;
+    std::size_t count = loaded.size();
+    std::vector<Record> all = live_records(opened);
+    for (Record& record : loaded) all.push_back(std::move(record));
+    std::random_device random;
+    std::uint64_t store_number = std::uint64_t(random()) << 32 | random();
+    opened.rewrite(std::move(all), store_number);
+    invocation.out << count << " records loaded\n";
+    return kSuccess;
+}
 
-    std::string folder_;
-    bool salvage_;
-    std::ostream &out_, &errors_;
-    std::unique_ptr<Environment> environment_;
-    std::unique_ptr<Lock> lock_;
-    Recovered found_;
-    std::map<std::pair<Space, std::string>, Line> live_;
-};
+int run(const std::vector<std::string>& words, const Invocation& invocation) {
+    static const std::map<std::string, int (*)(const Invocation&)> kSubcommands{
+        {"dump", dump}, {"stat", stat}, {"verify", verify}, {"compact", compact}, {"load", load}};
+    if (words.size() == 4 && words[0] == "get") return get(invocation, words[2], words[3]);
+    auto subcommand = words.size() == 2 ? kSubcommands.find(words[0]) : kSubcommands.end();
+    if (subcommand != kSubcommands.end()) return subcommand->second(invocation);
+    throw options::error("store dump|stat|verify|compact|load DIR, or store get DIR SPACE KEY [--salvage]");
+}
 
 }  // namespace
 
@@ -355,16 +204,13 @@
     options::notify(values);
     std::vector<std::string> words;
     if (values.count("words")) words = values["words"].as<std::vector<std::string>>();
-    if (words.size() >= 2) {
-        Command command(words[1], values.count("salvage") > 0, out, errors);
-        if (words.size() == 2 && words[0] == "dump") return command.dump();
-        if (words.size() == 2 && words[0] == "stat") return command.stat();
-        if (words.size() == 2 && words[0] == "verify") return command.verify();
-        if (words.size() == 2 && words[0] == "compact") return command.compact();
-        if (words.size() == 2 && words[0] == "load") return command.load(in);
-        if (words.size() == 4 && words[0] == "get") return command.get(words[2], words[3]);
+    Invocation invocation{words.size() >= 2 ? words[1] : "", values.count("salvage") > 0, in, out, errors};
+    try {
+        return run(words, invocation);
+    } catch (const OfflineStoreError& error) {
+        errors << "indigovane store: " << invocation.folder << ": " << error.what() << "\n";
+        return kFailure;
     }
-    throw options::error("store dump|stat|verify|compact|load DIR, or store get DIR SPACE KEY [--salvage]");
 }
 
 }  // namespace indigovane::program
