--- a/src/program/excluded_endpoints.cpp
+++ b/src/program/excluded_endpoints.cpp
@@ -9,31 +9,35 @@
 #include <fstream>
 #include <stdexcept>
 
+#include "transport/channel.hpp"
+
 namespace indigovane::program {
 
 namespace {
-// Held while the file is read, changed and replaced: two processes may be called at once.
-class Lock {
-  public:
-    explicit Lock(const std::string& path) : fd_(::open(path.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600)) {
-        if (fd_ < 0 || ::flock(fd_, LOCK_EX) != 0) throw std::runtime_error("can't lock '" + path + "'");
-    }
-    ~Lock() {
-        if (fd_ >= 0) ::close(fd_);
-    }
-    Lock(const Lock&) = delete;
-    Lock& operator=(const Lock&) = delete;
-
-  private:
-    int fd_;
-};
-
-std::string identity(const std::string& path) {
-    struct stat s;
-    if (::stat(path.c_str(), &s) != 0) return {};
-    return std::to_string(s.st_ino) + "." + std::to_string(s.st_mtim.tv_sec) + "." +
-           std::to_string(s.st_mtim.tv_nsec) + "." + std::to_string(s.st_size);
+
+// Locked while the file is read, changed and replaced: operators may call two processes at once. Closing the
+// descriptor unlocks it.
+transport::Descriptor lock_file(const std::string& path) {
+    transport::Descriptor file(::open(path.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600));
+    if (!file || ::flock(file.get(), LOCK_EX) != 0) throw std::runtime_error("can't lock '" + path + "'");
+    return file;
+}
+
+// Differs once another process has replaced the file.
+std::string file_version(const std::string& path) {
+    struct stat status {};
+    if (::stat(path.c_str(), &status) != 0) return {};
+    return std::to_string(status.st_ino) + "." + std::to_string(status.st_mtim.tv_sec) + "." +
+           std::to_string(status.st_mtim.tv_nsec) + "." + std::to_string(status.st_size);
+}
+
+void apply(std::set<std::string>& uids, const std::string& uid, bool excluded) {
+    if (excluded)
+        uids.insert(uid);
+    else
+        uids.erase(uid);
 }
+
 }  // namespace
 
 ExcludedEndpoints::ExcludedEndpoints(const std::string& folder, const std::string& name) {
@@ -43,7 +47,7 @@
 }
 
 bool ExcludedEndpoints::load() {
-    seen_ = identity(path_);
+    loaded_version_ = file_version(path_);
     std::set<std::string> stored;
     std::ifstream in(path_);
     for (std::string line; std::getline(in, line);)
@@ -53,31 +57,35 @@
     return changed;
 }
 
-bool ExcludedEndpoints::stored() const {
-    return !path_.empty() && ::access(path_.c_str(), F_OK) == 0;
-}
-
-bool ExcludedEndpoints::refresh() {
-    return !path_.empty() && identity(path_) != seen_ && load();
-}
-
-void ExcludedEndpoints::change(const std::string& uid, bool out) {
-    auto apply = [&](std::set<std::string>& set) { out ? void(set.insert(uid)) : void(set.erase(uid)); };
-    if (path_.empty()) return apply(uids_);
-    Lock lock(path_ + ".lock");
-    load();
-    std::set<std::string> next = uids_;
-    apply(next);
-    if (next == uids_) return;
+// Replaced as a whole: a reader sees the old set or the new one.
+void ExcludedEndpoints::store(const std::set<std::string>& uids) {
     std::string fresh = path_ + ".new";
     {
         std::ofstream file(fresh, std::ios::trunc);
-        for (const std::string& line : next) file << line << "\n";
+        for (const std::string& uid : uids) file << uid << "\n";
         file.flush();
         if (!file) throw std::runtime_error("can't write '" + fresh + "'");
     }
     if (std::rename(fresh.c_str(), path_.c_str()) != 0)
         throw std::runtime_error("can't replace '" + path_ + "'");
+}
+
+bool ExcludedEndpoints::stored() const {
+    return !path_.empty() && ::access(path_.c_str(), F_OK) == 0;
+}
+
+bool ExcludedEndpoints::refresh() {
+    return !path_.empty() && file_version(path_) != loaded_version_ && load();
+}
+
+void ExcludedEndpoints::change(const std::string& uid, bool excluded) {
+    if (path_.empty()) return apply(uids_, uid, excluded);
+    transport::Descriptor lock = lock_file(path_ + ".lock");
+    load();
+    std::set<std::string> changed = uids_;
+    apply(changed, uid, excluded);
+    if (changed == uids_) return;
+    store(changed);
     load();
 }
 
--- a/src/program/lifecycle.cpp
+++ b/src/program/lifecycle.cpp
@@ -55,7 +55,7 @@
         services_.io.run_one();
         services_.io.poll();
         services_.core->run_batch();
-        if (services_.persistent_state) services_.persistent_state->carry();
+        if (services_.persistent_state) services_.persistent_state->flush();
         advance_phase();
         if (services_.io.stopped()) services_.io.restart();
     }
--- a/src/program/log.cpp
+++ b/src/program/log.cpp
@@ -9,27 +9,44 @@
 using routing::Level;
 
 namespace {
-constexpr int kLinesPerSecond = 10;  // with one message id
+
+constexpr int kLinesPerSecond = 10;  // of one message id
 // An enterprise number for examples and documentation (RFC 5612): the project has none of its own.
 constexpr const char* kElement = "indigovane@32473";
 
-std::int64_t unix_micros() {
+std::int64_t unix_microseconds() {
     return std::chrono::duration_cast<std::chrono::microseconds>(
                std::chrono::system_clock::now().time_since_epoch())
         .count();
 }
+
 std::int64_t steady_seconds() {
     return std::chrono::duration_cast<std::chrono::seconds>(
                std::chrono::steady_clock::now().time_since_epoch())
         .count();
 }
+
+syslog::Severity severity_of(Level level) {
+    switch (level) {
+        case Level::error:
+            return syslog::Severity::error;
+        case Level::warning:
+            return syslog::Severity::warning;
+        case Level::notice:
+            return syslog::Severity::notice;
+        case Level::info:
+            break;
+    }
+    return syslog::Severity::informational;
+}
+
 }  // namespace
 
 Log::Log(std::string name, std::string process, Sink sink)
     : name_(std::move(name)), process_(std::move(process)), sink_(std::move(sink)) {}
 
-// The lines of this second; when a new one begins, what was left out of the one before is told.
-Log::Quota& Log::quota(const char* id) {
+// When a new second begins, the lines dropped in the one before are reported.
+Log::Quota& Log::current_quota(const char* id) {
     Quota& quota = quotas_[id];
     std::int64_t second = steady_seconds();
     if (second == quota.second) return quota;
@@ -40,49 +57,45 @@
     return quota;
 }
 
-// Nothing: the lines of this second are used up, and this one is counted as left out.
-Log::Quota* Log::room_for(const char* id) {
-    Quota& lines = quota(id);
-    if (lines.written < kLinesPerSecond) return &lines;
-    ++lines.dropped;
+// Nothing: this second's lines are used up, and this one counts as dropped.
+Log::Quota* Log::available_quota(const char* id) {
+    Quota& quota = current_quota(id);
+    if (quota.written < kLinesPerSecond) return &quota;
+    ++quota.dropped;
     return nullptr;
 }
 
 void Log::log(Level level, const char* id, const std::string& text, const Data& data) {
-    Quota* lines = room_for(id);
-    if (!lines) return;
-    ++lines->written;
-    auto severity = level == Level::error     ? syslog::Severity::error
-                    : level == Level::warning ? syslog::Severity::warning
-                    : level == Level::notice  ? syslog::Severity::notice
-                                              : syslog::Severity::informational;
-    write(severity, id, text, data);
+    Quota* quota = available_quota(id);
+    if (!quota) return;
+    ++quota->written;
+    write(severity_of(level), id, text, data);
 }
 
 void Log::write(syslog::Severity severity, const char* id, const std::string& text, const Data& data) {
-    syslog::Message m;
-    m.severity = severity;
-    m.timestamp = syslog::timestamp(unix_micros());
-    m.host = name_;
-    m.app = "indigovane";
-    m.process = process_;
-    m.id = id;
-    m.text = text;
-    if (!data.empty()) m.data.push_back({kElement, data});
-    std::string line = syslog::write(m);
-    bool taken = !sink_ || sink_(line);
-    if (more_) more_(line);
-    if (!taken) ++lost_;
-    if (taken && lost_ > 0) tell_lost();
+    syslog::Message message;
+    message.severity = severity;
+    message.timestamp = syslog::timestamp(unix_microseconds());
+    message.host = name_;
+    message.app = "indigovane";
+    message.process = process_;
+    message.id = id;
+    message.text = text;
+    if (!data.empty()) message.data.push_back({kElement, data});
+    std::string line = syslog::write(message);
+    bool accepted = !sink_ || sink_(line);
+    if (second_sink_) second_sink_(line);
+    if (!accepted) ++lost_lines_;
+    if (accepted && lost_lines_ > 0) report_lost_lines();
 }
 
-// The sink takes lines again, and is told how many it has missed. If it does not take this one, it is told
-// later.
-void Log::tell_lost() {
-    std::uint64_t missed = std::exchange(lost_, 0);
+// The sink accepts lines again, and gets the number of those that it has missed. If it does not accept this
+// line, it gets it later.
+void Log::report_lost_lines() {
+    std::uint64_t missed = std::exchange(lost_lines_, 0);
     write(syslog::Severity::warning, "lost", "the log's reader did not take lines",
           {{"count", std::to_string(missed)}});
-    if (lost_ > 0) lost_ = missed;
+    if (lost_lines_ > 0) lost_lines_ = missed;
 }
 
 }  // namespace indigovane::program
--- a/src/program/log.hpp
+++ b/src/program/log.hpp
@@ -1,6 +1,7 @@
-// Log lines: RFC 5424 with structured data, on standard output, a limited number in a second.
+// Log lines: RFC 5424 with structured data, a limited number a second of each message id.
 #pragma once
 
+#include <functional>
 #include <map>
 #include <string>
 
@@ -9,31 +10,38 @@
 
 namespace indigovane::program {
 
+// Not synchronized: belongs to the loop's thread.
 class Log : public routing::Logger {
   public:
-    using Sink = std::function<bool(const std::string& line)>;  // false: the line is lost
+    // False: the line is lost.
+    using Sink = std::function<bool(const std::string& line)>;
+    using SecondSink = std::function<void(const std::string& line)>;
 
+    // `name` and `process` are the host and process fields of each line.
     Log(std::string name, std::string process, Sink sink);
     virtual ~Log() = default;
-    void also(std::function<void(const std::string& line)> sink) { more_ = std::move(sink); }
+    // Gets all lines as well, until another takes its place; empty: none.
+    void also(SecondSink sink) { second_sink_ = std::move(sink); }
     void log(routing::Level level, const char* id, const std::string& text, const Data& data) override;
-    bool wants(const char* id) override { return room_for(id) != nullptr; }
+    bool wants(const char* id) override { return available_quota(id) != nullptr; }
 
   private:
     struct Quota {
         std::int64_t second = 0;  // of the steady clock: a step of the wall clock changes no limit
-        int written = 0, dropped = 0;
+        int written = 0;
+        int dropped = 0;
     };
-    void tell_lost();
-    Quota& quota(const char* id);
-    Quota* room_for(const char* id);
+    void report_lost_lines();
+    Quota& current_quota(const char* id);
+    Quota* available_quota(const char* id);
     void write(protocol::syslog::Severity severity, const char* id, const std::string& text,
                const Data& data);
 
-    std::string name_, process_;
+    std::string name_;
+    std::string process_;
     Sink sink_;
-    std::function<void(const std::string& line)> more_;
-    std::uint64_t lost_ = 0;               // lines that the sink did not take, not yet told
+    SecondSink second_sink_;
+    std::uint64_t lost_lines_ = 0;         // that the sink did not accept, not yet reported
     std::map<std::string, Quota> quotas_;  // by message id
 };
 
--- a/src/program/log_output.cpp
+++ b/src/program/log_output.cpp
@@ -9,8 +9,8 @@
 namespace indigovane::program {
 
 bool LogOutput::has_capacity() const {
-    pollfd p{descriptor_, POLLOUT, 0};
-    int ready = ::poll(&p, 1, 0);
+    pollfd polled{descriptor_, POLLOUT, 0};
+    int ready = ::poll(&polled, 1, 0);
     if (ready < 0) return errno == EINTR;  // interrupted: the write itself tells
     return ready > 0;
 }
--- a/src/program/log_output.hpp
+++ b/src/program/log_output.hpp
@@ -1,6 +1,5 @@
-// Where log lines go: a descriptor that may be a file, a pipe or a terminal. Writing never waits: a reader
-// that stalls may not hold up the process, so a line that there is no room for is lost, and the caller is
-// told so.
+// Where log lines go: a descriptor of a file, a pipe or a terminal. Writing never blocks: a reader that
+// stalls must not stall the process, so a line that doesn't fit now is lost, and the caller gets to know.
 #pragma once
 
 #include <string_view>
--- a/src/program/operator_calls.cpp
+++ b/src/program/operator_calls.cpp
@@ -67,7 +67,7 @@
     Reply reply{true, excluded ? "taken out" : "in use", {}};
     if (services_.persistent_state && services_.persistent_state->is_open())
         reply.later = [this, text = reply.text](std::function<void(std::string)> answer) {
-            services_.persistent_state->hosts(
+            services_.persistent_state->store_excluded_endpoints(
                 services_.excluded_endpoints.uids(), services_.core->put_back(),
                 [text, answer = std::move(answer)](bool on_disk) {
                     answer(on_disk ? text : text + " (not on disk: see the log)");
--- a/src/program/persistent_state.hpp
+++ b/src/program/persistent_state.hpp
@@ -1,74 +1,100 @@
-// The store in the life of the program: opened before anything is served, told of what must last, closed at
-// the end. In an upgrade the elder closes it when told to stop, and the heir opens it as soon as it can;
-// until then the witness says so.
+// What outlasts the process, by way of the store: sessions' commits, excluded endpoints, cost of statement
+// shapes, the endpoint list. Opened before anything is served and closed at the end. In an upgrade the
+// predecessor closes the store when it is told to stop, and the successor opens it as soon as it can; until
+// then the witness (store/positions.hpp) says that commits may be missing.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
+#include <functional>
+#include <map>
 #include <memory>
 #include <set>
+#include <string>
+#include <vector>
 
 #include "limits/cost_model.hpp"
 #include "program/store_config.hpp"
+#include "program/witness_file.hpp"
 #include "routing/core.hpp"
 #include "store/positions.hpp"
 #include "store/thread.hpp"
 
 namespace indigovane::program {
 
+// Belongs to the loop's thread; the store writes on a thread of its own.
 class PersistentState {
   public:
-    // `scratch`: memory-backed, for the witness; it outlasts the process, not the machine.
+    using OnDurable = std::function<void(bool on_disk)>;
+
+    // `scratch`: memory-backed folder, for the witness.
     PersistentState(boost::asio::io_context& io, const routing::Clock& clock, StoreConfig config,
-                    std::string scratch, const std::string& name, routing::Core& core,
+                    const std::string& scratch, const std::string& name, routing::Core& core,
                     routing::Logger& logger);
     ~PersistentState();
+    PersistentState(const PersistentState&) = delete;
+    PersistentState& operator=(const PersistentState&) = delete;
 
-    // `wait`: another process may have it open still: it is tried again until it has not. Throws ConfigError
-    // where it can't be used for another reason.
+    // `wait`: where another process has it open, it is tried again until that has closed it. Throws
+    // ConfigError where it can't be used for another reason.
     void open(bool wait);
     bool is_open() const { return thread_ != nullptr; }
-    void carry();  // after each batch of the loop
+    void flush();  // after each batch of the loop
     void close();  // all that was acknowledged is on disk then
 
-    void commit(std::uint64_t session, routing::Time commit);  // before the client is told
-    void begun(std::uint64_t session);
-    void ended(std::uint64_t session);
-    // What another process has written that goes on here.
+    void commit(std::uint64_t session, routing::Time commit);  // before the client is notified
+    void begin_write(std::uint64_t session);
+    void end_write(std::uint64_t session);
+    // What another process has committed for sessions that go on here.
     void inherit(const policy::SessionTokens& tokens);
+
     // Strict: `then` is called once it is on disk (true), or can't be for now (false); at once where nothing
-    // changes.
-    void hosts(const std::set<std::string>& excluded_endpoints,
-               const std::map<std::string, routing::Time>& put_back, std::function<void(bool)> then = {});
-    void list(const std::string& members, std::int64_t revision);
-    void shapes(const std::vector<limits::CostModel::Prior>& priors);
-    // From the last process: costs of shapes, no older than an hour;
-    std::vector<limits::CostModel::Prior> shapes() const;
-    // hosts taken out, and the list as it was last told, if it is newer than
-    // `revision`.
+    // changes. `readmissions`: when each endpoint was last readmitted.
+    void store_excluded_endpoints(const std::set<std::string>& excluded,
+                                  const std::map<std::string, routing::Time>& readmissions,
+                                  OnDurable then = {});
+    // `list` as program/endpoint_list_text.hpp writes it.
+    void store_endpoint_list(const std::string& list, std::int64_t revision);
+    void store_shape_costs(const std::vector<limits::CostModel::Prior>& priors);
+
+    // What earlier processes have stored; empty while the store is not open.
+    std::vector<limits::CostModel::Prior> shape_costs() const;
     std::set<std::string> excluded_endpoints() const;
-    std::optional<std::string> last_list(std::int64_t revision) const;
+    // The endpoint list, if it is newer than `revision`.
+    std::optional<std::string> newer_endpoint_list(std::int64_t revision) const;
 
   private:
-    void try_open(bool first);
-    void begin(store::Recovered& found);
-    bool keep_witness(store::Witness witness);
-    store::Witness read_witness() const;
+    struct DurableWait {
+        std::uint64_t ticket = 0;
+        OnDurable then;
+    };
+
+    void try_open(bool final_attempt);
+    void retry_open_later();
+    store::OpenOptions open_options() const;
+    std::function<void()> wake_loop();
+    void start(const store::Recovered& found);
+    void log_start(const store::Recovered& found, const store::Positions::Start& start);
+    void start_ticking();
+    void notify_durable();
     std::uint64_t now_us() const { return std::uint64_t(clock_.to_unix(clock_.now())); }
-    void watch();
-    void tell();
+    std::uint64_t now_ms() const { return now_us() / 1000; }
+    std::uint64_t unix_us(routing::Time at) const;
+    std::map<std::string, std::string> host_records(
+        const std::set<std::string>& excluded,
+        const std::map<std::string, routing::Time>& readmissions) const;
 
     boost::asio::io_context& io_;
     const routing::Clock& clock_;
     StoreConfig config_;
-    std::string witness_path_;
+    WitnessFile witness_;
     routing::Core& core_;
     routing::Logger& logger_;
-    std::unique_ptr<store::StoreThread> thread_;
+    std::unique_ptr<store::StoreThread> thread_;  // none: not open
     std::unique_ptr<store::Positions> positions_;
     boost::asio::steady_timer timer_;
-    std::vector<std::pair<std::uint64_t, std::function<void(bool)>>> waiting_;  // tickets
-    policy::SessionTokens inherited_;                                           // until it is open
+    std::vector<DurableWait> durable_waits_;
+    policy::SessionTokens inherited_;  // until it is open
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     bool closed_ = false;
 };
--- a/src/program/settings_log.cpp
+++ b/src/program/settings_log.cpp
@@ -49,22 +49,22 @@
     return "unknown";
 }
 
-std::string milliseconds(std::optional<policy::Duration> d) {
-    return std::to_string(d.value_or(policy::Duration::zero()).count() / 1000);
+std::string milliseconds(std::optional<policy::Duration> duration) {
+    return std::to_string(duration.value_or(policy::Duration::zero()).count() / 1000);
 }
 
 }  // namespace
 
 void log_classes(const Config& config, routing::Logger& logger) {
     for (const adapters::ClassInfo& info : config.classes.all()) {
-        const ClassSettings& c = config.settings.classes.at(std::size_t(info.id));
+        const ClassSettings& settings = config.settings.classes.at(std::size_t(info.id));
         routing::Logger::Data data{{"class", info.name},
-                                   {"consistency", name_of(c.consistency)},
-                                   {"effect", name_of(c.idempotency)},
-                                   {"deadline_ms", milliseconds(c.deadline)}};
-        if (c.idempotency == Idempotency::idempotency_key) {
-            data.push_back({"repeat_scope", name_of(c.deduplication_scope)});
-            data.push_back({"repeat_window_ms", milliseconds(c.deduplication_window)});
+                                   {"consistency", name_of(settings.consistency)},
+                                   {"effect", name_of(settings.idempotency)},
+                                   {"deadline_ms", milliseconds(settings.deadline)}};
+        if (settings.idempotency == Idempotency::idempotency_key) {
+            data.push_back({"repeat_scope", name_of(settings.deduplication_scope)});
+            data.push_back({"repeat_window_ms", milliseconds(settings.deduplication_window)});
         }
         logger.log(routing::Level::notice, "class", "settings in force", data);
     }
--- a/src/program/settings_log.hpp
+++ b/src/program/settings_log.hpp
@@ -1,5 +1,5 @@
-// Log lines that tell which settings are in force: what each class promises decides whether a request of it
-// may be sent again, and a report of an incident needs it.
+// Log lines that record which settings are in force: what each class promises decides whether a request of it
+// may be retried, and a report of an incident needs it.
 #pragma once
 
 #include "program/config.hpp"
--- a/src/program/shapes_command.cpp
+++ b/src/program/shapes_command.cpp
@@ -1,9 +1,10 @@
 #include "program/shapes_command.hpp"
 
-#include <boost/program_options.hpp>
-#include <iostream>
+#include <istream>
 #include <nlohmann/json.hpp>
+#include <ostream>
 
+#include "program/command_line.hpp"
 #include "program/statement_rules.hpp"
 
 namespace indigovane::program {
@@ -14,70 +15,77 @@
 
 namespace {
 
-ordered_json describe(const StatementProfile& j, const Rules& rules) {
-    ordered_json o;
-    o["shape"] = j.shape.hex();
-    o["kind"] = name(j.kind);
-    o["route"] = name(j.route);
-    o["reason"] = j.reason;
-    o["cost"] = estimate_cost(j);
-    o["class"] = nullptr;
-    if (j.request_class >= 0) o["class"] = rules.classes()[std::size_t(j.request_class)].name;
-    o["tables"] = j.tables;
-    return o;
+constexpr int kSuccess = 0;
+constexpr std::size_t kMaxPrintedText = 2000;  // bytes of a statement
+// Nobody waits here: each statement is parsed, whatever their number.
+constexpr double kUnlimitedParses = 1e18;  // a second
+
+std::string class_name(const StatementProfile& profile, const Rules& rules) {
+    return rules.classes()[std::size_t(profile.request_class)].name;
 }
 
-std::string line(const ordered_json& o) {
-    return o.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
+std::string describe(const StatementProfile& profile, const Rules& rules) {
+    ordered_json json;
+    json["shape"] = profile.shape.hex();
+    json["kind"] = name(profile.kind);
+    json["route"] = name(profile.route);
+    json["reason"] = profile.reason;
+    json["cost"] = estimate_cost(profile);
+    json["class"] = nullptr;
+    if (profile.request_class >= 0) json["class"] = class_name(profile, rules);
+    json["tables"] = profile.tables;
+    return json.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
-int classify(StatementAnalyzer& judge, bool null, std::istream& in, std::ostream& out) {
+int classify(StatementAnalyzer& analyzer, bool null_separated, std::istream& in, std::ostream& out) {
     std::string sql;
-    while (std::getline(in, sql, null ? '\0' : '\n')) {
-        if (!null && !sql.empty() && sql.back() == '\r') sql.pop_back();
-        out << line(describe(judge.judge(sql, {}), judge.rules())) << "\n";
+    while (std::getline(in, sql, null_separated ? '\0' : '\n')) {
+        if (!null_separated && !sql.empty() && sql.back() == '\r') sql.pop_back();
+        out << describe(analyzer.judge(sql, {}), analyzer.rules()) << "\n";
     }
     out.flush();
-    return 0;
+    return kSuccess;
+}
+
+void print_features(const Features& features, std::ostream& out) {
+    out << "features  relations " << int(features.relations) << ", joins " << int(features.joins)
+        << ", aggregates " << int(features.aggregates) << ", sorts " << int(features.sorts) << ", subqueries "
+        << int(features.subqueries) << ", functions " << int(features.functions)
+        << (features.no_filter ? ", no filter" : "") << (features.no_limit ? ", no limit" : "")
+        << (features.recursive ? ", recursive" : "") << "\n";
 }
 
-int explain(StatementAnalyzer& judge, const std::string& sql, std::ostream& out) {
-    const StatementProfile& j = judge.judge(sql, {});
-    const Scanner& scanner = judge.scanner();
-    out << "shape     " << j.shape.hex() << "\n"
-        << "text      " << printable(scanner.text(), 2000) << "\n"
+int explain(StatementAnalyzer& analyzer, const std::string& sql, std::ostream& out) {
+    const StatementProfile& profile = analyzer.judge(sql, {});
+    const Scanner& scanner = analyzer.scanner();
+    out << "shape     " << profile.shape.hex() << "\n"
+        << "text      " << printable(scanner.text(), kMaxPrintedText) << "\n"
         << "literals  " << scanner.literals() << "\n"
-        << "kind      " << name(j.kind) << "\n"
-        << "route     " << name(j.route) << "\n"
-        << "reason    " << j.reason << "\n"
+        << "kind      " << name(profile.kind) << "\n"
+        << "route     " << name(profile.route) << "\n"
+        << "reason    " << profile.reason << "\n"
         << "class     "
-        << (j.request_class >= 0 ? judge.rules().classes()[std::size_t(j.request_class)].name
-                                 : "none by the rules")
-        << "\n"
-        << "cost      " << estimate_cost(j) << " us before it has ever run\n"
+        << (profile.request_class >= 0 ? class_name(profile, analyzer.rules()) : "none by the rules") << "\n"
+        << "cost      " << estimate_cost(profile) << " us before it has ever run\n"
         << "tables   ";
-    for (const std::string& t : j.tables) out << " " << t;
-    const Features& f = j.features;
-    out << "\nfeatures  relations " << int(f.relations) << ", joins " << int(f.joins) << ", aggregates "
-        << int(f.aggregates) << ", sorts " << int(f.sorts) << ", subqueries " << int(f.subqueries)
-        << ", functions " << int(f.functions) << (f.no_filter ? ", no filter" : "")
-        << (f.no_limit ? ", no limit" : "") << (f.recursive ? ", recursive" : "") << "\n";
-    return 0;
+    for (const std::string& table : profile.tables) out << " " << table;
+    out << "\n";
+    print_features(profile.features, out);
+    return kSuccess;
 }
 
-}  // namespace
-
-int shapes(const std::vector<std::string>& arguments, std::istream& in, std::ostream& out) {
+options::variables_map parse_shapes_arguments(const std::vector<std::string>& arguments) {
     options::options_description described("options");
     described.add_options()("rules", options::value<std::string>(), "the operator's file of statements")(
         "null", "statements are set apart by zero bytes")("words", options::value<std::vector<std::string>>(),
                                                           "");
-    options::positional_options_description positions;
-    positions.add("words", -1);
-    options::variables_map values;
-    options::store(options::command_line_parser(arguments).options(described).positional(positions).run(),
-                   values);
-    options::notify(values);
+    return parse_arguments(arguments, described, "words");
+}
+
+}  // namespace
+
+int shapes(const std::vector<std::string>& arguments, std::istream& in, std::ostream& out) {
+    options::variables_map values = parse_shapes_arguments(arguments);
     std::vector<std::string> words;
     if (values.count("words")) words = values["words"].as<std::vector<std::string>>();
     bool classifies = words.size() == 1 && words[0] == "classify";
@@ -87,10 +95,10 @@
             "shapes classify [--rules FILE] [--null], or shapes explain [--rules FILE] STATEMENT");
     StatementConfig config;
     if (values.count("rules")) config = read_statement_config(values["rules"].as<std::string>());
-    // Here nobody waits: each statement is parsed, whatever their number.
-    config.judge.parses_per_second = 1e18;
-    StatementAnalyzer judge(std::move(config.rules), config.judge);
-    return explains ? explain(judge, words[1], out) : classify(judge, values.count("null") > 0, in, out);
+    config.judge.parses_per_second = kUnlimitedParses;
+    StatementAnalyzer analyzer(std::move(config.rules), config.judge);
+    return explains ? explain(analyzer, words[1], out)
+                    : classify(analyzer, values.count("null") > 0, in, out);
 }
 
 }  // namespace indigovane::program
--- a/src/program/site_text.cpp
+++ b/src/program/site_text.cpp
@@ -9,138 +9,188 @@
 
 namespace {
 
+constexpr std::size_t kMaxLine = 256;       // bytes
+constexpr double kUnlimitedCapacity = 1e6;  // of a host whose capacity is unknown, or more
+constexpr double kMicrosecondsPerSecond = 1e6;
+
 std::string zone_name(const std::vector<std::string>& zones, site::SiteId id) {
-    auto n = std::size_t(id);
-    return n < zones.size() ? zones[n] : std::to_string(n);
+    auto number = std::size_t(id);
+    return number < zones.size() ? zones[number] : std::to_string(number);
 }
 
-double rounded(double v) {
-    return double(std::int64_t(v * 1000 + 0.5)) / 1000;
+// To three decimals.
+double rounded(double value) {
+    return double(std::int64_t(value * 1000 + 0.5)) / 1000;
 }
 
-// Seconds since; null where it has not been.
+// Seconds since; null where it has not happened.
 ordered_json age(std::optional<site::Time> at, site::Time now) {
     if (!at) return nullptr;
-    return rounded(double((now - *at).count()) / 1e6);
+    return rounded(double((now - *at).count()) / kMicrosecondsPerSecond);
 }
 
 template <typename... Values>
 std::string line(const char* format, Values... values) {
-    char text[256];
+    char text[kMaxLine];
     std::snprintf(text, sizeof text, format, values...);
     return text;
 }
 
-}  // namespace
-
-std::vector<site::Demand> site_classes(const Config& config) {
-    std::vector<std::string> names;
-    for (const adapters::ClassInfo& c : config.classes.all()) names.push_back(c.name);
-    return routing::site_classes(config.settings, names);
+// Of the priority weight offered, the part that would still be served.
+double retained_weight(const site::Plan& plan) {
+    return plan.weight_offered > 0 ? plan.weight_retained / plan.weight_offered : 1;
 }
 
-std::optional<std::uint32_t> zone_number(const std::vector<std::string>& zones, const std::string& name) {
-    auto it = std::find(zones.begin(), zones.end(), name);
-    if (it == zones.end()) return std::nullopt;
-    return std::uint32_t(it - zones.begin());
+bool is_shed(const site::Share& share) {
+    return share.admit < 1;
 }
 
-ordered_json plan_json(const site::Plan& plan, const std::vector<std::string>& zones,
-                       const std::function<std::string(site::HostId)>& name) {
-    ordered_json o;
-    o["worth_kept"] = plan.weight_offered > 0 ? rounded(plan.weight_retained / plan.weight_offered) : 1.0;
-    o["groups"] = ordered_json::array();
-    for (const auto& [id, g] : plan.groups) {
-        ordered_json j;
-        j["group"] = std::uint32_t(id);
-        j["primary_lost"] = g.primary_lost;
-        j["moved"] = rounded(g.moved);
-        j["refused"] = rounded(g.refused);
-        j["strain"] = rounded(g.load_ratio);
-        o["groups"].push_back(std::move(j));
+ordered_json groups_json(const site::Plan& plan) {
+    ordered_json groups = ordered_json::array();
+    for (const auto& [id, group] : plan.groups) {
+        ordered_json json;
+        json["group"] = std::uint32_t(id);
+        json["primary_lost"] = group.primary_lost;
+        json["moved"] = rounded(group.moved);
+        json["refused"] = rounded(group.refused);
+        json["strain"] = rounded(group.load_ratio);
+        groups.push_back(std::move(json));
     }
-    o["refused"] = ordered_json::array();
-    for (const site::Share& s : plan.shares) {
-        if (s.admit >= 1) continue;
-        ordered_json j;
-        j["rank"] = s.rank;
-        j["class"] = s.request_class;
-        j["group"] = std::uint32_t(s.group);
-        j["let_in"] = rounded(s.admit);
-        for (const auto& [tenant, part] : s.tenants) j["tenants"][tenant] = rounded(part);
-        o["refused"].push_back(std::move(j));
+    return groups;
+}
+
+ordered_json shed_json(const site::Plan& plan) {
+    ordered_json shed = ordered_json::array();
+    for (const site::Share& share : plan.shares) {
+        if (!is_shed(share)) continue;
+        ordered_json json;
+        json["rank"] = share.rank;
+        json["class"] = share.request_class;
+        json["group"] = std::uint32_t(share.group);
+        json["let_in"] = rounded(share.admit);
+        for (const auto& [tenant, part] : share.tenants) json["tenants"][tenant] = rounded(part);
+        shed.push_back(std::move(json));
     }
-    o["hosts"] = ordered_json::array();
-    for (const site::HostLoad& h : plan.hosts) {
-        ordered_json j;
-        j["host"] = name(h.host);
-        j["zone"] = zone_name(zones, h.site);
-        j["group"] = std::uint32_t(h.group);
-        j["lost"] = h.lost;
-        j["before"] = rounded(h.before);
-        j["after"] = rounded(h.after);
-        if (h.capacity < 1e6) j["capacity"] = rounded(h.capacity);
-        o["hosts"].push_back(std::move(j));
+    return shed;
+}
+
+ordered_json hosts_json(const site::Plan& plan, const std::vector<std::string>& zones,
+                        const HostName& host_name) {
+    ordered_json hosts = ordered_json::array();
+    for (const site::HostLoad& host : plan.hosts) {
+        ordered_json json;
+        json["host"] = host_name(host.host);
+        json["zone"] = zone_name(zones, host.site);
+        json["group"] = std::uint32_t(host.group);
+        json["lost"] = host.lost;
+        json["before"] = rounded(host.before);
+        json["after"] = rounded(host.after);
+        if (host.capacity < kUnlimitedCapacity) json["capacity"] = rounded(host.capacity);
+        hosts.push_back(std::move(json));
     }
-    return o;
+    return hosts;
 }
 
-std::string plan_text(const site::Plan& plan, const std::vector<std::string>& zones,
-                      const std::function<std::string(site::HostId)>& name) {
-    std::string out;
-    double kept = plan.weight_offered > 0 ? plan.weight_retained / plan.weight_offered : 1;
-    out += line("worth kept        %.1f%%\n\n", kept * 100);
-    out += "group  primary            work moved  work refused  a replica's load\n";
-    for (const auto& [id, g] : plan.groups)
-        out += line("%-6u %-18s %10.2f  %12.2f  %10.2f times\n", std::uint32_t(id),
-                    g.primary_lost ? "lost: waits" : "stays", g.moved, g.refused, g.load_ratio);
-    out += "\nrefused, in this order\nrank   class                group  let in\n";
+std::string groups_text(const site::Plan& plan) {
+    std::string out = "group  primary            work moved  work refused  a replica's load\n";
+    for (const auto& [id, group] : plan.groups)
+        out +=
+            line("%-6u %-18s %10.2f  %12.2f  %10.2f times\n", std::uint32_t(id),
+                 group.primary_lost ? "lost: waits" : "stays", group.moved, group.refused, group.load_ratio);
+    return out;
+}
+
+std::string shed_text(const site::Plan& plan) {
+    std::string out = "\nrefused, in this order\nrank   class                group  let in\n";
     bool any = false;
-    for (const site::Share& s : plan.shares) {
-        if (s.admit >= 1) continue;
+    for (const site::Share& share : plan.shares) {
+        if (!is_shed(share)) continue;
         any = true;
-        out += line("%-6u %-20s %5u  %5.1f%%\n", s.rank, s.request_class.c_str(), std::uint32_t(s.group),
-                    s.admit * 100);
-        for (const auto& [tenant, part] : s.tenants)
+        out += line("%-6u %-20s %5u  %5.1f%%\n", share.rank, share.request_class.c_str(),
+                    std::uint32_t(share.group), share.admit * 100);
+        for (const auto& [tenant, part] : share.tenants)
             out += line("         tenant %-24s %5.1f%%\n", tenant.c_str(), part * 100);
     }
     if (!any) out += "nothing\n";
-    out += "\nhost                 zone         group  role       before    after  of capacity\n";
-    for (const site::HostLoad& h : plan.hosts) {
-        std::string use = h.lost ? "lost" : h.capacity > 0 ? line("%.0f%%", h.after / h.capacity * 100) : "";
-        out += line("%-20s %-12s %5u  %-8s %8.2f %8.2f  %s\n", name(h.host).c_str(),
-                    zone_name(zones, h.site).c_str(), std::uint32_t(h.group),
-                    h.primary ? "primary" : "replica", h.before, h.after, use.c_str());
-    }
     return out;
 }
 
+std::string utilization_text(const site::HostLoad& host) {
+    if (host.lost) return "lost";
+    return host.capacity > 0 ? line("%.0f%%", host.after / host.capacity * 100) : "";
+}
+
+std::string hosts_text(const site::Plan& plan, const std::vector<std::string>& zones,
+                       const HostName& host_name) {
+    std::string out = "\nhost                 zone         group  role       before    after  of capacity\n";
+    for (const site::HostLoad& host : plan.hosts)
+        out += line("%-20s %-12s %5u  %-8s %8.2f %8.2f  %s\n", host_name(host.host).c_str(),
+                    zone_name(zones, host.site).c_str(), std::uint32_t(host.group),
+                    host.primary ? "primary" : "replica", host.before, host.after,
+                    utilization_text(host).c_str());
+    return out;
+}
+
+ordered_json site_json(const site::SiteManager& manager, site::SiteId id,
+                       const std::vector<std::string>& zones, site::Time now) {
+    const site::SiteHealth& health = manager.verdicts().of(id);
+    site::SiteEvidence evidence =
+        manager.evidence().of(id, now, manager.settings().fresh, manager.response_timeout());
+    ordered_json json;
+    json["zone"] = zone_name(zones, id);
+    json["is"] = site::name(health.standing);
+    json["for_s"] = health.since == site::Time{} ? ordered_json(nullptr) : age(health.since, now);
+    json["hosts"] = evidence.hosts;
+    json["answering"] = evidence.answering;
+    json["silent"] = evidence.mute;
+    json["refusing"] = evidence.broken;
+    json["answered_s"] = age(evidence.answered, now);
+    json["silent_s"] = age(evidence.mute_since, now);
+    json["falls"] = health.falls;
+    return json;
+}
+
+}  // namespace
+
+std::vector<site::Demand> site_classes(const Config& config) {
+    std::vector<std::string> names;
+    for (const adapters::ClassInfo& request_class : config.classes.all()) names.push_back(request_class.name);
+    return routing::site_classes(config.settings, names);
+}
+
+std::optional<std::uint32_t> zone_number(const std::vector<std::string>& zones, const std::string& name) {
+    auto found = std::find(zones.begin(), zones.end(), name);
+    if (found == zones.end()) return std::nullopt;
+    return std::uint32_t(found - zones.begin());
+}
+
+ordered_json plan_json(const site::Plan& plan, const std::vector<std::string>& zones,
+                       const HostName& host_name) {
+    ordered_json json;
+    json["worth_kept"] = rounded(retained_weight(plan));
+    json["groups"] = groups_json(plan);
+    json["refused"] = shed_json(plan);
+    json["hosts"] = hosts_json(plan, zones, host_name);
+    return json;
+}
+
+std::string plan_text(const site::Plan& plan, const std::vector<std::string>& zones,
+                      const HostName& host_name) {
+    return line("worth kept        %.1f%%\n\n", retained_weight(plan) * 100) + groups_text(plan) +
+           shed_text(plan) + hosts_text(plan, zones, host_name);
+}
+
 ordered_json status_json(const site::SiteManager& manager, const std::vector<std::string>& zones,
                          site::Time now) {
-    ordered_json o;
-    o["own_link_down"] = manager.verdicts().uplink_down();
-    o["hosts_out"] = manager.site_excluded();
-    o["refused"] = manager.refused();
-    o["repeats_held_back"] = manager.repeats_held_back();
-    o["sites"] = ordered_json::array();
-    for (site::SiteId id : manager.evidence().sites()) {
-        const site::SiteHealth& v = manager.verdicts().of(id);
-        site::SiteEvidence e =
-            manager.evidence().of(id, now, manager.settings().fresh, manager.response_timeout());
-        ordered_json j;
-        j["zone"] = zone_name(zones, id);
-        j["is"] = site::name(v.standing);
-        j["for_s"] = v.since == site::Time{} ? ordered_json(nullptr) : age(v.since, now);
-        j["hosts"] = e.hosts;
-        j["answering"] = e.answering;
-        j["silent"] = e.mute;
-        j["refusing"] = e.broken;
-        j["answered_s"] = age(e.answered, now);
-        j["silent_s"] = age(e.mute_since, now);
-        j["falls"] = v.falls;
-        o["sites"].push_back(std::move(j));
-    }
-    return o;
+    ordered_json json;
+    json["own_link_down"] = manager.verdicts().uplink_down();
+    json["hosts_out"] = manager.site_excluded();
+    json["refused"] = manager.refused();
+    json["repeats_held_back"] = manager.repeats_held_back();
+    json["sites"] = ordered_json::array();
+    for (site::SiteId id : manager.evidence().sites())
+        json["sites"].push_back(site_json(manager, id, zones, now));
+    return json;
 }
 
 }  // namespace indigovane::program
--- a/src/program/startup.cpp
+++ b/src/program/startup.cpp
@@ -45,9 +45,9 @@
     services.persistent_state->open(true);
     services.core->on_write([&services](std::uint64_t session, bool begins) {
         if (begins)
-            services.persistent_state->begun(session);
+            services.persistent_state->begin_write(session);
         else
-            services.persistent_state->ended(session);
+            services.persistent_state->end_write(session);
     });
     // The scratch folder is lost with the machine; the store is not.
     if (!services.excluded_endpoints.stored())
@@ -57,7 +57,8 @@
 
 void restore_shape_costs(Services& services) {
     if (!services.persistent_state || !services.limited_admission) return;
-    for (const auto& prior : services.persistent_state->shapes()) services.limited_admission->learn(prior);
+    for (const auto& prior : services.persistent_state->shape_costs())
+        services.limited_admission->learn(prior);
 }
 
 // The list of the configuration, then that of the last process, if it is newer. Either may be outdated.
@@ -65,7 +66,7 @@
     const Config& config = services.config;
     services.discovery_client->seed(config.known);
     if (!services.persistent_state) return;
-    if (auto last = services.persistent_state->last_list(config.known.revision)) {
+    if (auto last = services.persistent_state->newer_endpoint_list(config.known.revision)) {
         EndpointListing list = routing::read_endpoint_listing(nlohmann::json::parse(*last), config.zones);
         services.discovery_client->seed(list);
         services.log.log(
@@ -73,7 +74,7 @@
             {{"revision", std::to_string(list.revision)}, {"members", std::to_string(list.members.size())}});
     }
     services.discovery_client->on_list([&services](std::int64_t revision) {
-        services.persistent_state->list(
+        services.persistent_state->store_endpoint_list(
             write_endpoint_list(services.core->listed(), services.config.zones, revision), revision);
     });
 }
--- a/src/program/state_sync.cpp
+++ b/src/program/state_sync.cpp
@@ -28,7 +28,8 @@
     if (!services_.persistent_state || !services_.limited_admission) return;
     if (services_.clock.now() < shape_costs_stored_ + kShapeCostInterval) return;
     shape_costs_stored_ = services_.clock.now();
-    services_.persistent_state->shapes(services_.limited_admission->limiter().priors(kStoredShapes));
+    services_.persistent_state->store_shape_costs(
+        services_.limited_admission->limiter().priors(kStoredShapes));
 }
 
 }  // namespace indigovane::program
--- a/src/program/store_command.cpp
+++ b/src/program/store_command.cpp
@@ -1,12 +1,12 @@
 #include "program/store_command.hpp"
 
-#include <boost/program_options.hpp>
 #include <istream>
 #include <map>
 #include <nlohmann/json.hpp>
 #include <ostream>
 #include <random>
 
+#include "program/command_line.hpp"
 #include "program/offline_store.hpp"
 #include "program/store_record_json.hpp"
 
@@ -196,12 +196,7 @@
     options::options_description described("options");
     described.add_options()("salvage", "go past damage and keep what is provable")(
         "words", options::value<std::vector<std::string>>(), "");
-    options::positional_options_description positions;
-    positions.add("words", -1);
-    options::variables_map values;
-    options::store(options::command_line_parser(arguments).options(described).positional(positions).run(),
-                   values);
-    options::notify(values);
+    options::variables_map values = parse_arguments(arguments, described, "words");
     std::vector<std::string> words;
     if (values.count("words")) words = values["words"].as<std::vector<std::string>>();
     Invocation invocation{words.size() >= 2 ? words[1] : "", values.count("salvage") > 0, in, out, errors};
--- /dev/null
+++ b/src/program/witness_file.hpp
@@ -0,0 +1,25 @@
+// The witness of store/positions.hpp on disk: a file of one digit in the memory-backed scratch folder, so it
+// outlasts the process and not the machine.
+#pragma once
+
+#include <string>
+
+#include "store/positions.hpp"
+
+namespace indigovane::program {
+
+class WitnessFile {
+  public:
+    // An empty folder: there is nowhere to store one.
+    WitnessFile(const std::string& folder, const std::string& name);
+
+    // Lapsed where it can't be told: nothing proves that there was none.
+    store::Witness read() const;
+    // In place and small, which never waits for a disk. False: it could not be stored.
+    bool write(store::Witness witness) const;
+
+  private:
+    std::string path_;
+};
+
+}  // namespace indigovane::program
--- a/tests/program/persistent_state_test.cpp
+++ b/tests/program/persistent_state_test.cpp
@@ -19,12 +19,12 @@
         : persistent_state(d.loop.io, d.clock, config(folder), scratch, "t1", d.core, d.logger) {
         persistent_state.open(true);
         d.core.on_write([this](std::uint64_t s, bool begins) {
-            begins ? persistent_state.begun(s) : persistent_state.ended(s);
+            begins ? persistent_state.begin_write(s) : persistent_state.end_write(s);
         });
         d.core.on_commit([this](std::uint64_t s, routing::Time at) { persistent_state.commit(s, at); });
         d.loop.batch = [this] {
             d.core.run_batch();
-            persistent_state.carry();
+            persistent_state.flush();
         };
         for (Host& host : d.hosts) host.lag_ms = host.primary ? 0 : 60000;
         d.loop.settle();
@@ -89,21 +89,22 @@
     {
         Life l(folder.path, scratch.path);
         bool told = false;
-        l.persistent_state.hosts({"m1"}, {}, [&](bool on_disk) { told = on_disk; });
+        l.persistent_state.store_excluded_endpoints({"m1"}, {}, [&](bool on_disk) { told = on_disk; });
         REQUIRE(l.d.loop.until([&] { return told; }));
-        l.persistent_state.list(R"({"rev":41,"all":true,"targets":[]})", 41);
-        l.persistent_state.carry();
+        l.persistent_state.store_endpoint_list(R"({"rev":41,"all":true,"targets":[]})", 41);
+        l.persistent_state.flush();
         l.persistent_state.close();
     }
     Life l(folder.path, scratch.path);
     CHECK(l.persistent_state.excluded_endpoints() == std::set<std::string>{"m1"});
-    CHECK(l.persistent_state.last_list(40).value_or("").find("41") != std::string::npos);
-    CHECK_FALSE(l.persistent_state.last_list(41));
+    CHECK(l.persistent_state.newer_endpoint_list(40).value_or("").find("41") != std::string::npos);
+    CHECK_FALSE(l.persistent_state.newer_endpoint_list(41));
 }
 
-// An upgrade: the heir serves before the elder lets go of the store, and both may end at any moment
+// An upgrade: the successor serves before the elder lets go of the store, and both may end at any moment
 // meanwhile.
-TEST_CASE("an heir waits for the store, writes down what it has heard, and lowers the witness only then") {
+TEST_CASE(
+    "a successor waits for the store, writes down what it has heard, and lowers the witness only then") {
     Folder folder, scratch;
     auto witness = [&] { return std::filesystem::exists(scratch.path + "/t1.witness"); };
     auto predecessor = std::make_unique<Life>(folder.path, scratch.path);
