--- a/src/program/json_config.cpp
+++ b/src/program/json_config.cpp
@@ -16,6 +16,10 @@
     return 'b';
 }
 
+std::string below(const std::string& path, const std::string& name) {
+    return path + "." + name;
+}
+
 std::map<std::string, char> key_types_below(const json& value, const std::string& path);
 
 std::map<std::string, char> common_key_types(const json& items, const std::string& path) {
@@ -34,7 +38,7 @@
     std::map<std::string, char> types;
     if (!path.empty()) types[path] = type_letter(value);
     if (value.is_object())
-        for (const auto& [name, item] : value.items()) types.merge(key_types_below(item, path + "." + name));
+        for (const auto& [name, item] : value.items()) types.merge(key_types_below(item, below(path, name)));
     if (value.is_array() && !value.empty()) types.merge(common_key_types(value, path + "[]"));
     return types;
 }
@@ -52,7 +56,7 @@
 void flatten_array(const json& items, const std::string& path, std::string& out) {
     if (!items.empty() && items[0].is_object()) {
         out += " " + path + ".count=" + std::to_string(items.size());
-        for (std::size_t i = 0; i < items.size(); ++i) flatten(items[i], path + "." + std::to_string(i), out);
+        for (std::size_t i = 0; i < items.size(); ++i) flatten(items[i], below(path, std::to_string(i)), out);
         return;
     }
     std::string joined;
@@ -63,7 +67,7 @@
 void flatten(const json& value, const std::string& path, std::string& out) {
     if (value.is_object()) {
         for (const auto& [name, item] : value.items())
-            flatten(item, path.empty() ? name : path + "." + name, out);
+            flatten(item, path.empty() ? name : below(path, name), out);
     } else if (value.is_array()) {
         flatten_array(value, path, out);
     } else if (!value.is_null()) {
--- a/src/program/site_config.cpp
+++ b/src/program/site_config.cpp
@@ -54,7 +54,7 @@
 };
 
 void read_percentage_of(TomlReader::Table& table, const char* key, double& out) {
-    table.read_with_unit<double>(key, out, "a share like \"80%\", up to 100%", [](std::string_view text) {
+    table.read_with_unit<double>(key, out, R"(a share like "80%", up to 100%)", [](std::string_view text) {
         auto fraction = read_percentage(text);
         return fraction && *fraction >= 0 && *fraction <= 1 ? fraction : std::nullopt;
     });
--- a/src/program/site_text.cpp
+++ b/src/program/site_text.cpp
@@ -1,6 +1,7 @@
 #include "program/site_text.hpp"
 
 #include <algorithm>
+#include <cmath>
 #include <cstdio>
 
 namespace indigovane::program {
@@ -18,9 +19,9 @@
     return number < zones.size() ? zones[number] : std::to_string(number);
 }
 
-// To three decimals.
+// To three decimals. Adding zero makes a negative zero positive, which JSON would show.
 double rounded(double value) {
-    return double(std::int64_t(value * 1000 + 0.5)) / 1000;
+    return std::trunc(value * 1000 + 0.5) / 1000 + 0.0;
 }
 
 // Seconds since; null where it has not happened.
--- a/src/program/statement_rules.cpp
+++ b/src/program/statement_rules.cpp
@@ -24,7 +24,7 @@
 
 Effect read_effect(TomlReader::Table& table, Effect fallback) {
     std::string text;
-    table.read_value<std::string>("effect", text, "\"reads\", \"writes\" or \"session\"",
+    table.read_value<std::string>("effect", text, R"("reads", "writes" or "session")",
                                   [](const std::string& effect) {
                                       return effect == "reads" || effect == "writes" || effect == "session";
                                   });
@@ -36,7 +36,7 @@
 
 void read_route(TomlReader::Table& table, const char* key, Route& out) {
     std::string text;
-    table.read_value<std::string>(key, text, "\"primary\" or \"refuse\"", [](const std::string& route) {
+    table.read_value<std::string>(key, text, R"("primary" or "refuse")", [](const std::string& route) {
         return route == "primary" || route == "refuse";
     });
     if (!text.empty()) out = text == "primary" ? Route::primary : Route::refuse;
@@ -117,9 +117,10 @@
     read_route(table, "unparsed", config.rules.policy.unparsed);
     read_route(table, "session", config.rules.policy.session);
     read_route(table, "transaction", config.rules.policy.transaction);
-    table.read_size("cache", config.judge.cache, "a size like \"8MiB\", from 64KiB to 1GiB", 64 * kKiB, kGiB);
-    table.read_size("longest_parsed", config.judge.longest_parsed, "a size like \"16KiB\", from 256B to 1MiB",
-                    256, kMiB);
+    table.read_size("cache", config.judge.cache, R"(a size like "8MiB", from 64KiB to 1GiB)", 64 * kKiB,
+                    kGiB);
+    table.read_size("longest_parsed", config.judge.longest_parsed,
+                    R"(a size like "16KiB", from 256B to 1MiB)", 256, kMiB);
     table.read_whole_number<double>("parses_per_second", config.judge.parses_per_second, 1, 1e6);
     if (table.find("group")) {
         std::uint32_t group = 0;
@@ -151,7 +152,7 @@
 void read_limits(TomlReader& reader, TomlReader::Table& table, limits::Settings& limits) {
     table.read_bool("enabled", limits.enabled);
     table.read_duration("work", limits.work);
-    table.read_with_unit<double>("reserve", limits.reserve, "a percentage like \"25%\", up to 90%",
+    table.read_with_unit<double>("reserve", limits.reserve, R"(a percentage like "25%", up to 90%)",
                                  [](std::string_view text) {
                                      auto reserve = read_percentage(text);
                                      return reserve && *reserve <= kMaxReserve ? reserve : std::nullopt;
@@ -159,7 +160,7 @@
     table.read_whole_number<std::size_t>("queue", limits.queue, 0, 100000);
     table.read_duration_or_zero("wait", limits.wait);
     table.read_whole_number<std::size_t>("shapes", limits.shapes, 16, 1000000);
-    read_share(table, "shape_share", limits.shape_share, "a percentage like \"25%\"");
+    read_share(table, "shape_share", limits.shape_share, R"(a percentage like "25%")");
     table.read_duration("costly", limits.costly);
     table.read_whole_number<unsigned>("trial", limits.trial, 1, 1000);
     table.read_whole_number<unsigned>("trial_outcomes", limits.trial_outcomes, 1, 1000);
@@ -177,7 +178,7 @@
     reader.read_tables(root, "share", [&](TomlReader::Table& table) {
         std::string tenant = table.read_required_name("tenant");
         double share = 0;
-        read_share(table, "share", share, "a percentage like \"59%\"");
+        read_share(table, "share", share, R"(a percentage like "59%")");
         if (!table.raw().get("share")) reader.report_error(table.raw().source(), "[[share]] needs a 'share'");
         total += share;
         if (total > 1 + kRoundingError)
--- a/src/program/store_command.cpp
+++ b/src/program/store_command.cpp
@@ -181,11 +181,11 @@
 }
 
 int run(const std::vector<std::string>& words, const Invocation& invocation) {
-    static const std::map<std::string, int (*)(const Invocation&)> kSubcommands{
+    static const std::map<std::string, int (*)(const Invocation&)> subcommands{
         {"dump", dump}, {"stat", stat}, {"verify", verify}, {"compact", compact}, {"load", load}};
     if (words.size() == 4 && words[0] == "get") return get(invocation, words[2], words[3]);
-    auto subcommand = words.size() == 2 ? kSubcommands.find(words[0]) : kSubcommands.end();
-    if (subcommand != kSubcommands.end()) return subcommand->second(invocation);
+    auto subcommand = words.size() == 2 ? subcommands.find(words[0]) : subcommands.end();
+    if (subcommand != subcommands.end()) return subcommand->second(invocation);
     throw options::error("store dump|stat|verify|compact|load DIR, or store get DIR SPACE KEY [--salvage]");
 }
 
--- a/src/program/store_config.cpp
+++ b/src/program/store_config.cpp
@@ -13,10 +13,10 @@
 
 void read_store(TomlReader::Table& table, StoreConfig& config) {
     config.folder = table.read_required_name("folder");
-    table.read_size("budget", config.budget, "a size like \"256MiB\", from 1MiB to 64GiB", kMiB, 64 * kGiB);
-    table.read_size("segment", config.segment, "a size like \"4MiB\", from 64KiB to 64MiB", 64 * kKiB,
+    table.read_size("budget", config.budget, R"(a size like "256MiB", from 1MiB to 64GiB)", kMiB, 64 * kGiB);
+    table.read_size("segment", config.segment, R"(a size like "4MiB", from 64KiB to 64MiB)", 64 * kKiB,
                     64 * kMiB);
-    table.read_size("compact_per_second", config.compact_per_second, "a size like \"8MiB\", from 64KiB up",
+    table.read_size("compact_per_second", config.compact_per_second, R"(a size like "8MiB", from 64KiB up)",
                     64 * kKiB, 4 * kGiB);
     table.read_duration_or_zero("sync_interval", config.sync_interval);
     table.read_duration("retention", config.retention);
--- a/src/program/store_record_json.cpp
+++ b/src/program/store_record_json.cpp
@@ -93,7 +93,7 @@
     if (!key) throw RecordFormatError("key: a session is 16 hex digits");
     const ordered_json& value = json["value"];
     if (!is_session_value(value))
-        throw RecordFormatError("value: {\"commit_us\": number, \"open\": true or false} is wanted");
+        throw RecordFormatError(R"(value: {"commit_us": number, "open": true or false} is wanted)");
     record.key = *key;
     record.value = store::encode_u64(
         Positions::value(value["commit_us"].get<std::uint64_t>(), value["open"].get<bool>()));
@@ -102,7 +102,7 @@
 void read_bytes(const ordered_json& json, Record& record) {
     auto key = bytes_from_json(json["key"]);
     auto value = bytes_from_json(json["value"]);
-    if (!key || !value) throw RecordFormatError("key and value: text or {\"hex\": \"...\"}");
+    if (!key || !value) throw RecordFormatError(R"(key and value: text or {"hex": "..."})");
     if (key->size() > store::kKeyMost || value->size() > store::kValueMost)
         throw RecordFormatError("key or value: too long");
     record.key = *key;
--- a/src/program/toml_reader.cpp
+++ b/src/program/toml_reader.cpp
@@ -31,7 +31,7 @@
     return {file, std::uint32_t(at.begin.line), std::uint32_t(at.begin.column), std::move(what)};
 }
 
-constexpr const char* kDurationWanted = "a duration like \"250ms\" or \"2s\"";
+constexpr const char* kDurationWanted = R"(a duration like "250ms" or "2s")";
 
 }  // namespace
 
