--- a/src/program/command_line.hpp
+++ b/src/program/command_line.hpp
@@ -7,7 +7,7 @@
 
 namespace indigovane::program {
 
-// Parses `arguments`, whose words without an option go to the option `positional` (the first
+// Parses `arguments`, whose operands go to the option `positional` (the first
 // `most_positional` of them; -1: all). Throws boost::program_options::error.
 boost::program_options::variables_map parse_arguments(
     const std::vector<std::string>& arguments, const boost::program_options::options_description& described,
--- a/src/program/config.hpp
+++ b/src/program/config.hpp
@@ -69,7 +69,7 @@
     std::optional<SiteConfig> sites;    // none: sites are not watched
     // The keys that the file holds, by path, with the type of each: a file read again must hold them all.
     std::map<std::string, char> key_types;
-    // The text of all that only a start applies, to tell whether it has changed.
+    // The text of all that only a start applies; a reload warns where it differs.
     std::string restart_only;
 };
 
--- a/src/program/lifecycle.cpp
+++ b/src/program/lifecycle.cpp
@@ -27,7 +27,7 @@
 }
 
 Lifecycle::~Lifecycle() {
-    services_.log.also({});
+    services_.log.set_second_sink({});
 }
 
 void Lifecycle::start() {
--- a/src/program/log.hpp
+++ b/src/program/log.hpp
@@ -21,7 +21,7 @@
     Log(std::string name, std::string process, Sink sink);
     virtual ~Log() = default;
     // Gets all lines as well, until another takes its place; empty: none.
-    void also(SecondSink sink) { second_sink_ = std::move(sink); }
+    void set_second_sink(SecondSink sink) { second_sink_ = std::move(sink); }
     void log(routing::Level level, const char* id, const std::string& text, const Data& data) override;
     bool wants(const char* id) override { return available_quota(id) != nullptr; }
 
--- a/src/program/peer_config.hpp
+++ b/src/program/peer_config.hpp
@@ -10,9 +10,9 @@
 namespace indigovane::program {
 
 struct PeerConfig {
-    std::string cluster;  // poolers of another one are strangers
-    limits::Duration again = std::chrono::milliseconds(250);
-    limits::Duration gather = std::chrono::milliseconds(20);
+    std::string cluster;                                      // messages of another one are ignored
+    limits::Duration again = std::chrono::milliseconds(250);  // each message is sent a second time after this
+    limits::Duration gather = std::chrono::milliseconds(20);  // what happens within it goes into one message
 };
 
 // Throws ConfigError.
--- a/src/program/shapes_command.cpp
+++ b/src/program/shapes_command.cpp
@@ -86,10 +86,10 @@
 
 int shapes(const std::vector<std::string>& arguments, std::istream& in, std::ostream& out) {
     options::variables_map values = parse_shapes_arguments(arguments);
-    std::vector<std::string> words;
-    if (values.count("words")) words = values["words"].as<std::vector<std::string>>();
-    bool classifies = words.size() == 1 && words[0] == "classify";
-    bool explains = words.size() == 2 && words[0] == "explain";
+    std::vector<std::string> operands;
+    if (values.count("words")) operands = values["words"].as<std::vector<std::string>>();
+    bool classifies = operands.size() == 1 && operands[0] == "classify";
+    bool explains = operands.size() == 2 && operands[0] == "explain";
     if (!classifies && !explains)
         throw options::error(
             "shapes classify [--rules FILE] [--null], or shapes explain [--rules FILE] STATEMENT");
@@ -97,7 +97,7 @@
     if (values.count("rules")) config = read_statement_config(values["rules"].as<std::string>());
     config.judge.parses_per_second = kUnlimitedParses;
     StatementAnalyzer analyzer(std::move(config.rules), config.judge);
-    return explains ? explain(analyzer, words[1], out)
+    return explains ? explain(analyzer, operands[1], out)
                     : classify(analyzer, values.count("null") > 0, in, out);
 }
 
--- a/src/program/site_config.hpp
+++ b/src/program/site_config.hpp
@@ -10,17 +10,18 @@
 
 namespace indigovane::program {
 
+// What one class asks of the fleet, for a plan.
 struct SiteDemand {
     std::optional<std::uint32_t> group;  // none: evenly over all
     std::string request_class;
-    double per_second = 0;  // the sum of `tenants`, where those are told
+    double per_second = 0;  // the sum of `tenants`, where those are given
     std::map<std::string, double> tenants;
-    limits::Duration work{};
+    limits::Duration work{};  // that a request keeps a host busy
 };
 
 struct SiteConfig {
     site::Settings settings;
-    double cores = 1;  // of a host
+    double cores = 1;  // of a host: its capacity in seconds of work a second
     std::vector<SiteDemand> demand;
 };
 
--- a/src/program/startup.cpp
+++ b/src/program/startup.cpp
@@ -206,7 +206,7 @@
 void open_syslog(Services& services) {
     if (!services.config.rest.syslog) return;
     services.syslog = std::make_unique<adapters::SyslogSink>(services.io, *services.config.rest.syslog);
-    services.log.also([&services](const std::string& line) { services.syslog->send(line); });
+    services.log.set_second_sink([&services](const std::string& line) { services.syslog->send(line); });
 }
 
 void record_commits(Services& services) {
--- a/src/program/statement_rules.hpp
+++ b/src/program/statement_rules.hpp
@@ -1,5 +1,5 @@
-// The operator's file of statements: TOML (toml++). Read whole or not at all; every mistake is told with
-// file, line and column. The page for operators is docs/statements-on-call.md.
+// The operator's file of statements and limits: TOML. Read completely or not at all; every mistake is
+// reported with file, line and column. The page for operators is docs/statements-on-call.md.
 #pragma once
 
 #include <optional>
@@ -8,7 +8,7 @@
 
 #include "limits/types.hpp"
 #include "program/config_error.hpp"
-#include "program/units.hpp"
+#include "program/units.hpp"  // for those who include this header
 #include "statement/statement_analyzer.hpp"
 
 namespace indigovane::program {
@@ -20,12 +20,15 @@
     limits::Settings limits;
     // Where a statement's comment says nothing. Class names are the platform's.
     std::optional<std::uint32_t> group;
-    std::string read_class, primary_class, write_class;
+    std::string read_class;
+    std::string primary_class;  // of reads that only the primary may serve
+    std::string write_class;
 };
 
 // The name that other folders' tests use.
 using StatementConfigError = ConfigError;
 
+// Throw ConfigError. The classes that the file names are checked by take_statements() (program/config.hpp).
 StatementConfig parse_statement_config(const std::string& text, const std::string& file);
 StatementConfig read_statement_config(const std::string& path);
 
--- a/src/program/store_command.cpp
+++ b/src/program/store_command.cpp
@@ -180,11 +180,11 @@
     return kSuccess;
 }
 
-int run(const std::vector<std::string>& words, const Invocation& invocation) {
+int run(const std::vector<std::string>& operands, const Invocation& invocation) {
     static const std::map<std::string, int (*)(const Invocation&)> subcommands{
         {"dump", dump}, {"stat", stat}, {"verify", verify}, {"compact", compact}, {"load", load}};
-    if (words.size() == 4 && words[0] == "get") return get(invocation, words[2], words[3]);
-    auto subcommand = words.size() == 2 ? subcommands.find(words[0]) : subcommands.end();
+    if (operands.size() == 4 && operands[0] == "get") return get(invocation, operands[2], operands[3]);
+    auto subcommand = operands.size() == 2 ? subcommands.find(operands[0]) : subcommands.end();
     if (subcommand != subcommands.end()) return subcommand->second(invocation);
     throw options::error("store dump|stat|verify|compact|load DIR, or store get DIR SPACE KEY [--salvage]");
 }
@@ -197,11 +197,12 @@
     described.add_options()("salvage", "go past damage and keep what is provable")(
         "words", options::value<std::vector<std::string>>(), "");
     options::variables_map values = parse_arguments(arguments, described, "words");
-    std::vector<std::string> words;
-    if (values.count("words")) words = values["words"].as<std::vector<std::string>>();
-    Invocation invocation{words.size() >= 2 ? words[1] : "", values.count("salvage") > 0, in, out, errors};
+    std::vector<std::string> operands;
+    if (values.count("words")) operands = values["words"].as<std::vector<std::string>>();
+    Invocation invocation{operands.size() >= 2 ? operands[1] : "", values.count("salvage") > 0, in, out,
+                          errors};
     try {
-        return run(words, invocation);
+        return run(operands, invocation);
     } catch (const OfflineStoreError& error) {
         errors << "indigovane store: " << invocation.folder << ": " << error.what() << "\n";
         return kFailure;
--- a/src/program/store_config.hpp
+++ b/src/program/store_config.hpp
@@ -10,14 +10,14 @@
 
 struct StoreConfig {
     std::string folder;
-    std::size_t budget = 256 << 20;  // bytes of the log at most
-    std::size_t segment = 4 << 20;
-    std::size_t compact_per_second = 8 << 20;
-    limits::Duration sync_interval = std::chrono::milliseconds(2);
-    limits::Duration retention = std::chrono::minutes(10);  // of sessions' positions
-    limits::Duration lease = std::chrono::milliseconds(500);
-    bool salvage = false;
-    bool in_memory = false;  // the folder is: told as a warning
+    std::size_t budget = 256 << 20;                                 // bytes of the log at most
+    std::size_t segment = 4 << 20;                                  // bytes of one file of the log
+    std::size_t compact_per_second = 8 << 20;                       // bytes
+    limits::Duration sync_interval = std::chrono::milliseconds(2);  // a write waits so long for others
+    limits::Duration retention = std::chrono::minutes(10);          // of sessions' commits
+    limits::Duration lease = std::chrono::milliseconds(500);        // of the witness: store/positions.hpp
+    bool salvage = false;                                           // recovery goes past damage
+    bool in_memory = false;  // found, not configured: the folder does not outlast the machine
 };
 
 // Throws ConfigError: what is wrong with the file, or with the folder (not there, another's, not writable).
--- a/src/program/witness_file.hpp
+++ b/src/program/witness_file.hpp
@@ -13,7 +13,7 @@
     // An empty folder: there is nowhere to store one.
     WitnessFile(const std::string& folder, const std::string& name);
 
-    // Lapsed where it can't be told: nothing proves that there was none.
+    // Lapsed where it is unknown: nothing proves that there was none.
     store::Witness read() const;
     // In place and small, which never waits for a disk. False: it could not be stored.
     bool write(store::Witness witness) const;
--- a/tests/program/operations_test.cpp
+++ b/tests/program/operations_test.cpp
@@ -131,14 +131,14 @@
     Client client(d.loop, d.pg.local());
     client.send(pg::Writer().startup("u", "d").take());
     client.reply();
-    int asked = 0;
-    auto ask = [&](int count) {
+    int sent = 0;
+    auto send_reads = [&](int count) {
         for (int i = 0; i < count; ++i) {
-            client.send(read(asked++));
+            client.send(read(sent++));
             CHECK(client.reply() == "TDCZ");
         }
     };
-    ask(40);
+    send_reads(40);
     REQUIRE(d.hosts[1].queries > 0);
     REQUIRE(d.hosts[2].queries > 0);
     d.core.set_excluded({"m1"});
@@ -166,17 +166,17 @@
                 d.core.set_excluded({"m1", "unknown"});
                 break;
         }
-        ask(4);
+        send_reads(4);
     }
     CHECK(d.hosts[1].queries == before);
     d.core.list(EndpointListKind::full,
                 {d.endpoint(0, EndpointState::ready), d.endpoint(1, EndpointState::ready),
                  d.endpoint(2, EndpointState::ready)});
-    ask(4);
+    send_reads(4);
     CHECK(d.hosts[1].queries == before);
     d.core.set_excluded({});
     REQUIRE(d.loop.until([&] {  // once a probe has told its position
-        ask(1);
+        send_reads(1);
         return d.hosts[1].queries > before;
     }));
 }
@@ -280,10 +280,10 @@
     std::vector<std::string> names;
     for (auto& [name, value] : part.items()) names.push_back(name);
     for (auto& name : names) {
-        json kept = part[name];
+        json removed = part[name];
         part.erase(name);
         then(path + "." + name);
-        part[name] = kept;
+        part[name] = removed;
         without_each(part[name], whole, path + "." + name, then);
     }
 }
@@ -291,7 +291,7 @@
 TEST_CASE("settings: nothing is taken from a file that is not whole") {
     json file = whole_file();
     auto old = program::parse_platform_config(file.dump());
-    auto taken = [&](const std::string& text) {
+    auto accepted = [&](const std::string& text) {
         try {
             program::check_complete(program::parse_platform_config(text), old);
             return true;
@@ -299,32 +299,32 @@
             return false;
         }
     };
-    CHECK(taken(file.dump()));
+    CHECK(accepted(file.dump()));
     without_each(file, file, "", [&](const std::string& path) {
         CAPTURE(path);
         bool fleeting = path == ".known" || path == ".seed";
-        CHECK(taken(file.dump()) == fleeting);
+        CHECK(accepted(file.dump()) == fleeting);
     });
     for (std::size_t length = 0; length < file.dump().size(); ++length)
-        CHECK(!taken(file.dump().substr(0, length)));
+        CHECK(!accepted(file.dump().substr(0, length)));
     for (json bad : {json(0), json(-5), json("many"), json(nullptr), json(false)}) {
         for (const char* at :
              {"/settings/classes/1/hardLimitMs", "/settings/classes/0/sloMs", "/settings/allowed/tryLimit"}) {
             json malformed = file;
             malformed[json::json_pointer(at)] = bad;
-            CHECK(!taken(malformed.dump()));
+            CHECK(!accepted(malformed.dump()));
         }
     }
     json twice = file;
     twice["settings"]["classes"][1]["name"] = "view";
-    CHECK(!taken(twice.dump()));
+    CHECK(!accepted(twice.dump()));
     json more = file;  // a class more, with no word on how new its data must be
     more["settings"]["classes"].push_back(file["settings"]["classes"][0]);
     more["settings"]["classes"][2]["name"] = "other";
-    CHECK(!taken(more.dump()));
+    CHECK(!accepted(more.dump()));
     more["settings"]["familyInfo"]["consistency"].push_back("own_writes");
     more["settings"]["familyInfo"]["oldestDataMs"].push_back(0.0);
-    CHECK(taken(more.dump()));
+    CHECK(accepted(more.dump()));
 }
 
 // A request in hand keeps its class and its number of attempts, wherever the new list has that class; one
@@ -352,7 +352,7 @@
             return std::count_if(actions.begin(), actions.end(),
                                  [](auto& a) { return std::holds_alternative<SendAttempt>(a); });
         };
-        auto ask = [&](std::uint64_t id, ClassId request_class) {
+        auto arrive = [&](std::uint64_t id, ClassId request_class) {
             RequestArrival q;
             q.id = RequestId{id}, q.request_class = request_class, q.group = GroupId{1},
             q.client_timeout = 1s, q.session = SessionKey{1};
@@ -363,11 +363,11 @@
             o.id = RequestId{id}, o.attempt = attempt, o.endpoint = endpoint, o.status = AttemptStatus::error;
             run(o);
         };
-        ask(1, ClassId{2});  // a keyed write
+        arrive(1, ClassId{2});  // a keyed write
         REQUIRE(sends() == 1);
         if (retuned) {
             run(SettingsChanged{after, {ClassId{2}, ClassId{1}, std::nullopt}});
-            ask(2, ClassId{0});  // the same class by its new place
+            arrive(2, ClassId{0});  // the same class by its new place
             REQUIRE(sends() == 1);
             fail(2, EndpointId{1}, 0);
             CHECK(sends() == 0);  // one attempt is all
--- a/tests/program/persistent_state_test.cpp
+++ b/tests/program/persistent_state_test.cpp
@@ -49,7 +49,7 @@
 TEST_CASE("session reads through lives that end at any moment are never stale") {
     Folder folder, scratch;
     Dice dice(11);
-    std::map<std::string, std::string> primary_rows, told;
+    std::map<std::string, std::string> primary_rows, acknowledged;
     int reads = 0, ids = 0;
     for (int life = 0; life < 10; ++life) {
         Life l(folder.path, scratch.path);
@@ -65,7 +65,7 @@
                                        ",cluster=3 */ INSERT INTO kv (name, content) VALUES ('" + name +
                                        "', '" + value + "') RETURNING content")
                                 .take());
-                if (client.reply() == "TDCZ") told[name] = value;
+                if (client.reply() == "TDCZ") acknowledged[name] = value;
             } else {
                 client.send(pg::Writer()
                                 .query("/* id=" + id +
@@ -75,7 +75,8 @@
                 std::string got = client.reply();
                 if (got != "TDCZ") continue;
                 ++reads;
-                if (told.count(name)) CHECK_MESSAGE(client.value == told[name], "life " << life);
+                if (acknowledged.count(name))
+                    CHECK_MESSAGE(client.value == acknowledged[name], "life " << life);
             }
         }
         primary_rows = l.d.hosts[0].rows;
@@ -88,9 +89,9 @@
     Folder folder, scratch;
     {
         Life l(folder.path, scratch.path);
-        bool told = false;
-        l.persistent_state.store_excluded_endpoints({"m1"}, {}, [&](bool on_disk) { told = on_disk; });
-        REQUIRE(l.d.loop.until([&] { return told; }));
+        bool answered = false;
+        l.persistent_state.store_excluded_endpoints({"m1"}, {}, [&](bool on_disk) { answered = on_disk; });
+        REQUIRE(l.d.loop.until([&] { return answered; }));
         l.persistent_state.store_endpoint_list(R"({"rev":41,"all":true,"targets":[]})", 41);
         l.persistent_state.flush();
         l.persistent_state.close();
--- a/tests/program/services_test.cpp
+++ b/tests/program/services_test.cpp
@@ -38,17 +38,17 @@
         Agent::reply(R"({"rev":43,"all":false,"targets":[]})"),
         "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n", Agent::reply("{\"rev\":")};
     catalog.follow();
-    auto asked = [&](std::size_t n) { return loop.until([&] { return host.asked.size() >= n; }); };
-    REQUIRE(asked(3));
+    auto requested = [&](std::size_t n) { return loop.until([&] { return host.asked.size() >= n; }); };
+    REQUIRE(requested(3));
     CHECK(host.asked[0] == "/catalog/members");
     CHECK(host.asked[1] == "/catalog/members?from=41&hold_ms=10");
     CHECK(host.asked[2] == "/catalog/members?from=43&hold_ms=10");
-    REQUIRE(asked(6));
+    REQUIRE(requested(6));
     CHECK(host.asked[4] == "/catalog/members?from=43&hold_ms=0");  // it goes on from what it has, at once
     CHECK(host.asked[5] == "/catalog/members");  // after a list that can't be read, from the start
-    REQUIRE(asked(8));                           // silence is given up
+    REQUIRE(requested(8));                           // silence is given up
     agent.drop_all();
-    REQUIRE(asked(9));  // and so is a reset
+    REQUIRE(requested(9));  // and so is a reset
     CHECK(catalog.told());
 }
 
@@ -128,7 +128,7 @@
                     break;
                 case 2: {  // its list is told, and watched from there
                     std::string rev = std::to_string(++revision[now]);
-                    auto told = [&] {
+                    auto has_list = [&] {
                         // Told again where a call was given up just before: that depends on the machine.
                         if (agents[now].replies.empty())
                             agents[now].replies = {
@@ -136,7 +136,7 @@
                         return !asked.empty() &&
                                asked.back() == "/catalog/members?from=" + rev + "&hold_ms=2";
                     };
-                    REQUIRE(loop.until(told));
+                    REQUIRE(loop.until(has_list));
                     CHECK(catalog.told());
                     agents[now].replies.clear();
                     break;
@@ -192,7 +192,7 @@
         out.push_back(line);
         return true;
     });
-    log.also([&](const std::string& line) { sink.send(line); });
+    log.set_second_sink([&](const std::string& line) { sink.send(line); });
     log.log(routing::Level::error, "first", "a \"quoted\" ]text", {{"key", "v\"]\\"}});
     REQUIRE(loop.until([&] { return collector.lines.size() == 1; }));
     CHECK(collector.lines[0] == *syslog::read(out.at(0)));
--- a/tests/program/upgrade_test.cpp
+++ b/tests/program/upgrade_test.cpp
@@ -189,8 +189,8 @@
         late.send(startup.substr(0, cut));
         std::string next = read_of("a2");
         std::size_t half = dice.below(next.size());
-        bool asked = dice.below(2);
-        if (asked) {
+        bool owed = dice.below(2);
+        if (owed) {
             for (Host& host : d.hosts) host.silent = true;
             client.send(next);
             REQUIRE(
@@ -206,7 +206,7 @@
         };
         hand();
         d.loop.settle();
-        if (asked) {
+        if (owed) {
             CHECK(predecessor.front->connections() == 1);  // it stays until it has its answer
             for (Host& host : d.hosts) host.silent = false;
             for (auto& server : d.servers) server->drop_all();
@@ -245,11 +245,11 @@
     alone.serve();
     CHECK(!alone.handover.another_process());
     for (bool answers : {false, true}) {
-        std::vector<Descriptor> taken;  // a predecessor that says nothing, or not all
+        std::vector<Descriptor> accepted;  // a predecessor that says nothing, or not all
         transport::ChannelListener listener(d.loop.io, folder.path, "n1.peer", [&](Descriptor socket) {
-            taken.push_back(std::move(socket));
-            if (answers) CHECK(::send(taken.back().get(), "F12345678", 9, 0) == 9);
-            if (answers) taken.clear();
+            accepted.push_back(std::move(socket));
+            if (answers) CHECK(::send(accepted.back().get(), "F12345678", 9, 0) == 9);
+            if (answers) accepted.clear();
         });
         Process successor(d, folder.path, 5ms);
         REQUIRE(successor.handover.request_state());
