--- a/tests/program/services_test.cpp
+++ b/tests/program/services_test.cpp
@@ -46,7 +46,7 @@
     REQUIRE(requested(6));
     CHECK(host.asked[4] == "/catalog/members?from=43&hold_ms=0");  // it goes on from what it has, at once
     CHECK(host.asked[5] == "/catalog/members");  // after a list that can't be read, from the start
-    REQUIRE(requested(8));                           // silence is given up
+    REQUIRE(requested(8));                       // silence is given up
     agent.drop_all();
     REQUIRE(requested(9));  // and so is a reset
     CHECK(catalog.told());
