--- a/bench/statement_bench.cpp
+++ b/bench/statement_bench.cpp
@@ -51,7 +51,7 @@
 
 void judge_hit(benchmark::State& state) {
     StatementAnalyzer judge({}, {});
-    for (auto _ : state) benchmark::DoNotOptimize(&judge.judge(kUsual, {}));
+    for (auto _ : state) benchmark::DoNotOptimize(&judge.analyze(kUsual, {}));
     state.counters["bytes"] = double(kUsual.size());
 }
 void judge_hit_of_many(benchmark::State& state) {
@@ -59,9 +59,9 @@
     std::vector<std::string> all;
     for (int i = 0; i < 8000; ++i) all.push_back(kUsual + " OFFSET b.c" + std::to_string(i));
     for (int round = 0; round < 2; ++round)
-        for (auto& sql : all) judge.judge(sql, {});
+        for (auto& sql : all) judge.analyze(sql, {});
     std::mt19937 random(1);
-    for (auto _ : state) benchmark::DoNotOptimize(&judge.judge(all[random() % all.size()], {}));
+    for (auto _ : state) benchmark::DoNotOptimize(&judge.analyze(all[random() % all.size()], {}));
     state.counters["shapes"] = double(judge.cache().size());
     state.counters["MiB"] = double(judge.cache().bytes()) / 1048576;
 }
@@ -69,7 +69,7 @@
     StatementAnalyzer judge({}, {.parses_per_second = 1e18});
     std::size_t i = 0;
     for (auto _ : state)
-        benchmark::DoNotOptimize(&judge.judge(kUsual + " OFFSET b.c" + std::to_string(++i), {}));
+        benchmark::DoNotOptimize(&judge.analyze(kUsual + " OFFSET b.c" + std::to_string(++i), {}));
 }
 
 // ---- the cache against a plain LRU of as many bytes ------------------------------------------------
--- a/src/adapters/classes.hpp
+++ b/src/adapters/classes.hpp
@@ -15,7 +15,7 @@
     std::string name;
     routing::ClassId id{};
     routing::Duration deadline{};
-    bool write = false, session = false, keyed = false;
+    bool write = false, session = false, needs_idempotency_key = false;
 };
 
 class Classes {
--- a/src/adapters/client_listener.hpp
+++ b/src/adapters/client_listener.hpp
@@ -23,7 +23,7 @@
     void start() override;
     void stop_accepting() override;
     void close_idle() override;
-    void refuse_checks() override { refusing_ = true; }
+    void fail_checks() override { refusing_ = true; }
     void welcome() override;
     int listening_socket() override { return listener_.socket(); }
     std::size_t hand_over(const std::function<void(routing::ClientHandover)>& to) override;
--- a/src/adapters/limited_admission.cpp
+++ b/src/adapters/limited_admission.cpp
@@ -10,8 +10,8 @@
 
 class LimitedAdmission::Ticket final : public Responder {
   public:
-    Ticket(LimitedAdmission& owner, RequestId id, ClientRequest item, Responder& responder, Time deadline)
-        : owner_(owner), id_(id), item_(std::move(item)), responder_(&responder), deadline_(deadline) {}
+    Ticket(LimitedAdmission& owner, RequestId id, ClientRequest request, Responder& responder, Time deadline)
+        : owner_(owner), id_(id), request_(std::move(request)), responder_(&responder), deadline_(deadline) {}
 
     void served(const Answer& answer) override {
         std::size_t bytes = answer.passage.size();
@@ -25,7 +25,7 @@
         responder_->began(answer, length);
     }
     bool piece(std::string_view bytes) override { return responder_->piece(bytes); }
-    bool present() override { return responder_->present(); }
+    bool is_client_present() override { return responder_->is_client_present(); }
     void broken() override {
         Responder* to = responder_;
         owner_.end(id_, limits::Outcome::failed, 0);
@@ -33,9 +33,9 @@
     }
     void ended(const FinalError& ending) override {
         Responder* to = responder_;
-        auto how = ending.deadline                            ? limits::Outcome::timed_out
-                   : ending.kind == FinalError::Kind::refused ? limits::Outcome::never_ran
-                                                              : limits::Outcome::failed;
+        auto how = ending.deadline                             ? limits::Outcome::timed_out
+                   : ending.kind == FinalError::Kind::rejected ? limits::Outcome::never_ran
+                                                               : limits::Outcome::failed;
         FinalError copy = ending;
         owner_.end(id_, how, 0);
         to->ended(copy);
@@ -45,11 +45,11 @@
     friend class LimitedAdmission;
     LimitedAdmission& owner_;
     RequestId id_, core_id_{};
-    ClientRequest item_;
+    ClientRequest request_;
     Responder* responder_;
     Time deadline_;
     std::size_t bytes_ = 0, passed_ = 0;
-    bool held_ = false, in_core_ = false;
+    bool queued_ = false, in_core_ = false;
 };
 
 LimitedAdmission::LimitedAdmission(boost::asio::io_context& io, const Clock& clock,
@@ -62,56 +62,56 @@
     return limits::Time(clock_.now().time_since_epoch());
 }
 
-RequestId LimitedAdmission::accept(ClientRequest item, Responder& responder) {
+RequestId LimitedAdmission::accept(ClientRequest request, Responder& responder) {
     RequestId id{next_++};
-    Time deadline = clock_.now() + item.client_timeout;
+    Time deadline = clock_.now() + request.client_timeout;
     limits::Arrival arrival;
     arrival.id = std::uint64_t(id);
-    arrival.group = std::uint32_t(item.group);
-    arrival.shape = {item.shape_high, item.shape_low};
+    arrival.group = std::uint32_t(request.group);
+    arrival.shape = {request.shape_high, request.shape_low};
     if (arrival.shape == limits::ShapeId{}) {
-        statement::Shape fixed = fixed_shape(item.verb);
+        statement::Shape fixed = fixed_shape(request.verb);
         arrival.shape = {fixed.high, fixed.low};
     }
-    arrival.estimate = limits::Duration(item.cost_us > 0 ? item.cost_us : 2000);
-    arrival.privileged = item.session.has_value() && !item.unreserved;
+    arrival.estimate = limits::Duration(request.cost_us > 0 ? request.cost_us : 2000);
+    arrival.privileged = request.session.has_value() && !request.unreserved;
     arrival.deadline = limits::Time(deadline.time_since_epoch());
-    auto ticket = std::make_unique<Ticket>(*this, id, std::move(item), responder, deadline);
+    auto ticket = std::make_unique<Ticket>(*this, id, std::move(request), responder, deadline);
     Ticket& t = *ticket;
-    arrival.tenant = t.item_.tenant;
-    limits::AdmissionDecision verdict = limiter_.arrive(arrival, now());
+    arrival.tenant = t.request_.tenant;
+    limits::AdmissionDecision decision = limiter_.arrive(arrival, now());
     tickets_.emplace(std::uint64_t(id), std::move(ticket));
-    if (verdict.admission == limits::Admission::admit) {
+    if (decision.admission == limits::Admission::admit) {
         forward(t);
     } else {
-        t.held_ = true;
-        t.bytes_ = t.item_.statement.size() + t.item_.name.size();
+        t.queued_ = true;
+        t.bytes_ = t.request_.statement.size() + t.request_.name.size();
         queued_bytes_ += t.bytes_;
-        held_ids_.insert(t.item_.id);
-        if (verdict.admission == limits::Admission::reject) refused_.push_back(verdict);
+        queued_ids_.insert(t.request_.id);
+        if (decision.admission == limits::Admission::reject) refused_.push_back(decision);
     }
     wake();
     return id;
 }
 
-void LimitedAdmission::unhold(Ticket& t) {
-    if (!std::exchange(t.held_, false)) return;
+void LimitedAdmission::dequeue(Ticket& t) {
+    if (!std::exchange(t.queued_, false)) return;
     queued_bytes_ -= t.bytes_;
-    held_ids_.erase(t.item_.id);
+    queued_ids_.erase(t.request_.id);
 }
 
 void LimitedAdmission::forward(Ticket& t) {
-    unhold(t);
+    dequeue(t);
     t.in_core_ = true;
     // What is left of its time; none left is the core's to say, as ever.
-    t.item_.client_timeout = std::max(Duration::zero(), t.deadline_ - clock_.now());
-    t.core_id_ = core_.accept(std::move(t.item_), t);
+    t.request_.client_timeout = std::max(Duration::zero(), t.deadline_ - clock_.now());
+    t.core_id_ = core_.accept(std::move(t.request_), t);
 }
 
 void LimitedAdmission::end(RequestId id, limits::Outcome how, std::size_t bytes) {
     limiter_.finish(std::uint64_t(id), how, bytes, now());
     if (auto it = tickets_.find(std::uint64_t(id)); it != tickets_.end()) {
-        unhold(*it->second);
+        dequeue(*it->second);
         tickets_.erase(it);
     }
     wake();
@@ -130,18 +130,18 @@
     end(id, limits::Outcome::cancelled, 0);
 }
 
-void LimitedAdmission::refuse(const limits::AdmissionDecision& verdict) {
-    auto it = tickets_.find(verdict.id);
+void LimitedAdmission::refuse(const limits::AdmissionDecision& decision) {
+    auto it = tickets_.find(decision.id);
     if (it == tickets_.end()) return;
     Responder* to = it->second->responder_;
-    unhold(*it->second);
+    dequeue(*it->second);
     tickets_.erase(it);
-    to->ended({FinalError::Kind::refused, false, verdict.retry_after});
+    to->ended({FinalError::Kind::rejected, false, decision.retry_after});
 }
 
 // What its calls bring about may call back in here: those calls only mark that there is more to do.
 void LimitedAdmission::dispatch_queued() {
-    if (std::exchange(pumping_, true)) return;
+    if (std::exchange(dispatching_, true)) return;
     std::vector<limits::AdmissionDecision> due;
     for (int round = 0; round < 64; ++round) {
         due.clear();
@@ -154,11 +154,12 @@
             } else if (auto it = tickets_.find(v.id); it != tickets_.end()) {
                 forward(*it->second);
             } else {
-                limiter_.finish(v.id, limits::Outcome::never_ran, 0, now());  // its client has left in between
+                limiter_.finish(v.id, limits::Outcome::never_ran, 0,
+                                now());  // its client has left in between
             }
         }
     }
-    pumping_ = false;
+    dispatching_ = false;
     auto next = limiter_.next();
     if (!refused_.empty()) next = limits::Time::min();
     if (next == armed_) return;
@@ -188,9 +189,9 @@
 // with another class's effect. What belongs to a class that is gone ends here; it never ran.
 void LimitedAdmission::renumber(const std::vector<std::optional<ClassId>>& continues) {
     for (auto& [id, ticket] : tickets_) {
-        if (!ticket->held_) continue;
-        ticket->item_.request_class = renumbered(ticket->item_.request_class, continues);
-        if (ticket->item_.request_class == kNoClass)
+        if (!ticket->queued_) continue;
+        ticket->request_.request_class = renumbered(ticket->request_.request_class, continues);
+        if (ticket->request_.request_class == kNoClass)
             refused_.push_back({id, limits::Admission::reject, limits::RejectionCause::none, {}});
     }
     wake();
--- a/src/adapters/limited_admission.hpp
+++ b/src/adapters/limited_admission.hpp
@@ -22,10 +22,10 @@
                      const limits::Settings& settings, routing::RequestAdmission& core);
     ~LimitedAdmission();
 
-    routing::RequestId accept(routing::ClientRequest item, routing::Responder& responder) override;
+    routing::RequestId accept(routing::ClientRequest request, routing::Responder& responder) override;
     bool has_capacity(std::size_t bytes) const override { return core_.has_capacity(bytes + queued_bytes_); }
     bool is_open(const std::string& id) const override {
-        return held_ids_.count(id) > 0 || core_.is_open(id);
+        return queued_ids_.count(id) > 0 || core_.is_open(id);
     }
     void resume(routing::RequestId id) override;
     void withdraw(routing::RequestId id, Departure departure) override;
@@ -42,10 +42,10 @@
     void forward(Ticket& ticket);
     // The ticket is over: it leaves, and what its end makes room for goes on.
     void end(routing::RequestId id, limits::Outcome how, std::size_t bytes);
-    void refuse(const limits::AdmissionDecision& verdict);
+    void refuse(const limits::AdmissionDecision& decision);
     void dispatch_queued();
     void wake();  // pump() soon, from the loop
-    void unhold(Ticket& ticket);
+    void dequeue(Ticket& ticket);
     limits::Time now() const;
 
     boost::asio::io_context& io_;
@@ -54,13 +54,13 @@
     limits::Limiter limiter_;
     boost::asio::steady_timer timer_;
     std::unordered_map<std::uint64_t, std::unique_ptr<Ticket>> tickets_;
-    std::unordered_set<std::string> held_ids_;
+    std::unordered_set<std::string> queued_ids_;
     std::vector<limits::AdmissionDecision>
         refused_;  // on arrival: answered from the loop, not from within accept()
     std::size_t queued_bytes_ = 0;
     std::uint64_t next_ = 1;
     std::optional<limits::Time> armed_;
-    bool woken_ = false, pumping_ = false;
+    bool woken_ = false, dispatching_ = false;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/adapters/peer_link.cpp
+++ b/src/adapters/peer_link.cpp
@@ -50,7 +50,7 @@
     for (const peer::Primary& p : message->primaries) on_primary_(p);
 }
 
-void PeerLink::tell(peer::Primary primary) {
+void PeerLink::announce(peer::Primary primary) {
     std::uint32_t group = primary.group;
     pending_[group] = {std::move(primary), 0, std::chrono::steady_clock::now() + options_.gather};
     schedule_send();
--- a/src/adapters/peer_link.hpp
+++ b/src/adapters/peer_link.hpp
@@ -33,7 +33,7 @@
     // Throws boost::system::system_error where the address can't be had.
     PeerLink(boost::asio::io_context& io, PeerOptions options, PrimaryHandler on_primary);
 
-    void tell(protocol::peer::Primary primary);  // of a group the newest alone is kept
+    void announce(protocol::peer::Primary primary);  // of a group the newest alone is kept
     boost::asio::ip::udp::endpoint local() const { return socket_.local_endpoint(); }
     const PeerCounts& counts() const { return counts_; }
 
--- a/src/adapters/pg_backend.cpp
+++ b/src/adapters/pg_backend.cpp
@@ -35,9 +35,9 @@
 // A member's answer has exactly one form for each query. Whatever differs from it is spoilt: a failed attempt
 // that may have run, which teaches nothing and ends the connection. Guards against passing on what was made
 // for no request or for another one, and against waiting for the end of what has none.
-class PgLink : public BackendConnectionBase {
+class PgConnection : public BackendConnectionBase {
   public:
-    PgLink(boost::asio::io_context& io, Owner& owner)
+    PgConnection(boost::asio::io_context& io, Owner& owner)
         : BackendConnectionBase(io, owner, kRowLimit + kOtherLimit), timer_(io) {}
 
     void submit(const ClientRequest& item, Duration remaining, std::optional<std::int64_t>) override {
@@ -46,7 +46,7 @@
         verb_ = item.verb;
         row_limit_ = verb_ == ClientRequest::Verb::page ? item.limit : 1;
         in_pieces_ = item.in_pieces && verb_ != ClientRequest::Verb::page;
-        if (verb_ == ClientRequest::Verb::other && item.bare)
+        if (verb_ == ClientRequest::Verb::other && item.has_no_comment_fields)
             query(pg::Writer().query(item.statement).take(), false);
         else if (item.statement.empty())
             query(pg::Writer().query(query_text(item, left)).take(), false);
@@ -157,7 +157,7 @@
     void await_rest() {
         timer_.expires_after(left_ > 0 ? kRestOfLong : kRestOfAnswer);
         timer_.async_wait([weak = weak_from_this(), number = ++waits_](const transport::error_code& ec) {
-            auto self = std::static_pointer_cast<PgLink>(weak.lock());
+            auto self = std::static_pointer_cast<PgConnection>(weak.lock());
             if (self && !ec && self->owner_ && number == self->waits_ &&
                 self->state_ == State::awaiting_answer && !self->paused_)
                 self->malformed("an answer that does not end");
@@ -375,7 +375,7 @@
 
 std::shared_ptr<BackendConnection> PgBackend::open(const std::string& address, Duration timeout,
                                                    BackendConnection::Owner& owner) {
-    auto link = std::make_shared<PgLink>(io_, owner);
+    auto link = std::make_shared<PgConnection>(io_, owner);
     link->connect(io_, address, timeout);
     return link;
 }
--- a/src/adapters/pg_front.cpp
+++ b/src/adapters/pg_front.cpp
@@ -185,8 +185,8 @@
     // a replica may have it.
     void open_query(std::string_view sql, pg::Statement& statement) {
         PgRequestReader::drop_foreign_comment(statement);
-        const statement::StatementProfile& profile = statements_->judge(sql, now());
-        if (statements_->judge().scanner().flaw() == statement::Flaw::empty) return empty();
+        const statement::StatementProfile& profile = statements_->analyze(sql, now());
+        if (statements_->analyzer().scanner().flaw() == statement::Flaw::empty) return empty();
         if (profile.route == statement::Route::refuse) {
             using statement::Kind;
             bool known = profile.kind == Kind::session || profile.kind == Kind::transaction;
@@ -278,7 +278,7 @@
 
     void ended(const FinalError& ending) override {
         pg::Writer w;
-        if (ending.kind == FinalError::Kind::refused) {
+        if (ending.kind == FinalError::Kind::rejected) {
             std::string after;
             if (ending.retry_after) after = std::to_string(ending.retry_after->count() / 1000);
             w.error("ERROR", pg::sqlstate::kTooManyConnections, "no database host can take this now", after);
--- a/src/adapters/pg_query_text.cpp
+++ b/src/adapters/pg_query_text.cpp
@@ -34,7 +34,7 @@
     if (!request.key.empty()) out += ",k=" + request.key;
     out += ",cluster=" + std::to_string(std::uint32_t(request.group));
     if (request.after_unix_ms) out += ",after=" + std::to_string(*request.after_unix_ms);
-    if (request.repeat) out += ",r=1";
+    if (request.is_retry) out += ",r=1";
     return out + " */ ";
 }
 
--- a/src/adapters/pg_request.cpp
+++ b/src/adapters/pg_request.cpp
@@ -144,7 +144,7 @@
     pg::Verb verb = pg::read_verb(statement.body);
     if (const char* error = verb_error(verb, *request_class))
         return PgRejection{pg::sqlstate::kSyntaxError, error};
-    if (request_class->keyed && statement.field("k").value_or("").empty())
+    if (request_class->needs_idempotency_key && statement.field("k").value_or("").empty())
         return invalid("the comment names no key (k), which this class needs");
     request.verb = verb_of(verb.kind);
     request.name = std::move(verb.name);
@@ -155,7 +155,7 @@
     request.tenant = statement.field("t").value_or("");
     request.key = statement.field("k").value_or("");
     set_class(*request_class, *group, request);
-    request.repeat = statement.field("r") == "1";
+    request.is_retry = statement.field("r") == "1";
     if (request_class->write || request_class->session) request.session = session_number(request.name);
     request.statement = sql;
     request.in_pieces = true;
@@ -175,7 +175,7 @@
     if (!request_class) return invalid(why);
     request.key = statement.field("k").value_or("");
     bool read = profile.kind == statement::Kind::read;
-    if (request_class->keyed && request.key.empty() && !read)
+    if (request_class->needs_idempotency_key && request.key.empty() && !read)
         return invalid("class '" + request_class->name +
                        "' needs a key (k): its statements may be sent again");
     auto cluster = statement.field("cluster");
@@ -187,13 +187,13 @@
     request.verb = ClientRequest::Verb::other;
     set_class(*request_class, *group, request);
     request.tenant = statement.field("t").value_or(defaults.user);
-    request.repeat = statement.field("r") == "1";
+    request.is_retry = statement.field("r") == "1";
     // Whoever names no session is one by its connection: its reads see its own writes.
     if (request_class->write || request_class->session)
         request.session = session_number(statement.field("s").value_or(defaults.peer_address));
     request.commits = request_class->write;
     request.unreserved = read && !request_class->session;
-    request.bare = statement.fields.empty();
+    request.has_no_comment_fields = statement.fields.empty();
     request.shape_high = profile.shape.high;
     request.shape_low = profile.shape.low;
     request.cost_us = statement::estimate_cost(profile);
--- a/src/adapters/rest_backend.cpp
+++ b/src/adapters/rest_backend.cpp
@@ -37,9 +37,9 @@
         protocol::pg::read_verb(protocol::pg::read_statement(item.statement).body).long_content);
 }
 
-class RestLink : public BackendConnectionBase {
+class RestConnection : public BackendConnectionBase {
   public:
-    RestLink(boost::asio::io_context& io, Owner& owner, std::string host)
+    RestConnection(boost::asio::io_context& io, Owner& owner, std::string host)
         : BackendConnectionBase(io, owner, kLimits.head + kLimits.body * 2),
           parser_(kLimits),
           host_(std::move(host)) {}
@@ -80,7 +80,7 @@
         // A statement that has no form in this protocol. It never ran, and no other member knows it either.
         state_ = State::awaiting_answer;
         boost::asio::post(connection_->executor(), [weak = weak_from_this()] {
-            auto self = std::static_pointer_cast<RestLink>(weak.lock());
+            auto self = std::static_pointer_cast<RestConnection>(weak.lock());
             if (self && self->owner_ && self->state_ == State::awaiting_answer) self->answer(AttemptResult{});
         });
     }
@@ -188,7 +188,7 @@
 
 std::shared_ptr<BackendConnection> RestBackend::open(const std::string& address, Duration timeout,
                                                      BackendConnection::Owner& owner) {
-    auto link = std::make_shared<RestLink>(io_, owner, address);
+    auto link = std::make_shared<RestConnection>(io_, owner, address);
     link->connect(io_, address, timeout);
     return link;
 }
--- a/src/adapters/rest_front.cpp
+++ b/src/adapters/rest_front.cpp
@@ -213,7 +213,7 @@
         }
         if (ending.deadline)
             finish({504, "deadline", "No host answered in time", ""}, fields);
-        else if (ending.kind == FinalError::Kind::refused)
+        else if (ending.kind == FinalError::Kind::rejected)
             finish({503, "refused", "No host can take this now", "trying again is harmless"}, fields);
         else
             finish({502, "failed", "The host failed", ""}, fields);
--- a/src/adapters/session.hpp
+++ b/src/adapters/session.hpp
@@ -85,7 +85,7 @@
     void on_data(transport::Buffer& in) override;
     void on_written() override;
     void on_closed(const transport::error_code& ec) override;
-    bool present() override { return !connection_->hung_up(); }
+    bool is_client_present() override { return !connection_->hung_up(); }
     void end_with(routing::RequestAdmission::Departure departure);
     void work();
     void watch();
--- a/src/adapters/statements.cpp
+++ b/src/adapters/statements.cpp
@@ -8,8 +8,8 @@
 constexpr std::size_t kKnown = 2048, kKnownText = 160;
 }
 
-Statements::Statements(Rules rules, StatementAnalyzer::Options judge, StatementOptions options)
-    : analyzer_(std::move(rules), judge), options_(std::move(options)) {}
+Statements::Statements(Rules rules, StatementAnalyzer::Options analyzer_options, StatementOptions options)
+    : analyzer_(std::move(rules), analyzer_options), options_(std::move(options)) {}
 
 void Statements::set(Rules rules, StatementOptions options) {
     analyzer_.set_rules(std::move(rules));
@@ -18,8 +18,8 @@
     order_.clear();
 }
 
-const StatementProfile& Statements::judge(std::string_view sql, routing::Time now) {
-    const StatementProfile& j = analyzer_.judge(sql, StatementAnalyzer::Time(now.time_since_epoch()));
+const StatementProfile& Statements::analyze(std::string_view sql, routing::Time now) {
+    const StatementProfile& j = analyzer_.analyze(sql, StatementAnalyzer::Time(now.time_since_epoch()));
     if (analyzer_.counts().parsed != parsed_) {
         parsed_ = analyzer_.counts().parsed;
         remember(j, analyzer_.scanner().text());
--- a/src/adapters/statements.hpp
+++ b/src/adapters/statements.hpp
@@ -21,13 +21,14 @@
 
 class Statements {
   public:
-    Statements(statement::Rules rules, statement::StatementAnalyzer::Options judge, StatementOptions options);
+    Statements(statement::Rules rules, statement::StatementAnalyzer::Options analyzer_options,
+               StatementOptions options);
     void set(statement::Rules rules, StatementOptions options);
 
     bool open() const { return options_.open; }
     const StatementOptions& options() const { return options_; }
-    const statement::StatementProfile& judge(std::string_view sql, routing::Time now);
-    const statement::StatementAnalyzer& judge() const { return analyzer_; }
+    const statement::StatementProfile& analyze(std::string_view sql, routing::Time now);
+    const statement::StatementAnalyzer& analyzer() const { return analyzer_; }
 
     // The class in which a statement is served: the named one, else the rule's, else the kind's. A class
     // whose reads go to replicas is never the answer for what must not; `why` then says what is missing.
--- a/src/lab/clients.cpp
+++ b/src/lab/clients.cpp
@@ -109,7 +109,7 @@
     request.request_class = routing::ClassId(std::uint32_t(attempt.request.request_class));
     request.group = routing::GroupId(attempt.request.group);
     request.client_timeout = request_class.deadline;
-    request.repeat = attempt.request.retries_left < options.retries;
+    request.is_retry = attempt.request.retries_left < options.retries;
     if (!has_session) return request;
     request.session = attempt.request.session;
     Time commit = world_.auditor.last_commit(attempt.request.session);
@@ -147,7 +147,7 @@
 void Clients::on_ended(Attempt& attempt, const FinalError& error) {
     attempt.over = true;
     world_.auditor.refused(attempt.id, world_.timeline.now());
-    bool refused = error.kind == FinalError::Kind::refused;
+    bool refused = error.kind == FinalError::Kind::rejected;
     if (attempt.request.retries_left > 0 && refused) {
         // It comes again at once, whatever its Retry-After was.
         Request retry = attempt.request;
--- a/src/lab/discovery.cpp
+++ b/src/lab/discovery.cpp
@@ -35,7 +35,8 @@
 }
 
 void Discovery::add(SimulatedPooler& pooler) {
-    pooler.core.list(polled() ? EndpointListKind::cached : EndpointListKind::full, describe_all());
+    pooler.core.apply_endpoint_list(polled() ? EndpointListKind::cached : EndpointListKind::full,
+                                    describe_all());
     pooler.core.on_follow_list([this, &pooler] { poll(pooler); });
 }
 
@@ -58,7 +59,7 @@
     else
         world_.auditor.notified_ready(pooler, host);
     if (world_.options.defect == Defect::send_after_drain && draining) return;
-    world_.poolers[pooler]->core.list(EndpointListKind::changes, {info});
+    world_.poolers[pooler]->core.apply_endpoint_list(EndpointListKind::changes, {info});
 }
 
 void Discovery::deliver_whole_list(SimulatedPooler& pooler) {
@@ -68,7 +69,7 @@
         else
             world_.auditor.notified_ready(pooler.number, host->number);
     }
-    pooler.core.list(EndpointListKind::full, describe_all());
+    pooler.core.apply_endpoint_list(EndpointListKind::full, describe_all());
 }
 
 // One service for all poolers: calls wait for their turn, and fail when they have waited for too long.
@@ -87,14 +88,15 @@
                               if (caller.watches_list)
                                   deliver_whole_list(caller);
                               else
-                                  caller.core.list(EndpointListKind::failed, {});
+                                  caller.core.apply_endpoint_list(EndpointListKind::failed, {});
                           });
 }
 
 void Discovery::begin_outage() {
     out_of_reach_ = true;
     for (auto& pooler : world_.poolers)
-        if (std::exchange(pooler->watches_list, false)) pooler->core.list(EndpointListKind::failed, {});
+        if (std::exchange(pooler->watches_list, false))
+            pooler->core.apply_endpoint_list(EndpointListKind::failed, {});
 }
 
 }  // namespace indigovane::lab
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -44,7 +44,7 @@
     Timeline timeline;
     VirtualClock clock;
     Auditor auditor;
-    struct SilentLogger final : routing::Logger {
+    struct NullLogger final : routing::Logger {
         void log(routing::Level, const char*, const std::string&, const Data&) override {}
     } logger;
     Stream traffic_stream, work_stream, fault_stream;
--- a/src/policy/attempt_status.hpp
+++ b/src/policy/attempt_status.hpp
@@ -17,7 +17,7 @@
     miss,  ///< the endpoint doesn't serve this: it refused the read as too far behind, or has no such data
     stale  ///< the endpoint answered, with older data than the read allows; the answer was not passed on
 };
-constexpr std::size_t kStatuses = 10;
+constexpr std::size_t kAttemptStatusCount = 10;
 
 /// What is known of whether a statement was executed, the weakest evidence first. It is a fact of its own and
 /// never follows from how useful the answer was: evidence that a statement ran is not taken back by a later
--- a/src/policy/engine.cpp
+++ b/src/policy/engine.cpp
@@ -83,9 +83,9 @@
         return;
     }
     const std::shared_ptr<RequestClass>& request_class = classes_[class_index];
-    clients_mark_retries_ = clients_mark_retries_ || arrival.repeat;
+    clients_mark_retries_ = clients_mark_retries_ || arrival.is_retry;
     Duration elapsed = request_class->client_timeouts.elapsed_before(
-        {arrival.client_timeout, request_class->deadline, arrival.repeat, clients_mark_retries_});
+        {arrival.client_timeout, request_class->deadline, arrival.is_retry, clients_mark_retries_});
     Request& request =
         requests_.insert(Request(arrival, request_class, settings_.attempts.value_or(kDefaultAttempts),
                                  elapsed, uniform(random_), now_));
--- a/src/policy/events.hpp
+++ b/src/policy/events.hpp
@@ -49,8 +49,8 @@
     Duration client_timeout{};          ///< until the client gives up this attempt of its own
     std::optional<SessionKey> session;  ///< of writes and session reads
     std::optional<Duration>
-        since_last_write;  ///< carried token: age of the session's last commit, none: no write
-    bool repeat = false;   ///< the client marks that it has asked before
+        since_last_write;   ///< carried token: age of the session's last commit, none: no write
+    bool is_retry = false;  ///< the client marks that it has asked before
 };
 
 struct AttemptOutcome {
--- a/src/program/client_diversion.cpp
+++ b/src/program/client_diversion.cpp
@@ -21,7 +21,7 @@
 }
 
 void ClientDiversion::begin() {
-    for (auto& front : services_.fronts) front->refuse_checks();
+    for (auto& front : services_.fronts) front->fail_checks();
     services_.phases.enter(Phase::failing_checks);
     timer_.expires_after(kCheckersNotice);
     timer_.async_wait([this](const boost::system::error_code& error) {
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-void take_statements(StatementConfig statements, const std::string& path, Config& config) {
+void set_statements(StatementConfig statements, const std::string& path, Config& config) {
     apply_bounds(statements.rules, path, config);
     check_default_class(config, statements.read_class, "read_class", false, path);
     check_default_class(config, statements.primary_class, "primary_class", true, path);
@@ -57,7 +57,7 @@
     config.statements = std::move(statements);
 }
 
-void take_peers(PeerConfig peering, const std::string& path, Config& config) {
+void set_peers(PeerConfig peering, const std::string& path, Config& config) {
     if (!config.peers_permitted)
         throw ConfigError(path, "the platform's settings permit no messages between poolers");
     if (!config.peer_listen || config.peers.empty())
--- a/src/program/config.hpp
+++ b/src/program/config.hpp
@@ -89,9 +89,9 @@
 //
 // Statements: what the file says of classes; its bounds on staleness are combined with those of the settings
 // (the tighter counts).
-void take_statements(StatementConfig statements, const std::string& path, Config& config);
+void set_statements(StatementConfig statements, const std::string& path, Config& config);
 // Peers: the platform must permit and name them.
-void take_peers(PeerConfig peering, const std::string& path, Config& config);
+void set_peers(PeerConfig peering, const std::string& path, Config& config);
 // Sites: the classes that it names must exist.
 void set_sites(SiteConfig sites, const std::string& path, Config& config);
 
--- a/src/program/config_error.hpp
+++ b/src/program/config_error.hpp
@@ -35,7 +35,7 @@
 };
 
 // The name that other folders' tests use.
-using FileError = ConfigError;
+using ConfigError = ConfigError;
 
 // The file's text. Throws ConfigError with `failure`, such as "it can't be read".
 std::string read_config_file(const std::string& path, const ConfigError& failure);
--- a/src/program/configuration_files.cpp
+++ b/src/program/configuration_files.cpp
@@ -76,10 +76,10 @@
     };
     with_file("rest", [&](const std::string& file) { read_rest_config(file, config); });
     with_file("store", [&](const std::string& file) { config.store = read_store_config(file); });
-    with_file("peers", [&](const std::string& file) { take_peers(read_peer_config(file), file, config); });
+    with_file("peers", [&](const std::string& file) { set_peers(read_peer_config(file), file, config); });
     with_file("sites", [&](const std::string& file) { set_sites(read_site_config(file), file, config); });
     with_file("statements",
-              [&](const std::string& file) { take_statements(read_statement_config(file), file, config); });
+              [&](const std::string& file) { set_statements(read_statement_config(file), file, config); });
     return config;
 }
 
--- a/src/program/handover_state.cpp
+++ b/src/program/handover_state.cpp
@@ -18,7 +18,7 @@
 }
 
 void HandoverState::inherit_readmission(const std::string& uid, routing::Time at) {
-    services_.core->take_over_put_back(uid, at);
+    services_.core->merge_readmission(uid, at);
 }
 
 // A client of a front that this process doesn't have is closed.
--- a/src/program/handover_state.hpp
+++ b/src/program/handover_state.hpp
@@ -14,7 +14,7 @@
 
     std::vector<std::pair<std::string, int>> listening_sockets() override;
     policy::SessionTokens tokens() override { return services_.core->tokens(); }
-    std::map<std::string, routing::Time> readmissions() override { return services_.core->put_back(); }
+    std::map<std::string, routing::Time> readmissions() override { return services_.core->readmissions(); }
 
     void inherit_socket(const std::string& front, transport::Descriptor socket) override;
     void inherit_tokens(policy::SessionTokens tokens) override;
--- a/src/program/operator_calls.cpp
+++ b/src/program/operator_calls.cpp
@@ -68,7 +68,7 @@
     if (services_.persistent_state && services_.persistent_state->is_open())
         reply.later = [this, text = reply.text](std::function<void(std::string)> answer) {
             services_.persistent_state->store_excluded_endpoints(
-                services_.excluded_endpoints.uids(), services_.core->put_back(),
+                services_.excluded_endpoints.uids(), services_.core->readmissions(),
                 [text, answer = std::move(answer)](bool on_disk) {
                     answer(on_disk ? text : text + " (not on disk: see the log)");
                 });
--- a/src/program/platform_config.cpp
+++ b/src/program/platform_config.cpp
@@ -112,7 +112,7 @@
         info.deadline = class_settings.deadline.value_or(kDefaultDeadline);
         info.write = class_settings.consistency.value_or(Consistency::write) == Consistency::write;
         info.session = class_settings.consistency == Consistency::session;
-        info.keyed = class_settings.idempotency == policy::Idempotency::idempotency_key;
+        info.needs_idempotency_key = class_settings.idempotency == policy::Idempotency::idempotency_key;
         config.longest_deadline = std::max(config.longest_deadline, info.deadline);
         classes.push_back(info);
     }
--- a/src/program/shapes_command.cpp
+++ b/src/program/shapes_command.cpp
@@ -41,7 +41,7 @@
     std::string sql;
     while (std::getline(in, sql, null_separated ? '\0' : '\n')) {
         if (!null_separated && !sql.empty() && sql.back() == '\r') sql.pop_back();
-        out << describe(analyzer.judge(sql, {}), analyzer.rules()) << "\n";
+        out << describe(analyzer.analyze(sql, {}), analyzer.rules()) << "\n";
     }
     out.flush();
     return kSuccess;
@@ -56,7 +56,7 @@
 }
 
 int explain(StatementAnalyzer& analyzer, const std::string& sql, std::ostream& out) {
-    const StatementProfile& profile = analyzer.judge(sql, {});
+    const StatementProfile& profile = analyzer.analyze(sql, {});
     const Scanner& scanner = analyzer.scanner();
     out << "shape     " << profile.shape.hex() << "\n"
         << "text      " << printable(scanner.text(), kMaxPrintedText) << "\n"
--- a/src/program/startup.cpp
+++ b/src/program/startup.cpp
@@ -178,7 +178,7 @@
         return;
     }
     services.core->on_primary([&services](const EndpointInfo& endpoint, Time as_of) {
-        services.peer_link->tell({endpoint.group, services.clock.to_unix(as_of), endpoint.uid});
+        services.peer_link->announce({endpoint.group, services.clock.to_unix(as_of), endpoint.uid});
     });
     services.log.log(Level::notice, "peers", "poolers tell each other of primaries",
                      {{"at", services.peer_link->local().address().to_string() + ":" +
--- a/src/program/statement_rules.hpp
+++ b/src/program/statement_rules.hpp
@@ -26,9 +26,9 @@
 };
 
 // The name that other folders' tests use.
-using StatementConfigError = ConfigError;
+using ConfigError = ConfigError;
 
-// Throw ConfigError. The classes that the file names are checked by take_statements() (program/config.hpp).
+// Throw ConfigError. The classes that the file names are checked by set_statements() (program/config.hpp).
 StatementConfig parse_statement_config(const std::string& text, const std::string& file);
 StatementConfig read_statement_config(const std::string& path);
 
--- a/src/routing/attempt_dispatcher.cpp
+++ b/src/routing/attempt_dispatcher.cpp
@@ -185,7 +185,7 @@
     if (now >= task.deadline || now > task.start_by) return nullptr;
     // Its client's end may not have been read yet: the loop was held up, or reads no further than the
     // request.
-    if (!pending->responder->present()) {
+    if (!pending->responder->is_client_present()) {
         core_.completion.withdraw(task.request, RequestAdmission::Departure::client_left);
         return nullptr;
     }
--- a/src/routing/core.cpp
+++ b/src/routing/core.cpp
@@ -59,7 +59,7 @@
     if (request.after_unix_ms)
         arrival.since_last_write =
             std::max(Duration(1), now - clock_.from_unix(*request.after_unix_ms * kMicrosPerMilli));
-    arrival.repeat = request.repeat;
+    arrival.is_retry = request.is_retry;
     RetryRule rule = RetryRule::of(settings_, request.request_class);
     arrival.id = requests_.add(std::move(request), responder, rule, now);
     const PendingRequest& pending = *requests_.find(arrival.id);
@@ -96,7 +96,7 @@
 
 // ---- endpoints and sites -----------------------------------------------------------------------
 
-void Core::list(EndpointListKind kind, const std::vector<EndpointInfo>& members) {
+void Core::apply_endpoint_list(EndpointListKind kind, const std::vector<EndpointInfo>& members) {
     ++statistics_.endpoint_lists;
     add_list(endpoints_.apply(kind, members));
 }
@@ -205,7 +205,7 @@
             [&](const SendAttempt& send) { dispatcher_.send(send); },
             [&](const CancelAttempt& cancel) { dispatcher_.cancel(cancel); },
             [&](const RejectRequest& reject) {
-                completion_.end(reject.id, {FinalError::Kind::refused, reject.deadline, reject.retry_after},
+                completion_.end(reject.id, {FinalError::Kind::rejected, reject.deadline, reject.retry_after},
                                 reason(reject.deadline, "no host could take it in time"));
             },
             [&](const FailRequest& fail) {
--- a/src/routing/core.hpp
+++ b/src/routing/core.hpp
@@ -49,10 +49,10 @@
     policy::SessionTokens tokens() const { return policy_.tokens(); }
     void take_over(policy::SessionTokens tokens);
     // When operators readmitted an endpoint, by uid.
-    const std::map<std::string, Time>& put_back() const {
+    const std::map<std::string, Time>& readmissions() const {
         return endpoints_.overlays().operator_readmissions();
     }
-    void take_over_put_back(const std::string& uid, Time at) {
+    void merge_readmission(const std::string& uid, Time at) {
         endpoints_.overlays().merge_operator_readmission(uid, at);
     }
     // Told of each commit of a session before its client is.
@@ -65,7 +65,7 @@
     }
 
     // ---- endpoints ----
-    void list(policy::EndpointListKind kind, const std::vector<EndpointInfo>& members);
+    void apply_endpoint_list(policy::EndpointListKind kind, const std::vector<EndpointInfo>& members);
     std::vector<EndpointInfo> listed() const { return endpoints_.listed(); }
     // These uids are excluded by operators: whatever list names them, they drain. One that leaves the set
     // counts as started now, since its operators had it to themselves meanwhile.
--- a/src/routing/discovery_client.cpp
+++ b/src/routing/discovery_client.cpp
@@ -41,7 +41,7 @@
 }
 
 void DiscoveryClient::seed(const EndpointListing& known) {
-    core_.list(EndpointListKind::cached, known.members);
+    core_.apply_endpoint_list(EndpointListKind::cached, known.members);
     if (schedule_.timing().from_known && known.all) schedule_.know(known.revision);
 }
 
@@ -180,7 +180,9 @@
         throw std::runtime_error("changes older than the list held");
     bool complete = list.all || first;
     bool empty = !complete && list.members.empty();
-    if (!empty) core_.list(complete ? EndpointListKind::full : EndpointListKind::changes, list.members);
+    if (!empty)
+        core_.apply_endpoint_list(complete ? EndpointListKind::full : EndpointListKind::changes,
+                                  list.members);
     schedule_.answered(list.revision);
     complete_list_received_ = true;
     if (list_observer_ && !empty) list_observer_(list.revision);
--- a/src/routing/interfaces.hpp
+++ b/src/routing/interfaces.hpp
@@ -75,8 +75,8 @@
     // Closes connections between requests, now and from now on.
     virtual void close_idle() = 0;
     // Answers no where a load balancer asks whether to send clients here.
-    virtual void refuse_checks() = 0;
-    // Undoes close_idle() and refuse_checks().
+    virtual void fail_checks() = 0;
+    // Undoes close_idle() and fail_checks().
     virtual void welcome() = 0;
     virtual std::size_t connections() const = 0;
     // Half-closed connections, whose clients' end is yet to come.
--- a/src/routing/request_completion.cpp
+++ b/src/routing/request_completion.cpp
@@ -22,7 +22,7 @@
 
 void RequestCompletion::began(const PendingRequest& pending) {
     const ClientRequest& request = pending.request;
-    ++(request.repeat ? statistics_.client_retries : statistics_.first_requests);
+    ++(request.is_retry ? statistics_.client_retries : statistics_.first_requests);
     if (write_observer_ && request.session && request.writes()) write_observer_(*request.session, true);
 }
 
@@ -40,7 +40,7 @@
     PendingRequest* pending = requests_.find_unanswered(id);
     if (!pending || pending->response_started) return;
     Time now = clock_.now();
-    if (ending.kind == FinalError::Kind::refused && !guard_.admits_rejection(*pending)) {
+    if (ending.kind == FinalError::Kind::rejected && !guard_.admits_rejection(*pending)) {
         ending.kind = FinalError::Kind::failed;
         ending.retry_after.reset();
     }
@@ -65,7 +65,7 @@
     if (!pending || !sites_) return;
     FinalError ending{FinalError::Kind::failed, false, std::nullopt};
     if (RequestGuard::is_rejection_harmless(pending->retry_rule, pending->attempts)) {
-        ending.kind = FinalError::Kind::refused;
+        ending.kind = FinalError::Kind::rejected;
         Duration retry_after = sites_->retry_after();
         if (settings_.retry_after.value_or(false))
             ending.retry_after = std::min(retry_after, settings_.max_retry_after.value_or(retry_after));
@@ -92,7 +92,7 @@
         const PendingRequest* pending = requests_.find(id);
         bool harmless = RequestGuard::is_rejection_harmless(pending->retry_rule, pending->attempts);
         inbox_.push(policy::RequestCancelled{id});
-        end(id, {harmless ? FinalError::Kind::refused : FinalError::Kind::failed, true, std::nullopt},
+        end(id, {harmless ? FinalError::Kind::rejected : FinalError::Kind::failed, true, std::nullopt},
             "the process ends");
     }
     inbox_.wake();
--- a/src/routing/request_log.cpp
+++ b/src/routing/request_log.cpp
@@ -99,7 +99,7 @@
 void RequestLog::ended(const PendingRequest& request, const FinalError& ending, const char* why, Time now) {
     if (!logger_.wants("ended")) return;
     Logger::Data data = describe_with_last_attempt(request, now);
-    data.push_back({"outcome", ending.kind == FinalError::Kind::refused ? "rejected" : "failed"});
+    data.push_back({"outcome", ending.kind == FinalError::Kind::rejected ? "rejected" : "failed"});
     logger_.log(Level::info, "ended", why, data);
 }
 
--- a/src/routing/request_statistics.hpp
+++ b/src/routing/request_statistics.hpp
@@ -20,9 +20,9 @@
     std::uint32_t clients_left = 0;  // before they were answered
     std::uint32_t health_checks = 0;
     std::uint32_t health_checks_failed = 0;
-    std::uint32_t connections = 0;                                  // opened to hosts
-    std::uint32_t endpoint_lists = 0;                               // complete lists and changes received
-    std::array<std::uint32_t, policy::kStatuses> attempts_ended{};  // by status
+    std::uint32_t connections = 0;     // opened to hosts
+    std::uint32_t endpoint_lists = 0;  // complete lists and changes received
+    std::array<std::uint32_t, policy::kAttemptStatusCount> attempts_ended{};  // by status
 
     bool empty() const {
         return first_requests + client_retries + attempts + health_checks + connections + endpoint_lists == 0;
--- a/src/routing/site_controller.cpp
+++ b/src/routing/site_controller.cpp
@@ -96,7 +96,7 @@
 
 bool SiteController::admit(const ClientRequest& request, Time now) {
     return manager_.admit({site::GroupId{std::uint32_t(request.group)}, std::size_t(request.request_class),
-                           request.tenant, draw(), request.client_timeout, request.repeat},
+                           request.tenant, draw(), request.client_timeout, request.is_retry},
                           time(now));
 }
 
--- a/src/routing/types.hpp
+++ b/src/routing/types.hpp
@@ -69,16 +69,16 @@
     std::optional<std::uint64_t> session;
     std::optional<std::int64_t> after_unix_ms;  // a session token that the client carries: its last commit
     Duration client_timeout{};                  // until the client gives up
-    bool repeat = false;                        // the client marks it as a retry
+    bool is_retry = false;                      // the client marks it as a retry
     bool in_pieces = false;                     // its responder takes a long value as it comes
     std::string statement;                      // as the client wrote it, where its wire has statements
 
     // Of a statement that is none of the known forms (verb other): it goes to the host, and its answer to the
     // client, as they are.
-    bool commits = false;          // it may write
-    bool bare = false;             // its comment holds none of our fields: no wait is written into it
-    bool unreserved = false;       // not to use what limits reserve for writes and session reads
-    std::uint64_t shape_high = 0;  // of its statement's fingerprint; 0: the verb's
+    bool commits = false;                // it may write
+    bool has_no_comment_fields = false;  // its comment holds none of our fields: no wait is written into it
+    bool unreserved = false;             // not to use what limits reserve for writes and session reads
+    std::uint64_t shape_high = 0;        // of its statement's fingerprint; 0: the verb's
     std::uint64_t shape_low = 0;
     std::uint32_t cost_us = 0;  // expected before any was measured; 0: unknown
 
@@ -104,9 +104,9 @@
 // The final answer to a request that was not served.
 struct FinalError {
     enum class Kind {
-        refused,  // rejected: asking again is harmless
+        rejected,  // a retry by the client is harmless
         failed,   // it may have run
-    } kind = Kind::refused;
+    } kind = Kind::rejected;
     bool deadline = false;  // because its deadline has passed
     std::optional<Duration> retry_after;
 };
@@ -123,7 +123,7 @@
     virtual void broken() {}
     virtual void ended(const FinalError& ending) = 0;
     // False: its client's end of the connection has reached this machine, even if it has not been read yet.
-    virtual bool present() { return true; }
+    virtual bool is_client_present() { return true; }
 
   protected:
     ~Responder() = default;
--- a/src/routing/watch_schedule.cpp
+++ b/src/routing/watch_schedule.cpp
@@ -26,8 +26,8 @@
 }
 }  // namespace
 
-Millis WatchSchedule::Timing::told_within() const {
-    Millis unnoticed = std::max(hold + slack, (resume_held ? hold : Millis(0)) + whole);
+Millis WatchSchedule::Timing::max_propagation() const {
+    Millis unnoticed = std::max(hold + slack, (resume_with_watch ? hold : Millis(0)) + whole);
     Millis rejected = std::max(whole, connect);
     Millis before_next_call =
         std::max(unnoticed + longest_jittered(retry), rejected + longest_jittered(retry_most));
@@ -41,7 +41,7 @@
     timing.whole = kSharedAnswer;
     timing.connect = kSharedConnect;
     timing.from_known = true;
-    timing.resume_held = true;
+    timing.resume_with_watch = true;
     // Of a fleet that is rejected at once each asks again at a moment of its own.
     timing.retry_most = std::clamp(Millis(kSharedRetryMillisPerPooler * std::int64_t(poolers)),
                                    kSharedRetryMin, kSharedRetryMax);
@@ -51,7 +51,7 @@
 
 WatchSchedule::Call WatchSchedule::next() const {
     if (!revision_) return {std::nullopt, Millis(0), timing_.whole};
-    Millis hold = watching_ || timing_.resume_held ? timing_.hold : Millis(0);
+    Millis hold = watching_ || timing_.resume_with_watch ? timing_.hold : Millis(0);
     return {revision_, hold, hold + (watching_ ? timing_.slack : timing_.whole)};
 }
 
--- a/src/routing/watch_schedule.hpp
+++ b/src/routing/watch_schedule.hpp
@@ -28,11 +28,11 @@
         bool from_known = false;
         // The first call after a failure is a watch as any other. Not where a call costs nothing: an
         // unresponsive agent shows sooner by a call that it would answer at once.
-        bool resume_held = false;
+        bool resume_with_watch = false;
 
         // How long after a change in a discovery that can be reached the change is known here at the latest,
         // whatever the watch is doing at that moment (docs/acceptance.md, "Told": 6 s).
-        Millis told_within() const;
+        Millis max_propagation() const;
     };
     // Where all poolers ask one discovery of limited capacity: poolers / hold calls a second while nothing
     // fails, and all of them within a retry_most once it is back.
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -243,7 +243,7 @@
     arrival.session =
         optional(line, fields::kSession, [](std::string_view text) { return SessionKey(to_hex(text)); });
     arrival.since_last_write = nonzero_duration(line, fields::kSinceLastWrite);
-    arrival.repeat = flag(line, fields::kMarkedAsRetry).value_or(false);
+    arrival.is_retry = flag(line, fields::kMarkedAsRetry).value_or(false);
     return arrival;
 }
 
--- a/src/statement/builtins.cpp
+++ b/src/statement/builtins.cpp
@@ -138,7 +138,7 @@
 txid_snapshot pg_snapshot decimal integer bigint smallint real
 )";
 
-std::unordered_set<std::string_view> words(std::string_view text) {
+std::unordered_set<std::string_view> table(std::string_view text) {
     std::unordered_set<std::string_view> out;
     while (!text.empty()) {
         std::size_t begin = text.find_first_not_of(" \n");
@@ -155,9 +155,9 @@
 const std::unordered_map<std::string_view, Effect>& functions() {
     static const auto all = [] {
         std::unordered_map<std::string_view, Effect> out;
-        for (auto w : words(kReads)) out[w] = Effect::reads;
-        for (auto w : words(kSession)) out[w] = Effect::session;
-        for (auto w : words(kWrites)) out[w] = Effect::writes;
+        for (auto w : table(kReads)) out[w] = Effect::reads;
+        for (auto w : table(kSession)) out[w] = Effect::session;
+        for (auto w : table(kWrites)) out[w] = Effect::writes;
         return out;
     }();
     return all;
@@ -171,22 +171,22 @@
 }
 
 bool builtin_aggregate(std::string_view name) {
-    static const auto all = words(kAggregates);
+    static const auto all = table(kAggregates);
     return all.count(name) > 0;
 }
 
 bool builtin_operator(std::string_view name) {
-    static const auto all = words(kOperators);
+    static const auto all = table(kOperators);
     return all.count(name) > 0;
 }
 
 bool builtin_type(std::string_view name) {
-    static const auto all = words(kTypes);
+    static const auto all = table(kTypes);
     return all.count(name) > 0;
 }
 
 bool opaque_function(std::string_view name) {
-    static const auto all = words(kOpaque);
+    static const auto all = table(kOpaque);
     return all.count(name) > 0;
 }
 
--- a/src/statement/frequency_sketch.hpp
+++ b/src/statement/frequency_sketch.hpp
@@ -15,9 +15,9 @@
     explicit FrequencySketch(std::size_t keys = 1024) { resize(keys); }
 
     void resize(std::size_t keys) {
-        std::size_t words = std::bit_ceil(std::max<std::size_t>(keys, 64));
-        words_.assign(words, 0);
-        sample_ = 10 * words;
+        std::size_t table = std::bit_ceil(std::max<std::size_t>(keys, 64));
+        words_.assign(table, 0);
+        sample_ = 10 * table;
         additions_ = 0;
     }
 
--- a/src/statement/statement_analyzer.cpp
+++ b/src/statement/statement_analyzer.cpp
@@ -10,7 +10,7 @@
       classifier_(std::make_unique<Classifier>(*rules_, rules_->policy, options.longest_parsed)),
       scanner_({.longest = options.longest}),
       cache_(options.cache, options.seed),
-      room_(options.parses_per_second) {}
+      parse_budget_(options.parses_per_second) {}
 
 void StatementAnalyzer::set_rules(Rules rules) {
     rules_ = std::make_unique<Rules>(std::move(rules));
@@ -18,7 +18,7 @@
     cache_.clear();
 }
 
-const StatementProfile& StatementAnalyzer::judge(std::string_view sql, Time now) {
+const StatementProfile& StatementAnalyzer::analyze(std::string_view sql, Time now) {
     ++counts_.judged;
     if (!scanner_.scan(sql)) {
         last_ = classifier_->flawed(scanner_.flaw(), scanner_.at());
@@ -29,10 +29,11 @@
     if (const StatementProfile* known = cache_.find(text)) return *known;
     if (now > refilled_) {
         std::chrono::duration<double> passed = now - refilled_;
-        room_ = std::min(options_.parses_per_second, room_ + passed.count() * options_.parses_per_second);
+        parse_budget_ =
+            std::min(options_.parses_per_second, parse_budget_ + passed.count() * options_.parses_per_second);
         refilled_ = now;
     }
-    if (room_ < 1) {
+    if (parse_budget_ < 1) {
         ++counts_.unparsed;
         last_ = StatementProfile{};
         last_.shape = shape_of(text);
@@ -41,7 +42,7 @@
         last_.reason = "too many new shapes a second";
         return last_;
     }
-    room_ -= 1;
+    parse_budget_ -= 1;
     ++counts_.parsed;
     StatementProfile profile = classifier_->classify(text);
     profile.shape = shape_of(text);
--- a/src/statement/statement_analyzer.hpp
+++ b/src/statement/statement_analyzer.hpp
@@ -29,7 +29,7 @@
     StatementAnalyzer(Rules rules, Options options);
 
     // Valid until the next call. Never throws but for want of memory.
-    const StatementProfile& judge(std::string_view sql, Time now);
+    const StatementProfile& analyze(std::string_view sql, Time now);
     // Other rules from the next statement on; judgements made by the old ones are forgotten.
     void set_rules(Rules rules);
 
@@ -45,7 +45,7 @@
     Scanner scanner_;
     ShapeCache cache_;
     StatementProfile last_;
-    double room_;  // parses that may be made now
+    double parse_budget_;  // parses that may be made now
     Time refilled_{};
     Counts counts_;
 };
--- a/src/store/position_floor.cpp
+++ b/src/store/position_floor.cpp
@@ -18,13 +18,14 @@
         return PositionFloor{level, std::max({floor_us, forgotten_us, previous.floor_us}), present_us, why};
     };
     using Level = PositionFloor::Level;
-    if (!previous.recovered) return floor(Level::present, present_us, "there is no store yet");
+    if (!previous.recovered) return floor(Level::is_client_present, present_us, "there is no store yet");
     if (previous.salvaged)
-        return floor(Level::present, present_us, "it was salvaged: commits may be among what was dropped");
+        return floor(Level::is_client_present, present_us,
+                     "it was salvaged: commits may be among what was dropped");
     // Also of one that was closed: a process may have served since that could write nothing, and its marker
     // is gone.
     if (!previous.same_boot)
-        return floor(Level::present, present_us,
+        return floor(Level::is_client_present, present_us,
                      "the machine has started anew: what was not synced is unknown");
     switch (previous.marker) {
         case CrashMarker::none:
@@ -36,7 +37,7 @@
         case CrashMarker::beyond_lease:
             break;
     }
-    return floor(Level::present, present_us, "the disk failed before the end");
+    return floor(Level::is_client_present, present_us, "the disk failed before the end");
 }
 
 }  // namespace indigovane::store
--- a/src/store/position_floor.hpp
+++ b/src/store/position_floor.hpp
@@ -31,11 +31,11 @@
 // The position that reads have to see at least.
 struct PositionFloor {
     enum class Level : std::uint8_t {
-        none,         // each session's own position says all
-        open_writes,  // only sessions with an open write at the end must see the present
-        lease,        // all must see what the lease covered
-        present,      // all must see the present
-    } level = Level::present;
+        none,               // each session's own position says all
+        open_writes,        // only sessions with an open write at the end must see the present
+        lease,              // all must see what the lease covered
+        is_client_present,  // all must see the present
+    } level = Level::is_client_present;
     std::uint64_t floor_us = 0;       // for all sessions
     std::uint64_t open_write_us = 0;  // for sessions with an open write at the end
     std::string why;
--- a/tests/adapters/front_test.cpp
+++ b/tests/adapters/front_test.cpp
@@ -37,7 +37,7 @@
             case 's':
                 return to->served(a);
             case 'r':
-                return to->ended({FinalError::Kind::refused, false, 250ms});
+                return to->ended({FinalError::Kind::rejected, false, 250ms});
             case 'd':
                 return to->ended({FinalError::Kind::failed, true, {}});
             default:
@@ -474,7 +474,7 @@
             .take());
     CHECK(client.reply() == "TDCZ");
     CHECK(rig.admission.last.session == 255u);
-    CHECK(rig.admission.last.repeat);
+    CHECK(rig.admission.last.is_retry);
     CHECK(rig.admission.last.client_timeout.count() == 0);
 }
 
--- a/tests/adapters/narrow_moments_test.cpp
+++ b/tests/adapters/narrow_moments_test.cpp
@@ -241,7 +241,7 @@
         members.push_back(d.endpoint(i, EndpointState::ready));
         members.back().address = text(late.local_endpoint());
     }
-    d.core.list(EndpointListKind::full, members);
+    d.core.apply_endpoint_list(EndpointListKind::full, members);
     ByHand client(d.loop, d.pg.local());
     client.send(startup() + pg::Writer()
                                 .query("/* id=2,c=scan-write,k=5,d=4000,cluster=3 */ INSERT INTO kv (name, "
@@ -325,7 +325,7 @@
             void served(const routing::Answer&) override { ++answers; }
             void ended(const routing::FinalError& e) override {
                 ++answers;
-                refused = e.kind == routing::FinalError::Kind::refused;
+                refused = e.kind == routing::FinalError::Kind::rejected;
             }
             int answers = 0;
             bool refused = false;
@@ -378,7 +378,7 @@
     std::vector<routing::EndpointInfo> infos(2);
     for (std::uint32_t i = 0; i < 2; ++i)
         infos[i].uid = infos[i].address = std::to_string(i), infos[i].group = 1, infos[i].primary = i == 0;
-    core.list(policy::EndpointListKind::full, infos);
+    core.apply_endpoint_list(policy::EndpointListKind::full, infos);
     auto ask = [&](const char* id, std::uint32_t request_class, routing::Responder& who) {
         routing::ClientRequest i;
         i.id = id, i.request_class = routing::ClassId{request_class}, i.group = routing::GroupId{1},
@@ -548,13 +548,14 @@
                "\"state\":\"" +
                state + "\"}]}";
     };
-    std::string bare = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n";
+    std::string has_no_comment_fields = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n\r\n";
     auto state = [&] {
         auto all = core.listed();
         return all.empty() ? EndpointState::gone : all[0].state;
     };
     auto asked = [&](std::size_t n) { return rig.asked(n); };
-    discovery.replies = {bare + list(41, true, "ready"), bare + list(43, false, "draining")};
+    discovery.replies = {has_no_comment_fields + list(41, true, "ready"),
+                         has_no_comment_fields + list(43, false, "draining")};
     catalog.follow();
     REQUIRE(asked(1));
     loop.settle();
@@ -568,14 +569,14 @@
     REQUIRE(asked(3));
     CHECK(state() == EndpointState::draining);
     // All of it, and a reset: that is no end. Half of it, and the end: what was held stays, asked for anew.
-    discovery.replies = {bare + list(44, false, "ready")};
+    discovery.replies = {has_no_comment_fields + list(44, false, "ready")};
     discovery.drop_all();
     REQUIRE(asked(4));
     loop.settle();
     discovery.reset_all();
     REQUIRE(asked(5));
     CHECK(state() == EndpointState::draining);
-    discovery.replies = {bare + list(44, true, "ready").substr(0, 40)};
+    discovery.replies = {has_no_comment_fields + list(44, true, "ready").substr(0, 40)};
     discovery.drop_all();
     REQUIRE(asked(6));
     loop.settle();
@@ -702,8 +703,8 @@
 };
 
 TEST_CASE("told within 6 s: what a pooler's timings add up to, and a fleet at a discovery of fixed room") {
-    CHECK(WatchSchedule::Timing{}.told_within() < 5s);
-    for (std::size_t n = 1; n <= 1000; ++n) CHECK(WatchSchedule::shared(n).told_within() <= 5400ms);
+    CHECK(WatchSchedule::Timing{}.max_propagation() < 5s);
+    for (std::size_t n = 1; n <= 1000; ++n) CHECK(WatchSchedule::shared(n).max_propagation() <= 5400ms);
     enum class Before { nothing, silent_watches, resets, down, silent };
     for (bool shared : {true, false})
         for (std::size_t n : {3, 30, 300})
@@ -726,7 +727,7 @@
                     CAPTURE(n);
                     CAPTURE(int(before));
                     CHECK(took < 6s);
-                    CHECK(took <= f.poolers[0].watch.timing().told_within() + 1500ms);
+                    CHECK(took <= f.poolers[0].watch.timing().max_propagation() + 1500ms);
                 }
             }
 }
--- a/tests/adapters/open_statements_test.cpp
+++ b/tests/adapters/open_statements_test.cpp
@@ -167,8 +167,8 @@
     config.classes = classes();
     auto take = [&](const char* text) -> std::string {
         try {
-            program::take_statements(program::parse_statement_config(text, "f"), "f", config);
-        } catch (const program::StatementConfigError& e) {
+            program::set_statements(program::parse_statement_config(text, "f"), "f", config);
+        } catch (const program::ConfigError& e) {
             return e.what();
         }
         return "";
--- a/tests/adapters/peer_link_test.cpp
+++ b/tests/adapters/peer_link_test.cpp
@@ -118,8 +118,8 @@
 
 TEST_CASE("a peer link tells its news twice, of a group the newest, and goes on when nobody listens") {
     Two t;
-    t.link->tell({3, 1, "old"});
-    t.link->tell({3, 2, "new"});
+    t.link->announce({3, 1, "old"});
+    t.link->announce({3, 2, "new"});
     std::vector<peer::Message> got;
     auto more = [&] {
         char buffer[300];
@@ -134,7 +134,7 @@
     CHECK(got[1].number > got[0].number);
     t.other.close();
     std::uint64_t before = t.link->counts().sent + t.link->counts().dropped;
-    t.link->tell({3, 3, "newer"});
+    t.link->announce({3, 3, "newer"});
     REQUIRE(t.loop.until([&] { return t.link->counts().sent + t.link->counts().dropped >= before + 2; }));
 }
 
@@ -170,20 +170,20 @@
                 end = R"(,"settings":{"allowed":{"peerMessages":true}}})";
     auto config = program::parse_platform_config(start + R"("peers":["127.0.0.1:8","127.0.0.1:9"])" + end);
     CHECK(config.peers.size() == 1);
-    program::take_peers(program::parse_peer_config("[peers]\ncluster = \"a\"", "f"), "f", config);
+    program::set_peers(program::parse_peer_config("[peers]\ncluster = \"a\"", "f"), "f", config);
     CHECK(config.peering->cluster == "a");
     auto named = program::parse_platform_config(start + R"("peers":{"n1":"127.0.0.1:8","n2":17})" + end);
     CHECK(named.peers.size() == 1);
     auto refused = [&](const std::string& text) {
         auto bad = program::parse_platform_config(text);
-        CHECK_THROWS_AS(program::take_peers({"a"}, "f", bad), program::ConfigError);
+        CHECK_THROWS_AS(program::set_peers({"a"}, "f", bad), program::ConfigError);
     };
     refused(start + R"("peers":[])" + end);
     refused(start + R"("peers":"127.0.0.1:8")" + end);
     refused(start + R"("peers":["127.0.0.1:8"],"settings":{}})");
-    CHECK_THROWS_AS(program::parse_peer_config("[peers]\nclustre = \"a\"", "f"), program::FileError);
+    CHECK_THROWS_AS(program::parse_peer_config("[peers]\nclustre = \"a\"", "f"), program::ConfigError);
     CHECK_THROWS_AS(program::parse_peer_config("[peers]\ncluster = \"a\"\nagain = \"0ms\"", "f"),
-                    program::FileError);
+                    program::ConfigError);
 }
 
 }  // namespace
--- a/tests/adapters/whole_path_test.cpp
+++ b/tests/adapters/whole_path_test.cpp
@@ -51,7 +51,8 @@
         for (std::string target = kPage + "&limit=3"; !target.empty(); ++pages) {
             if (pages == 3) {
                 before = d.hosts[drained].queries;
-                d.core.list(EndpointListKind::changes, {d.endpoint(drained, EndpointState::draining)});
+                d.core.apply_endpoint_list(EndpointListKind::changes,
+                                           {d.endpoint(drained, EndpointState::draining)});
             }
             auto r = client.get(target);
             REQUIRE(r.status == 200);
@@ -207,7 +208,7 @@
     listener.start();
     auto primary = d.endpoint(0, EndpointState::ready);
     primary.address = text(listener.local());
-    d.core.list(EndpointListKind::changes, {primary});
+    d.core.apply_endpoint_list(EndpointListKind::changes, {primary});
     Client client(d.loop, d.pg.local());
     client.send(pg::Writer()
                     .startup("u", "d")
@@ -232,22 +233,22 @@
         int out = d.hosts[2].queries + d.hosts[1].queries;
         if (day == 2) REQUIRE(d.loop.until([&] { return d.replica_queries() >= out; }));
         if (day % 2)
-            d.core.list(EndpointListKind::full, {d.endpoint(0, EndpointState::ready), two});
+            d.core.apply_endpoint_list(EndpointListKind::full, {d.endpoint(0, EndpointState::ready), two});
         else
-            d.core.list(EndpointListKind::changes, {one});
+            d.core.apply_endpoint_list(EndpointListKind::changes, {one});
         REQUIRE(d.loop.until([&] { return d.core.members() == 2; }));
         if (day == 2) client.response();
         d.hosts[2].silent = false;
         two.uid = "new" + std::to_string(day);  // a new machine, then the old one again
-        d.core.list(EndpointListKind::changes, {two, d.endpoint(1, EndpointState::ready)});
-        d.core.list(EndpointListKind::changes, {d.endpoint(2, EndpointState::gone)});
+        d.core.apply_endpoint_list(EndpointListKind::changes, {two, d.endpoint(1, EndpointState::ready)});
+        d.core.apply_endpoint_list(EndpointListKind::changes, {d.endpoint(2, EndpointState::gone)});
         int before = d.hosts[1].queries;
         REQUIRE(d.loop.until([&] {
             CHECK(client.get(kPage).status == 200);
             return d.hosts[1].queries > before && d.core.members() == 3;
         }));
         two.state = EndpointState::gone;
-        d.core.list(EndpointListKind::changes, {two, d.endpoint(2, EndpointState::ready)});
+        d.core.apply_endpoint_list(EndpointListKind::changes, {two, d.endpoint(2, EndpointState::ready)});
         REQUIRE(d.loop.until([&] { return d.core.members() == 3; }));
     }
 }
--- a/tests/processes/soak_client.hpp
+++ b/tests/processes/soak_client.hpp
@@ -73,9 +73,9 @@
     void write(SteadyTime now) {
         const SoakClassRule& rule = rule_of(cls_);
         auto left = std::chrono::duration_cast<Millis>(sent_ + rule.deadline - now);
-        std::string head = "/* id=" + id_ + ",c=" + rule.name +
-                           ",d=" + std::to_string(std::max<long>(1, left.count())) +
-                           ",cluster=" + std::to_string(group()) + (rule.keyed ? ",k=" + id_ : "") + " */ ";
+        std::string head =
+            "/* id=" + id_ + ",c=" + rule.name + ",d=" + std::to_string(std::max<long>(1, left.count())) +
+            ",cluster=" + std::to_string(group()) + (rule.needs_idempotency_key ? ",k=" + id_ : "") + " */ ";
         bool writes = cls_ == SoakClass::write || cls_ == SoakClass::book;
         if (writes) ++version_[key_];
         char content[9];
--- a/tests/processes/soak_record.hpp
+++ b/tests/processes/soak_record.hpp
@@ -19,9 +19,9 @@
 // What a class promises, as the poolers' settings have it.
 struct SoakClassRule {
     const char* name;
-    bool may_retry;           // reads without an effect
-    bool keyed;               // repeats in the window are dropped by its hosts
-    Millis deadline, window;  // the window counts from the first send
+    bool may_retry;              // reads without an effect
+    bool needs_idempotency_key;  // repeats in the window are dropped by its hosts
+    Millis deadline, window;     // the window counts from the first send
 };
 constexpr SoakClassRule kSoakClasses[] = {
     {"view", true, false, Millis(800), Millis(0)},
@@ -73,8 +73,9 @@
         for (const Attempt& a : r.attempts) {
             if (a.executed == Executed::never || rule.may_retry) continue;
             // Rule: what may have run runs again only as its class allows, within its window.
-            if (!rule.keyed) breach("duplicate", id);
-            if (rule.keyed && now > r.attempts.front().asked + rule.window + slack_) breach("window", id);
+            if (!rule.needs_idempotency_key) breach("duplicate", id);
+            if (rule.needs_idempotency_key && now > r.attempts.front().asked + rule.window + slack_)
+                breach("window", id);
         }
         // Rule: no attempt begins over 0.1 s after its client closed.
         if (r.gone && now > r.left + Millis(100) + slack_)
--- a/tests/program/operations_test.cpp
+++ b/tests/program/operations_test.cpp
@@ -147,19 +147,19 @@
     for (int round = 0; round < 20; ++round) {
         switch (dice.below(5)) {
             case 0:  // listed as ready, by a change
-                d.core.list(EndpointListKind::changes, {d.endpoint(1, EndpointState::ready)});
+                d.core.apply_endpoint_list(EndpointListKind::changes, {d.endpoint(1, EndpointState::ready)});
                 break;
             case 1:  // by a whole list
-                d.core.list(EndpointListKind::full,
-                            {d.endpoint(0, EndpointState::ready), d.endpoint(1, EndpointState::ready),
-                             d.endpoint(2, EndpointState::ready)});
+                d.core.apply_endpoint_list(EndpointListKind::full, {d.endpoint(0, EndpointState::ready),
+                                                                    d.endpoint(1, EndpointState::ready),
+                                                                    d.endpoint(2, EndpointState::ready)});
                 break;
             case 2:  // gone, left out, and back: restarted meanwhile
-                d.core.list(EndpointListKind::changes, {d.endpoint(1, EndpointState::gone)});
+                d.core.apply_endpoint_list(EndpointListKind::changes, {d.endpoint(1, EndpointState::gone)});
                 break;
             case 3:
-                d.core.list(EndpointListKind::full,
-                            {d.endpoint(0, EndpointState::ready), d.endpoint(2, EndpointState::ready)});
+                d.core.apply_endpoint_list(EndpointListKind::full, {d.endpoint(0, EndpointState::ready),
+                                                                    d.endpoint(2, EndpointState::ready)});
                 d.loop.settle();  // forgotten: nothing refers to it
                 break;
             case 4:
@@ -169,9 +169,9 @@
         send_reads(4);
     }
     CHECK(d.hosts[1].queries == before);
-    d.core.list(EndpointListKind::full,
-                {d.endpoint(0, EndpointState::ready), d.endpoint(1, EndpointState::ready),
-                 d.endpoint(2, EndpointState::ready)});
+    d.core.apply_endpoint_list(EndpointListKind::full,
+                               {d.endpoint(0, EndpointState::ready), d.endpoint(1, EndpointState::ready),
+                                d.endpoint(2, EndpointState::ready)});
     send_reads(4);
     CHECK(d.hosts[1].queries == before);
     d.core.set_excluded({});
@@ -194,7 +194,7 @@
             d.core.set_excluded({"m1"});
             d.loop.settle();
             d.core.set_excluded({});
-            d.core.list(EndpointListKind::changes, {d.endpoint(1, EndpointState::ready)});
+            d.core.apply_endpoint_list(EndpointListKind::changes, {d.endpoint(1, EndpointState::ready)});
         }
         for (int i = 0; i < 200; ++i) {
             client.send(read(i));
@@ -225,7 +225,7 @@
         start(idle);
         start(busy);
         CHECK(check(idle) == "IZ");
-        d.pg.refuse_checks();
+        d.pg.fail_checks();
         CHECK(check(idle) == "EZ");
         CHECK(idle.code == "57P03");
         idle.send(read(++id));
--- a/tests/program/persistent_state_test.cpp
+++ b/tests/program/persistent_state_test.cpp
@@ -148,7 +148,7 @@
     std::string why;
     try {
         Life l(folder.path, scratch.path);
-    } catch (const program::FileError& error) {
+    } catch (const program::ConfigError& error) {
         why = error.what();
     }
     CHECK(why.find("MANIFEST:0: it is damaged") != std::string::npos);
@@ -159,7 +159,7 @@
     auto error = [&](const std::string& text) -> std::string {
         try {
             program::parse_store_config(text, "s.toml");
-        } catch (const program::FileError& e) {
+        } catch (const program::ConfigError& e) {
             return e.what();
         }
         return "";
--- a/tests/program/services_test.cpp
+++ b/tests/program/services_test.cpp
@@ -326,7 +326,7 @@
         for (std::uint32_t i = 0; i < 3; ++i)
             infos[i].uid = infos[i].address = std::to_string(i), infos[i].group = 1,
             infos[i].primary = i == 0;
-        core.list(policy::EndpointListKind::full, infos);
+        core.apply_endpoint_list(policy::EndpointListKind::full, infos);
         routing::ClientRequest item;
         item.id = "a", item.request_class = routing::ClassId{request_class}, item.group = routing::GroupId{1},
         item.client_timeout = 1s;
--- a/tests/program/upgrade_test.cpp
+++ b/tests/program/upgrade_test.cpp
@@ -84,9 +84,9 @@
         : d(deployment),
           core(d.loop.io, d.clock, settings(), 9, limits(), d.backend, d.logger),
           handover(d.loop.io, folder, "n1", *this, client_timeout) {
-        core.list(EndpointListKind::full,
-                  {d.endpoint(0, EndpointState::ready), d.endpoint(1, EndpointState::ready),
-                   d.endpoint(2, EndpointState::ready)});
+        core.apply_endpoint_list(EndpointListKind::full,
+                                 {d.endpoint(0, EndpointState::ready), d.endpoint(1, EndpointState::ready),
+                                  d.endpoint(2, EndpointState::ready)});
         core.on_commit(
             [this](std::uint64_t session, routing::Time at) { handover.send_commit(session, at); });
     }
@@ -108,14 +108,14 @@
         return {{"pg", front->listening_socket()}};
     }
     policy::SessionTokens tokens() override { return core.tokens(); }
-    std::map<std::string, routing::Time> readmissions() override { return core.put_back(); }
+    std::map<std::string, routing::Time> readmissions() override { return core.readmissions(); }
     void inherit_socket(const std::string& name, Descriptor socket) override {
         CHECK(name == "pg");
         inherited = std::move(socket);
     }
     void inherit_tokens(policy::SessionTokens tokens) override { core.take_over(std::move(tokens)); }
     void inherit_readmission(const std::string& uid, routing::Time at) override {
-        core.take_over_put_back(uid, at);
+        core.merge_readmission(uid, at);
     }
     void inherit_client(const std::string&, routing::ClientHandover p) override {
         front->take_over(std::move(p));
@@ -173,7 +173,7 @@
         REQUIRE(d.loop.until([&] { return !successor.handover.inheriting(); }));
         CHECK(successor.inherited);
         REQUIRE(d.loop.until([&] { return successor.knows("a1"); }));
-        CHECK(successor.core.put_back() == predecessor.core.put_back());
+        CHECK(successor.core.readmissions() == predecessor.core.readmissions());
         CHECK(!predecessor.handover.successor_ready());
         successor.serve();
         REQUIRE(d.loop.until([&] { return predecessor.ready == 1; }));
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -105,8 +105,9 @@
     std::string changed = pg::with_deadline(sql, s, "7");
     CHECK(changed ==
           "/* id=9b,c=basket, t=acme,d=7,cluster=2 */ SELECT content FROM kv WHERE name = 'a;''b'");
-    std::string bare = "/* id=1 */ X";
-    CHECK(pg::with_deadline(bare, pg::read_statement(bare), "7") == "/* id=1,d=7 */ X");
+    std::string has_no_comment_fields = "/* id=1 */ X";
+    CHECK(pg::with_deadline(has_no_comment_fields, pg::read_statement(has_no_comment_fields), "7") ==
+          "/* id=1,d=7 */ X");
     CHECK(pg::read_statement("/* a=1 */ SELECT 1; SELECT 2").several);
     CHECK(!pg::read_statement("/* a=1 */ SELECT 1 ; ").several);
     CHECK(pg::read_statement("/* a=1 SELECT 1").malformed);
--- a/tests/routing/attempt_dispatcher_test.cpp
+++ b/tests/routing/attempt_dispatcher_test.cpp
@@ -17,7 +17,7 @@
 struct RecordingResponder : Responder {
     void served(const Answer&) override { ++answers; }
     void ended(const FinalError& ending) override { endings.push_back(ending.kind); }
-    bool present() override { return is_present; }
+    bool is_client_present() override { return is_present; }
     int answers = 0;
     std::vector<FinalError::Kind> endings;
     bool is_present = true;
--- a/tests/routing/request_completion_test.cpp
+++ b/tests/routing/request_completion_test.cpp
@@ -57,7 +57,7 @@
     }
 };
 
-constexpr FinalError kRejected{FinalError::Kind::refused, false, std::nullopt};
+constexpr FinalError kRejected{FinalError::Kind::rejected, false, std::nullopt};
 
 }  // namespace
 
@@ -69,7 +69,7 @@
     rig.completion.end(id, kRejected, "why");
     rig.completion.answer(*rig.requests.find(id), {}, rig.clock.now());
 
-    CHECK(rig.responder.endings == std::vector{FinalError::Kind::refused});
+    CHECK(rig.responder.endings == std::vector{FinalError::Kind::rejected});
     CHECK(rig.responder.answers == 0);
     CHECK(rig.statistics.rejected_requests == 1);
     CHECK(rig.statistics.rejected_on_arrival == 1);
--- a/tests/site/site_command_test.cpp
+++ b/tests/site/site_command_test.cpp
@@ -51,7 +51,7 @@
     CHECK(json["hosts"][2]["after"] == 4);
     CHECK(json["refused"][0]["class"] == "view");
     CHECK(call({}, text) == 2);
-    CHECK_THROWS_AS(call({"--lose", "nowhere"}, text), program::FileError);
+    CHECK_THROWS_AS(call({"--lose", "nowhere"}, text), program::ConfigError);
     const std::pair<const char*, const char*> mistakes[] = {
         {"", "[sites] is missing"},
         {"[sites]\nquiet = 400\n", "a number without a unit"},
@@ -63,13 +63,13 @@
         std::string message;
         try {
             program::parse_site_config(content, "f");
-        } catch (const program::FileError& error) {
+        } catch (const program::ConfigError& error) {
             message = error.what();
         }
         CHECK_MESSAGE(message.find(expected) != std::string::npos, message);
     }
     std::ofstream(sites) << "[sites]\n[[demand]]\nclass = \"none\"\nper_second = 1\nwork = \"1ms\"\n";
-    CHECK_THROWS_AS(call({"--lose", "b"}, text), program::FileError);
+    CHECK_THROWS_AS(call({"--lose", "b"}, text), program::ConfigError);
 }
 
 }  // namespace
--- a/tests/statement/statement_test.cpp
+++ b/tests/statement/statement_test.cpp
@@ -87,16 +87,16 @@
     CHECK_FALSE(s.scan(deep));
     CHECK(s.flaw() == Flaw::too_long);
     StatementAnalyzer judge({}, {});
-    CHECK(judge.judge(deep, {}).route != Route::replica);
+    CHECK(judge.analyze(deep, {}).route != Route::replica);
     std::string nested = "SELECT ";
     for (int i = 0; i < 1500; ++i) nested += "abs(";
-    CHECK(judge.judge(nested + "nextval('s')" + std::string(1500, ')'), {}).route != Route::replica);
+    CHECK(judge.analyze(nested + "nextval('s')" + std::string(1500, ')'), {}).route != Route::replica);
 }
 
 TEST_CASE("kinds of literal share a shape, not a judgement: none can be planted for another") {
     StatementAnalyzer judge({}, {});
-    CHECK(judge.judge("SELECT x::char('a') FROM t", {}).kind == Kind::invalid);
-    CHECK(judge.judge("SELECT x::char(10) FROM t", {}).kind == Kind::read);
+    CHECK(judge.analyze("SELECT x::char('a') FROM t", {}).kind == Kind::invalid);
+    CHECK(judge.analyze("SELECT x::char(10) FROM t", {}).kind == Kind::read);
     CHECK(shape("SELECT x::char('a') FROM t") == shape("SELECT x::char(10) FROM t"));
 }
 
@@ -123,7 +123,7 @@
         std::size_t a = line.find('\t'), b = line.find('\t', a + 1);
         std::string sql = unescape(line.substr(b + 1));
         for (int again = 0; again < 2; ++again) {
-            const StatementProfile& j = judge.judge(sql, {});
+            const StatementProfile& j = judge.analyze(sql, {});
             CHECK_MESSAGE(name(j.kind) == line.substr(0, a), sql);
             CHECK_MESSAGE(name(j.route) == line.substr(a + 1, b - a - 1), sql);
         }
@@ -159,7 +159,7 @@
 )",
                                                   "t.toml");
     StatementAnalyzer judge(std::move(config.rules), config.judge);
-    auto of = [&](const char* sql) { return judge.judge(sql, {}); };
+    auto of = [&](const char* sql) { return judge.analyze(sql, {}); };
     CHECK(of("SELECT app.peek(1)").route == Route::replica);
     CHECK(of("SELECT peek(1)").route == Route::primary);  // the search path may find another
     CHECK(of("SELECT app.burn(1)").kind == Kind::write);
@@ -183,7 +183,7 @@
     auto error = [](const char* text) -> std::string {
         try {
             program::parse_statement_config(text, "f.toml");
-        } catch (const program::StatementConfigError& e) {
+        } catch (const program::ConfigError& e) {
             return e.what();
         }
         return "";
@@ -212,13 +212,13 @@
     StatementAnalyzer::Time now{std::chrono::seconds(100)};
     int read = 0;
     for (int i = 0; i < 100; ++i) {
-        const StatementProfile& j = judge.judge("SELECT c" + std::to_string(i) + " FROM t", now);
+        const StatementProfile& j = judge.analyze("SELECT c" + std::to_string(i) + " FROM t", now);
         read += j.kind == Kind::read;
         if (j.kind != Kind::read) CHECK(j.route == Route::refuse);
     }
     CHECK(read == 10);
-    CHECK(judge.judge("SELECT c0 FROM t", now).kind == Kind::read);
-    CHECK(judge.judge("SELECT c99 FROM t", now + std::chrono::seconds(1)).kind == Kind::read);
+    CHECK(judge.analyze("SELECT c0 FROM t", now).kind == Kind::read);
+    CHECK(judge.analyze("SELECT c99 FROM t", now + std::chrono::seconds(1)).kind == Kind::read);
 }
 
 // ---- the cache -----------------------------------------------------------------------------------
@@ -273,10 +273,10 @@
     for (int round = 0; round < 2; ++round)
         for (int i = 0; i < 10000; ++i) {
             std::string n = std::to_string(i);
-            judge.judge("SELECT a.c" + n +
-                            ", b.total FROM orders a JOIN bags b ON a.id = b.id WHERE a.hotel = 'h" + n +
-                            "' AND b.at > '2026-01-01' ORDER BY b.at LIMIT 10",
-                        {});
+            judge.analyze("SELECT a.c" + n +
+                              ", b.total FROM orders a JOIN bags b ON a.id = b.id WHERE a.hotel = 'h" + n +
+                              "' AND b.at > '2026-01-01' ORDER BY b.at LIMIT 10",
+                          {});
         }
     CHECK(judge.cache().size() >= 9900);
     CHECK(judge.cache().bytes() <= (8 << 20) + 4096);
@@ -450,7 +450,7 @@
 TEST_CASE("any bytes at all get a verdict, and only what is a plain read may go to a replica") {
     CHECK(rc::check([](const std::string& bytes) {
         StatementAnalyzer judge({}, {});
-        const StatementProfile& j = judge.judge(bytes, {});
+        const StatementProfile& j = judge.analyze(bytes, {});
         RC_ASSERT(j.route != Route::replica || j.kind == Kind::read);
     }));
     CHECK(rc::check([](std::uint64_t seed) {
@@ -464,7 +464,7 @@
         for (int i = 0; i < 12; ++i)
             sql += std::string(pieces[r() % std::size(pieces)]) + (r() % 2 ? " " : "");
         StatementAnalyzer judge({}, {});
-        const StatementProfile& j = judge.judge(sql, {});
+        const StatementProfile& j = judge.analyze(sql, {});
         RC_ASSERT(j.route != Route::replica || j.kind == Kind::read);
     }));
 }
--- a/tests/store/positions_test.cpp
+++ b/tests/store/positions_test.cpp
@@ -20,11 +20,11 @@
     constexpr std::uint64_t now = 1'000'000'000, slack = 100'000, keep = 600'000'000;
     auto level = [&](const PreviousRun& run) { return decide_floor(run, now, slack, keep).level; };
     PreviousRun previous;
-    CHECK(level(previous) == PositionFloor::Level::present);
+    CHECK(level(previous) == PositionFloor::Level::is_client_present);
     previous.recovered = true;
     previous.closed = true;
-    CHECK(level(previous) ==
-          PositionFloor::Level::present);  // another boot: one that wrote nothing down may have served since
+    CHECK(level(previous) == PositionFloor::Level::is_client_present);  // another boot: one that wrote
+                                                                        // nothing down may have served since
     previous.same_boot = true;
     CHECK(level(previous) == PositionFloor::Level::none);
     previous.closed = false;
@@ -34,7 +34,7 @@
     previous.marker = CrashMarker::beyond_lease;
     CHECK(decide_floor(previous, now, slack, keep).floor_us == now + slack);
     previous.salvaged = true, previous.marker = CrashMarker::none;
-    CHECK(level(previous) == PositionFloor::Level::present);
+    CHECK(level(previous) == PositionFloor::Level::is_client_present);
     previous.salvaged = false,
     previous.latest_commit_us = now + 5'000'000;  // the clock has stepped back since
     CHECK(decide_floor(previous, now, slack, keep).open_write_us >= now + 5'000'000);
--- a/tests/support/decision_recording.hpp
+++ b/tests/support/decision_recording.hpp
@@ -196,7 +196,7 @@
             request.session = policy::SessionKey{*client.session};
         }
         if (random_.one_in(4)) request.since_last_write = Duration(std::int64_t(1 + random_.below(3000000)));
-        request.repeat = random_.one_in(8);
+        request.is_retry = random_.one_in(8);
         line("R %" PRIu64 " %u %u %lld", id, client.class_index, unsigned(request.group),
              count(request.client_timeout));
         if (options_.clients_leave && random_.one_in(6))
