--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -1,5 +1,5 @@
-// What the store costs: `make bench` prints the tables of docs/capacity.md#the-store-measured. Files are made in
-// $STORE_BENCH_FOLDER, or here.
+// What the store costs: `make bench` prints the tables of docs/capacity.md#the-store-measured. Files are made
+// in $STORE_BENCH_FOLDER, or here.
 #include <benchmark/benchmark.h>
 
 #include <cstdlib>
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -33,7 +33,7 @@
     settings.idempotency = write ? policy::Idempotency::not_idempotent : policy::Idempotency::idempotent;
     settings.latency_objective = options.latency_objective;
     settings.deadline = options.deadline;
-    settings.bound = staleness_bound;
+    settings.staleness_bound = staleness_bound;
     settings.priority_weight = options.priority_weight;
     settings.late_share = options.late_share;
     return settings;
@@ -59,19 +59,19 @@
     settings.fleet_size = options.poolers;
     settings.endpoint_list_mode = options.list_calls_per_second > 0 ? policy::EndpointListMode::polled
                                                                     : policy::EndpointListMode::pushed;
-    settings.probes = true;
+    settings.health_checks = true;
     settings.cancels = true;
     settings.retry_after = true;
     settings.hedging = options.hedging;
     settings.max_retry_after = 2s;
-    settings.attempts = 10;
-    settings.tokens =
+    settings.max_attempts = 10;
+    settings.token_source =
         options.clients_carry_tokens ? policy::TokenSource::carried : policy::TokenSource::remembered;
     settings.staleness_check =
         options.hosts_check_staleness ? policy::StalenessCheck::refuse : policy::StalenessCheck::none;
     settings.health_check_price = options.health_check_price;
     settings.slow_start_share = options.slow_start_share;
-    settings.ramp = options.ramp;
+    settings.slow_start_ramp = options.ramp;
     settings.overload_multiple = options.overload_multiple;
     settings.overload_window = options.overload_window;
     for (const ClassOptions& request_class : options.classes)
--- a/src/policy/engine.cpp
+++ b/src/policy/engine.cpp
@@ -87,7 +87,7 @@
     Duration elapsed = request_class->client_timeouts.elapsed_before(
         {arrival.client_timeout, request_class->deadline, arrival.is_retry, clients_mark_retries_});
     Request& request =
-        requests_.insert(Request(arrival, request_class, settings_.attempts.value_or(kDefaultAttempts),
+        requests_.insert(Request(arrival, request_class, settings_.max_attempts.value_or(kDefaultAttempts),
                                  elapsed, uniform(random_), now_));
     health_check_budget_.record_request(health_check_cost(settings_));
     record_use(*group, request);
--- a/src/policy/engine_requests.cpp
+++ b/src/policy/engine_requests.cpp
@@ -64,7 +64,8 @@
 /// As the client carries it, or as it is remembered now: a session may write while a read of it is queued.
 /// Where endpoints don't check positions, a write in flight may have been answered already.
 Time Engine::session_token(const Request& request) const {
-    if (settings_.tokens.value_or(TokenSource::carried) == TokenSource::carried) return request.carried_token;
+    if (settings_.token_source.value_or(TokenSource::carried) == TokenSource::carried)
+        return request.carried_token;
     bool may_be_unseen = !endpoints_check_staleness(settings_) && request.session &&
                          requests_.has_unresolved_write(*request.session);
     return may_be_unseen ? now_ : session_tokens_.token(request.session);
--- a/src/policy/request_class.cpp
+++ b/src/policy/request_class.cpp
@@ -28,7 +28,7 @@
     request_class.deduplication_window = settings.deduplication_window.value_or(Duration::zero());
     request_class.deadline = settings.deadline.value_or(kDefaultDeadline);
     request_class.latency_objective = settings.latency_objective.value_or(request_class.deadline);
-    request_class.staleness_bound = settings.bound.value_or(Duration::zero());
+    request_class.staleness_bound = settings.staleness_bound.value_or(Duration::zero());
     request_class.priority_weight = settings.priority_weight.value_or(1);
     request_class.late_share = settings.late_share.value_or(0);
     request_class.usual_latency_ms = to_milliseconds(request_class.latency_objective) * kFirstGuess;
--- a/src/policy/retry_policy.hpp
+++ b/src/policy/retry_policy.hpp
@@ -6,7 +6,7 @@
 // deduplication window where repeats are surely dropped; any other may not.
 //
 // Source: gRPC's retry design (a retry is transparent only where the request provably never ran).
-// Settings read: Settings::attempts, and idempotency, deduplication_scope and deduplication_window of the
+// Settings read: Settings::max_attempts, and idempotency, deduplication_scope and deduplication_window of the
 // class.
 #pragma once
 
--- a/src/policy/session_tokens.hpp
+++ b/src/policy/session_tokens.hpp
@@ -4,7 +4,7 @@
 // token that is forgotten becomes a floor under all session reads, so that none may miss the write it stood
 // for.
 //
-// Source: docs/design.md, "What is forgotten". Settings read: Settings::tokens, by the engine.
+// Source: docs/design.md, "What is forgotten". Settings read: Settings::token_source, by the engine.
 #pragma once
 
 #include <deque>
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -18,9 +18,9 @@
     std::optional<DeduplicationScope> deduplication_scope;
     std::optional<Duration>
         deduplication_window;                   ///< from the first send; a keyed repeat is dropped within it
-    std::optional<Duration> latency_objective;  ///< an answer up to here has its full worth
+    std::optional<Duration> latency_objective;  ///< an answer up to here earns its full weight
     std::optional<Duration> deadline;           ///< of the client, over all its attempts
-    std::optional<Duration> bound;              ///< of bounded reads: the oldest data, at the time of sending
+    std::optional<Duration> staleness_bound;    ///< of bounded reads: the oldest data, at the time of sending
     std::optional<double> priority_weight;
     std::optional<double>
         late_share;  ///< of the weight, for an answer between objective and deadline; 0 to 1
@@ -31,23 +31,23 @@
     std::optional<std::uint32_t> fleet_size;             ///< poolers that send to the same endpoints; 1
     std::optional<EndpointListMode> endpoint_list_mode;  ///< pushed
     std::optional<bool> removal_binds;  ///< false: an endpoint removed undrained may still be used; true
-    std::optional<bool> probes;         ///< health checks are allowed; false
+    std::optional<bool> health_checks;  ///< health checks are allowed; false
     std::optional<bool> cancels;        ///< attempts may be cancelled; false
     std::optional<bool> hedging;        ///< hedged requests are allowed; none are sent
     std::optional<bool> retry_after;    ///< a rejection may carry a Retry-After; false
     std::optional<Duration> max_retry_after;        ///< its upper limit
-    std::optional<std::uint32_t> attempts;          ///< per request; 2
-    std::optional<TokenSource> tokens;              ///< carried
+    std::optional<std::uint32_t> max_attempts;      ///< per request; 2
+    std::optional<TokenSource> token_source;        ///< carried
     std::optional<StalenessCheck> staleness_check;  ///< none
     std::optional<double> slow_start_share;         ///< of its capacity that a started endpoint has at least
-    std::optional<Duration> ramp;                   ///< after which it has all of it; zero
+    std::optional<Duration> slow_start_ramp;        ///< after which it has all of it; zero
     std::optional<double> overload_multiple;        ///< sent this multiple of its capacity of the moment...
     std::optional<Duration> overload_window;   ///< ...for this long, an endpoint in slow start breaks down
     std::optional<double> health_check_price;  ///< where a request in time earns 1 on average; 0
 };
 
 inline bool health_checks_allowed(const Settings& settings) {
-    return settings.probes.value_or(false);
+    return settings.health_checks.value_or(false);
 }
 
 /// Endpoints check by themselves whether they are too far behind for a read.
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -16,7 +16,8 @@
     double initial = settings.slow_start_share.value_or(0);
     double multiple = settings.overload_multiple.value_or(0);
     double factor = kSafetyFactor * (multiple > 0 ? multiple : 1);  // zero: no multiple is known
-    double progress = std::max(0.0, to_milliseconds(now - started) / to_milliseconds(*settings.ramp));
+    double progress =
+        std::max(0.0, to_milliseconds(now - started) / to_milliseconds(*settings.slow_start_ramp));
     return factor * (initial + (1 - initial) * progress);
 }
 
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -17,7 +17,7 @@
 namespace indigovane::policy {
 
 inline bool in_slow_start(std::optional<Time> started, const Settings& settings, Time now) {
-    return started && now < *started + settings.ramp.value_or(Duration::zero());
+    return started && now < *started + settings.slow_start_ramp.value_or(Duration::zero());
 }
 
 /// The share of its full work that an endpoint in slow start can surely do now.
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -25,7 +25,7 @@
         if (settings.consistency != Consistency::bounded)
             throw ConfigError(path, "[[class]] " + rule.name + ": a bound is for a class of bounded reads");
         auto bound = policy::Duration(std::int64_t(rule.bound_us));
-        settings.bound = std::min(settings.bound.value_or(bound), bound);
+        settings.staleness_bound = std::min(settings.staleness_bound.value_or(bound), bound);
     }
 }
 
--- a/src/routing/attempt_outcomes.cpp
+++ b/src/routing/attempt_outcomes.cpp
@@ -110,7 +110,7 @@
 // A session's read may wait for a connection while a write of its session is answered: what it was required
 // to see when the policy decided is no longer enough when it is sent.
 void AttemptOutcomes::raise_session_position(std::uint64_t session, std::int64_t commit_unix_ms) {
-    if (core_.settings.tokens != policy::TokenSource::remembered) return;
+    if (core_.settings.token_source != policy::TokenSource::remembered) return;
     for (auto& [id, pending] : core_.requests)
         if (pending.responder && pending.request.session == session && !pending.request.writes())
             pending.newer_commit_unix_ms = std::max(pending.newer_commit_unix_ms.value_or(0), commit_unix_ms);
--- a/src/routing/core.cpp
+++ b/src/routing/core.cpp
@@ -122,7 +122,7 @@
 
 void Core::watch_sites(const site::Settings& settings, std::vector<site::Demand> classes,
                        std::uint64_t seed) {
-    site::FleetContext fleet{settings_.fleet_size.value_or(1), settings_.probes.value_or(false),
+    site::FleetContext fleet{settings_.fleet_size.value_or(1), settings_.health_checks.value_or(false),
                              std::move(classes)};
     if (sites_) return sites_->set(settings, std::move(fleet));
     sites_ = std::make_unique<SiteController>(settings, std::move(fleet), seed);
--- a/src/routing/types.hpp
+++ b/src/routing/types.hpp
@@ -105,7 +105,7 @@
 struct FinalError {
     enum class Kind {
         rejected,  // a retry by the client is harmless
-        failed,   // it may have run
+        failed,    // it may have run
     } kind = Kind::rejected;
     bool deadline = false;  // because its deadline has passed
     std::optional<Duration> retry_after;
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -114,7 +114,7 @@
     for (std::uint64_t i = 0; i < count; ++i) {
         ClassSettings settings = read_class_settings(line, i);
         if (i < consistencies.size()) settings.consistency = value_of(kConsistencyNames, consistencies[i]);
-        if (i < bounds.size()) settings.bound = Duration(to_micros(bounds[i]));
+        if (i < bounds.size()) settings.staleness_bound = Duration(to_micros(bounds[i]));
         classes.push_back(settings);
     }
     return classes;
@@ -193,16 +193,16 @@
     settings.fleet_size = count32(line, kFleetSize);
     settings.endpoint_list_mode = named_value(line, kEndpointListMode, kEndpointListModeNames);
     if (auto not_binding = flag(line, kRemovalDoesNotBind)) settings.removal_binds = !*not_binding;
-    settings.probes = flag(line, kHealthChecks);
+    settings.health_checks = flag(line, kHealthChecks);
     settings.cancels = flag(line, kCancels);
     settings.hedging = flag(line, kHedging);
     settings.retry_after = flag(line, kRetryAfter);
     settings.max_retry_after = duration(line, kMaxRetryAfter);
-    settings.attempts = count32(line, kAttempts);
-    settings.tokens = named_value(line, kTokenSource, kTokenSourceNames);
+    settings.max_attempts = count32(line, kAttempts);
+    settings.token_source = named_value(line, kTokenSource, kTokenSourceNames);
     settings.staleness_check = named_value(line, kStalenessCheck, kStalenessCheckNames);
     settings.slow_start_share = number(line, kSlowStartShare);
-    settings.ramp = duration(line, kSlowStartRamp);
+    settings.slow_start_ramp = duration(line, kSlowStartRamp);
     settings.overload_multiple = number(line, kOverloadMultiple);
     settings.overload_window = duration(line, kOverloadWindow);
     settings.health_check_price = number(line, kHealthCheckPrice);
--- a/tests/adapters/narrow_moments_test.cpp
+++ b/tests/adapters/narrow_moments_test.cpp
@@ -373,7 +373,7 @@
     FakeBackend backend;
     NullLogger logger;
     auto s = settings();
-    s.probes = false, s.staleness_check = policy::StalenessCheck::none;
+    s.health_checks = false, s.staleness_check = policy::StalenessCheck::none;
     routing::Core core(driver, clock, s, 3, {}, backend, logger);
     std::vector<routing::EndpointInfo> infos(2);
     for (std::uint32_t i = 0; i < 2; ++i)
--- a/tests/adapters/open_statements_test.cpp
+++ b/tests/adapters/open_statements_test.cpp
@@ -163,7 +163,7 @@
     "what a file of statements says of classes is checked against the settings, its bounds tighten theirs") {
     program::Config config;
     config.settings = settings();
-    config.settings.classes[0].bound = 3s;
+    config.settings.classes[0].staleness_bound = 3s;
     config.classes = classes();
     auto take = [&](const char* text) -> std::string {
         try {
@@ -181,9 +181,9 @@
     CHECK(take("[[class]]\nname = \"own-order\"\nbound = \"1s\"\n").find("bounded reads") !=
           std::string::npos);
     CHECK(take("[[class]]\nname = \"stock-view\"\nbound = \"5s\"\n") == "");
-    CHECK(config.settings.classes[0].bound == 3s);
+    CHECK(config.settings.classes[0].staleness_bound == 3s);
     CHECK(take("[[class]]\nname = \"stock-view\"\nbound = \"2s\"\n") == "");
-    CHECK(config.settings.classes[0].bound == 2s);
+    CHECK(config.settings.classes[0].staleness_bound == 2s);
     config.members = program::Wire::rest;
     CHECK(take("[statements]\nopen = true\n").find("members that speak REST") != std::string::npos);
 }
--- a/tests/policy/emulated_pooler.hpp
+++ b/tests/policy/emulated_pooler.hpp
@@ -37,7 +37,7 @@
         added.deadline = deadline;
         added.priority_weight = 1;
         added.late_share = consistency == Consistency::write ? 0.5 : 0;
-        added.bound = consistency == Consistency::bounded ? 200ms : 0ms;
+        added.staleness_bound = consistency == Consistency::bounded ? 200ms : 0ms;
         added.deduplication_scope = DeduplicationScope::group;
         added.deduplication_window = 1s;
         settings.classes.push_back(added);
@@ -49,16 +49,16 @@
     add(Consistency::fresh, Idempotency::idempotent, 400ms, 1s);
     settings.fleet_size = 1;
     settings.endpoint_list_mode = EndpointListMode::pushed;
-    settings.probes = true;
+    settings.health_checks = true;
     settings.cancels = true;
     settings.hedging = false;
     settings.retry_after = true;
     settings.max_retry_after = 1s;
-    settings.attempts = 6;
-    settings.tokens = TokenSource::carried;
+    settings.max_attempts = 6;
+    settings.token_source = TokenSource::carried;
     settings.staleness_check = StalenessCheck::none;
     settings.slow_start_share = 0.2;
-    settings.ramp = 10s;
+    settings.slow_start_ramp = 10s;
     settings.overload_multiple = 2;
     settings.overload_window = 1s;
     return settings;
@@ -67,9 +67,9 @@
 /// Endpoints check reads themselves, and nothing but answers tells of them.
 inline Settings checked_without_probes() {
     Settings settings = usual_settings();
-    settings.probes = false;
+    settings.health_checks = false;
     settings.staleness_check = StalenessCheck::wait;
-    settings.classes[kBounded].bound = 3s;
+    settings.classes[kBounded].staleness_bound = 3s;
     return settings;
 }
 
--- a/tests/policy/fixtures.hpp
+++ b/tests/policy/fixtures.hpp
@@ -20,7 +20,7 @@
     settings.idempotency = idempotency;
     settings.latency_objective = 400ms;
     settings.deadline = 1s;
-    settings.bound = 300ms;
+    settings.staleness_bound = 300ms;
     settings.deduplication_window = 500ms;
     return settings;
 }
--- a/tests/policy/health_check_test.cpp
+++ b/tests/policy/health_check_test.cpp
@@ -38,7 +38,7 @@
 TEST_CASE("the interval is a third of the strictest bound, and a second at most") {
     auto bounded = [](Duration bound) {
         ClassSettings settings = class_settings(Consistency::bounded);
-        settings.bound = bound;
+        settings.staleness_bound = bound;
         return std::make_shared<RequestClass>(make_request_class(settings));
     };
     CHECK(health_check_interval({}) == 1s);
--- a/tests/policy/routing_policy_lists_test.cpp
+++ b/tests/policy/routing_policy_lists_test.cpp
@@ -95,16 +95,16 @@
         settings.fleet_size = 0;
         settings.health_check_price = 0;
         settings.slow_start_share = 0.5;
-        settings.ramp = 0ms;
+        settings.slow_start_ramp = 0ms;
         settings.overload_multiple = 0;
         if (absent) {
             settings.fleet_size.reset();
             settings.health_check_price.reset();
-            settings.ramp.reset();
+            settings.slow_start_ramp.reset();
             settings.overload_multiple.reset();
         }
         for (Duration ramp : {0ms, 10000ms}) {
-            if (!absent) settings.ramp = ramp;
+            if (!absent) settings.slow_start_ramp = ramp;
             EmulatedPooler pooler(settings);
             pooler.add_group(3);
             for (std::uint32_t m : {0, 1, 2})
--- a/tests/policy/routing_policy_requests_test.cpp
+++ b/tests/policy/routing_policy_requests_test.cpp
@@ -279,7 +279,7 @@
 
 TEST(RetryPolicy, AttemptsAreLimited) {
     Settings settings = usual_settings();
-    settings.attempts = 2;
+    settings.max_attempts = 2;
     EmulatedPooler pooler(settings);
     pooler.add_group(6);
     RequestId id = pooler.request(kBounded);
--- a/tests/policy/routing_policy_selection_test.cpp
+++ b/tests/policy/routing_policy_selection_test.cpp
@@ -107,7 +107,7 @@
 
 TEST(SessionReads, FollowTheRememberedToken) {
     Settings settings = usual_settings();
-    settings.tokens = TokenSource::remembered;
+    settings.token_source = TokenSource::remembered;
     EmulatedPooler pooler(settings);
     pooler.add_group(3);
     SessionKey key{5};
@@ -137,7 +137,7 @@
 
 TEST(SessionReads, ForgottenTokensRaiseTheFloor) {
     Settings settings = usual_settings();
-    settings.tokens = TokenSource::remembered;
+    settings.token_source = TokenSource::remembered;
     EmulatedPooler pooler(settings);
     pooler.add_group(2);
     for (std::uint64_t i = 0; i < 50002; ++i) {
@@ -162,7 +162,7 @@
 TEST(SessionReads, GoToTheReplicaWhoseLagWasShortest) {
     Settings settings = usual_settings();
     settings.staleness_check = StalenessCheck::wait;
-    settings.probes = false;
+    settings.health_checks = false;
     auto target = [&](Duration first, Duration since, Duration second, Duration age, std::uint64_t seed) {
         EmulatedPooler pooler(settings, seed);
         pooler.add_group(3);
@@ -185,7 +185,7 @@
 
 TEST(BoundedStaleness, PositionsAreNeverExtrapolated) {
     Settings settings = usual_settings();
-    settings.probes = false;  // nothing refreshes what is known
+    settings.health_checks = false;  // nothing refreshes what is known
     EmulatedPooler pooler(settings);
     pooler.apply_list(EndpointListKind::full, {EmulatedPooler::entry(0), EmulatedPooler::entry(1)});
     RequestId first = pooler.request(kAny);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -13,7 +13,7 @@
 Settings ramp_settings() {
     Settings settings;
     settings.slow_start_share = 0.2;
-    settings.ramp = 10s;
+    settings.slow_start_ramp = 10s;
     settings.overload_multiple = 2;
     return settings;
 }
--- a/tests/program/operations_test.cpp
+++ b/tests/program/operations_test.cpp
@@ -185,7 +185,7 @@
 TEST_CASE("a host that is put back counts as started just then") {
     auto queries = [](bool excluded_endpoints) {
         auto s = settings();
-        s.slow_start_share = 0.1, s.ramp = 1h;
+        s.slow_start_share = 0.1, s.slow_start_ramp = 1h;
         PgDeployment d(64, s);
         Client client(d.loop, d.pg.local());
         client.send(pg::Writer().startup("u", "d").take());
@@ -334,7 +334,7 @@
     for (bool retuned : {false, true}) {
         Time now{100s};
         Settings before = settings(), after = settings();
-        before.attempts = 10, after.attempts = 1;
+        before.max_attempts = 10, after.max_attempts = 1;
         std::swap(after.classes[0], after.classes[2]);
         after.classes[2].idempotency = Idempotency::not_idempotent;
         RoutingPolicy policy(before, 3, now);
--- a/tests/program/services_test.cpp
+++ b/tests/program/services_test.cpp
@@ -238,8 +238,8 @@
     CHECK(c.name == "n3");
     CHECK(c.seed == 0x8c1f30d27a5be964);
     CHECK(c.settings.fleet_size == 3u);
-    CHECK(c.settings.attempts == 10u);
-    CHECK(c.settings.classes.at(0).bound == policy::Duration(3s));
+    CHECK(c.settings.max_attempts == 10u);
+    CHECK(c.settings.classes.at(0).staleness_bound == policy::Duration(3s));
     CHECK(c.settings.classes.at(1).consistency == policy::Consistency::session);
     CHECK(c.settings.classes.at(1).deadline == policy::Duration(600500us));
     CHECK(c.classes.find("stock view")->deadline == routing::Duration(1s));
@@ -318,7 +318,7 @@
         backend.opened.clear();
         clock.at = policy::Time(100s);
         auto s = settings();
-        s.probes = false;
+        s.health_checks = false;
         s.classes[request_class].latency_objective = 200ms;
         NullLogger logger;
         routing::Core core(driver, clock, s, 3, {}, backend, logger);
@@ -376,7 +376,7 @@
     auto sent = [](std::uint32_t fleet) {
         Time now{100s};
         auto s = settings();
-        s.fleet_size = fleet, s.slow_start_share = 0.5, s.ramp = 1h, s.overload_multiple = 2.5;
+        s.fleet_size = fleet, s.slow_start_share = 0.5, s.slow_start_ramp = 1h, s.overload_multiple = 2.5;
         RoutingPolicy policy(s, 3, now);
         Actions actions;
         auto run = [&](const Event& e) { policy.handle(now, e, actions); };
--- a/tests/program/state_records_test.cpp
+++ b/tests/program/state_records_test.cpp
@@ -3,9 +3,9 @@
 
 #include <nlohmann/json.hpp>
 
+#include "program/crash_marker_file.hpp"
 #include "program/endpoint_list_text.hpp"
 #include "program/shape_cost_record.hpp"
-#include "program/crash_marker_file.hpp"
 #include "routing/discovery_client.hpp"
 #include "support/deployment.hpp"
 
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -69,7 +69,7 @@
     Settings s = read_settings(line);
     ASSERT_EQ(s.classes.size(), 2u);
     EXPECT_EQ(s.classes[0].consistency, Consistency::bounded);
-    EXPECT_EQ(s.classes[0].bound, 300ms);
+    EXPECT_EQ(s.classes[0].staleness_bound, 300ms);
     EXPECT_EQ(s.classes[1].idempotency, Idempotency::not_idempotent);
     EXPECT_EQ(s.staleness_check, StalenessCheck::refuse);
     EXPECT_EQ(s.fleet_size, 2u);
--- a/tests/support/decision_recordings.hpp
+++ b/tests/support/decision_recordings.hpp
@@ -36,21 +36,21 @@
                         make_class(Consistency::write, Idempotency::not_idempotent, 600ms, 2s, 6),
                         make_class(Consistency::any, Idempotency::idempotent, 250ms, 1s, 1),
                         make_class(Consistency::fresh, Idempotency::idempotent, 400ms, 1s, 2)};
-    settings.classes[0].bound = 3s;
+    settings.classes[0].staleness_bound = 3s;
     settings.classes[3].deduplication_scope = DeduplicationScope::zone;
     settings.fleet_size = 30;
     settings.endpoint_list_mode = policy::EndpointListMode::pushed;
     settings.removal_binds = true;
-    settings.probes = true;
+    settings.health_checks = true;
     settings.cancels = true;
     settings.hedging = false;
     settings.retry_after = true;
     settings.max_retry_after = 200ms;
-    settings.attempts = 4;
-    settings.tokens = policy::TokenSource::remembered;
+    settings.max_attempts = 4;
+    settings.token_source = policy::TokenSource::remembered;
     settings.staleness_check = policy::StalenessCheck::none;
     settings.slow_start_share = 0.2;
-    settings.ramp = 17s;
+    settings.slow_start_ramp = 17s;
     settings.overload_multiple = 2.5;
     settings.overload_window = 2s;
     return settings;
@@ -64,20 +64,20 @@
                         make_class(Consistency::session, Idempotency::not_idempotent, 500ms, 1200ms, 1),
                         make_class(Consistency::fresh, Idempotency::idempotent, 600ms, 2s, 1),
                         make_class(Consistency::write, Idempotency::idempotency_key, 1500ms, 5s, 4)};
-    settings.classes[0].bound = 300ms;
+    settings.classes[0].staleness_bound = 300ms;
     settings.classes[4].deduplication_window = 400ms;
     settings.fleet_size = 300;
     settings.endpoint_list_mode = policy::EndpointListMode::polled;
     settings.removal_binds = false;
-    settings.probes = true;
+    settings.health_checks = true;
     settings.cancels = false;
     settings.hedging = true;
     settings.retry_after = false;
-    settings.attempts = 6;
-    settings.tokens = policy::TokenSource::carried;
+    settings.max_attempts = 6;
+    settings.token_source = policy::TokenSource::carried;
     settings.staleness_check = policy::StalenessCheck::wait;
     settings.slow_start_share = 0.18;
-    settings.ramp = 16s;
+    settings.slow_start_ramp = 16s;
     settings.overload_multiple = 2;
     settings.overload_window = 1500ms;
     settings.health_check_price = 0.02;
--- a/tests/support/harness.hpp
+++ b/tests/support/harness.hpp
@@ -451,8 +451,8 @@
 // Classes like a deployment's: a bounded read, a session read, a write.
 inline policy::Settings settings() {
     policy::Settings s;
-    s.fleet_size = 1, s.probes = true, s.cancels = true, s.retry_after = true, s.attempts = 10;
-    s.max_retry_after = 1s, s.tokens = policy::TokenSource::remembered;
+    s.fleet_size = 1, s.health_checks = true, s.cancels = true, s.retry_after = true, s.max_attempts = 10;
+    s.max_retry_after = 1s, s.token_source = policy::TokenSource::remembered;
     s.staleness_check = policy::StalenessCheck::wait;
     for (auto [consistency, idempotency] :
          {std::pair{policy::Consistency::bounded, policy::Idempotency::idempotent},
@@ -460,7 +460,7 @@
           {policy::Consistency::write, policy::Idempotency::idempotency_key}}) {
         policy::ClassSettings c;
         c.consistency = consistency, c.idempotency = idempotency;
-        c.latency_objective = 2s, c.deadline = 4s, c.bound = 3s, c.deduplication_window = 2s;
+        c.latency_objective = 2s, c.deadline = 4s, c.staleness_bound = 3s, c.deduplication_window = 2s;
         c.deduplication_scope = policy::DeduplicationScope::group;
         s.classes.push_back(c);
     }
