--- a/tests/adapters/open_statements_test.cpp
+++ b/tests/adapters/open_statements_test.cpp
@@ -42,7 +42,7 @@
         auto all = d.known.all();
         all.push_back({"log", routing::ClassId{3}, 4s, true, false, false});
         d.known = adapters::Classes(all);
-        for (Host& host : d.hosts) host.open = true;
+        for (Host& host : d.hosts) host.accepts_any_statement = true;
     }
 };
 struct PgClient : Client {
@@ -136,7 +136,7 @@
 TEST_CASE("a statement's own error is its answer, a host's trouble is not; it is asked once") {
     Rig rig;
     for (Host& host : rig.d.hosts)
-        host.says = {{"SELECT mistake", "42703"}, {"DELETE", ""}, {"SELECT broken", "XX000"}};
+        host.sqlstate_by_prefix = {{"SELECT mistake", "42703"}, {"DELETE", ""}, {"SELECT broken", "XX000"}};
     PgClient client(rig.d.loop, rig.d.pg.local());
     CHECK(client.ask("SELECT mistake FROM t") == "EZ");
     CHECK(client.code == "42703");
@@ -150,7 +150,7 @@
 // Fails without the connection as a session: the replica lags, and the read would go there.
 TEST_CASE("a connection that names no session sees its own writes, though the hosts tell no commit") {
     Rig rig(std::nullopt, std::string(kRules) + "[[class]]\nname = \"own-order\"\ntables = [\"orders\"]\n");
-    for (Host& host : rig.d.hosts) host.lag_ms = 60000, host.says = {{"UPDATE", ""}};
+    for (Host& host : rig.d.hosts) host.lag_ms = 60000, host.sqlstate_by_prefix = {{"UPDATE", ""}};
     PgClient client(rig.d.loop, rig.d.pg.local()), other(rig.d.loop, rig.d.pg.local());
     CHECK(client.ask("UPDATE orders SET a = 1") == "CZ");
     for (int i = 0; i < 8; ++i) {
@@ -193,7 +193,7 @@
     auto limited = limits::Settings{};
     limited.enabled = true, limited.trial = 1, limited.wait = 10s;
     Rig rig(limited);
-    for (Host& host : rig.d.hosts) host.takes = {{"SELECT a", 30ms}};
+    for (Host& host : rig.d.hosts) host.duration_by_prefix = {{"SELECT a", 30ms}};
     PgClient one(rig.d.loop, rig.d.pg.local()), two(rig.d.loop, rig.d.pg.local());
     one.send(pg::Writer().query("SELECT a FROM t").take());
     two.send(pg::Writer().query("SELECT a FROM t").take());
@@ -236,7 +236,7 @@
     auto limited = by_cost();
     limited.work = 60ms, limited.queue = 4, limited.trial = 1;
     Rig rig(limited);
-    for (Host& host : rig.d.hosts) host.takes = {{"SELECT a", 5ms}, {"SELECT content", 5ms}};
+    for (Host& host : rig.d.hosts) host.duration_by_prefix = {{"SELECT a", 5ms}, {"SELECT content", 5ms}};
     Dice dice(5);
     for (int round = 0; round < 30; ++round) {
         std::vector<std::unique_ptr<PgClient>> clients;
@@ -299,7 +299,7 @@
     Rig rig(limited ? std::optional(s) : std::nullopt, rules);
     for (Host& host : rig.d.hosts) {
         host.cores = 2;
-        host.takes = {{"SELECT a FROM orders", 15ms}, {"SELECT sum", 250ms}};
+        host.duration_by_prefix = {{"SELECT a FROM orders", 15ms}, {"SELECT sum", 250ms}};
     }
     std::vector<std::unique_ptr<PgClient>> readers, hogs;
     for (int i = 0; i < 6; ++i)
--- a/tests/adapters/whole_path_test.cpp
+++ b/tests/adapters/whole_path_test.cpp
@@ -76,7 +76,7 @@
         REQUIRE(d.loop.until([&] { return d.replica_queries() == before + 1; }));
     }
     int sent = d.replica_queries() + d.hosts[0].queries;
-    REQUIRE(d.loop.until([&] { return d.hosts[1].cut + d.hosts[2].cut == 1 && d.core.idle(); }));
+    REQUIRE(d.loop.until([&] { return d.hosts[1].abandoned + d.hosts[2].abandoned == 1 && d.core.idle(); }));
     d.loop.settle();
     CHECK(d.replica_queries() + d.hosts[0].queries == sent);
     CHECK(d.rest.connections() == 0);
@@ -171,7 +171,7 @@
     CHECK(r.status == 504);
     CHECK(r.field("content-type") == "application/problem+json");
     CHECK(json::parse(client.body)["status"] == 504);
-    for (Host& h : d.hosts) h.silent = false, h.refusing = true;
+    for (Host& h : d.hosts) h.silent = false, h.rejecting = true;
     r = client.get(kPage + "&wait_ms=1500");
     CHECK((r.status == 503 || r.status == 504));
     CHECK(r.field("retry-after"));
--- a/tests/processes/execution_test.cpp
+++ b/tests/processes/execution_test.cpp
@@ -35,7 +35,7 @@
     for (const char* code : {"53300", "57P03", "25006", "72000", "XX000"}) {
         CAPTURE(std::string(code));
         SmallDeployment d(1);
-        for (Host& host : d.hosts) host.takes_back = code;
+        for (Host& host : d.hosts) host.sqlstate_after_row = code;
         auto client = d.client(0);
         for (int session = 1; session <= 5; ++session) {
             for (bool write : {true, false}) {
--- a/tests/processes/site_harness.hpp
+++ b/tests/processes/site_harness.hpp
@@ -325,7 +325,7 @@
     int ran_again() const {
         std::map<std::string, int> times;
         for (const Host& h : hosts)
-            for (const std::string& body : h.ran) ++times[body.substr(0, body.find(','))];
+            for (const std::string& body : h.executed_writes) ++times[body.substr(0, body.find(','))];
         return int(std::count_if(times.begin(), times.end(), [](auto& t) { return t.second > 1; }));
     }
     // Reads go on for so long: for what takes its time, such as sleep. Nothing is measured by it.
--- a/tests/processes/site_test.cpp
+++ b/tests/processes/site_test.cpp
@@ -220,19 +220,20 @@
 
 TEST_CASE("site processes: back and cold while discovery is out of reach, no host is asked for too much") {
     Zones z;
-    for (Host& h : z.hosts) h.cores = 4, h.takes["SELECT"] = 20ms;
+    for (Host& h : z.hosts) h.cores = 4, h.duration_by_prefix["SELECT"] = 20ms;
     begin(z);
     z.reach_lists(false);
     z.strike(1, {.reset = true});
     REQUIRE(z.until([&] { return z.all_became(1, "lost"); }));
-    for (std::size_t h : {1, 4, 7}) z.hosts[h].came.clear();
+    for (std::size_t h : {1, 4, 7}) z.hosts[h].query_times.clear();
     auto back = std::chrono::steady_clock::now();
     z.strike(1, {});
     REQUIRE(z.until([&] { return z.all_became(1, "reachable"); }));
     reads(z, 300);
     for (std::size_t h : {1, 7}) {
         std::vector<double> came;
-        for (auto at : z.hosts[h].came) came.push_back(std::chrono::duration<double>(at - back).count());
+        for (auto at : z.hosts[h].query_times)
+            came.push_back(std::chrono::duration<double>(at - back).count());
         CHECK(came.size() > 10);
         CHECK(!ColdRule{200, 0.2, 4, 2.5, 2}.broken(came));
     }
