--- /dev/null
+++ b/tests/adapters/pg_front_long_values_test.cpp
@@ -0,0 +1,134 @@
+// The PostgreSQL front with values and statements longer than a buffer.
+#include <boost/asio/write.hpp>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "adapters/scripted_front.hpp"
+
+namespace indigovane::testing {
+namespace {
+
+// The model of a long answer: no more is accepted than the client has capacity for.
+TEST_CASE(
+    "pg: a long value is forwarded in pieces, at its client's pace, and a broken one closes the connection") {
+    Dice dice(23);
+    for (int round = 0; round < 12; ++round) {
+        PgRig rig(8);
+        Client client(rig.loop, rig.front.local());
+        client.send(pg::Writer().startup("u", "d").take());
+        client.reply();
+        client.send(pg::Writer().query(sql("h1")).take());
+        REQUIRE(rig.loop.until([&] { return rig.admission.open.size() == 1; }));
+        CHECK(rig.admission.last.in_pieces);
+        routing::RequestId id = rig.admission.open.begin()->first;
+        routing::Responder* responder = rig.admission.open.begin()->second;
+        std::string value(100000 + dice.below(1000000), 'v');
+        bool breaks = dice.below(3) == 0;
+        responder->began({}, value.size());
+        std::size_t sent = 0;
+        std::size_t pauses = 0;
+        const std::size_t stop = breaks ? dice.below(value.size()) : value.size();
+        bool has_capacity = true;
+        while (sent < stop) {
+            std::size_t count = std::min(stop - sent, dice.below(40000) + 1);
+            if (!has_capacity) {
+                int before = rig.admission.resumed;
+                REQUIRE(rig.loop.until([&] { return rig.admission.resumed > before; }));
+                ++pauses;
+            }
+            has_capacity = responder->piece(std::string_view(value).substr(sent, count));
+            sent += count;
+        }
+        CHECK((pauses > 0 || stop < 100000));
+        rig.admission.open.erase(id);
+        if (breaks) {
+            responder->broken();
+            REQUIRE(rig.loop.until([&] { return client.closed; }));
+            CHECK(client.in.find("SELECT 1") == std::string::npos);  // no end: the client can see it
+            CHECK(rig.front.connections() == 0);
+        } else {
+            routing::Answer end;
+            end.tag = "SELECT 1";
+            responder->served(end);
+            CHECK(client.reply() == "TDCZ");
+            CHECK(client.value == value);
+            client.send(pg::Writer().query(sql("s2")).take());
+            CHECK(client.reply() == "TDCZ");
+            CHECK(client.value == "v");
+        }
+    }
+}
+
+TEST_CASE("pg: a client that leaves a long value unread is closed, and its request withdrawn") {
+    Loop loop;
+    NullLogger logger;
+    ScriptedAdmission admission{loop};
+    adapters::Classes known = classes();
+    adapters::PgFront front(loop.io, loopback(), 8, known, {.client_timeout = 10s, .reading = 20ms},
+                            admission, logger);
+    front.start();
+    boost::asio::ip::tcp::socket unread(loop.io);  // reads nothing
+    unread.connect(front.local());
+    std::string bytes = pg::Writer().startup("u", "d").take() + pg::Writer().query(sql("h1")).take();
+    boost::asio::write(unread, boost::asio::buffer(bytes));
+    REQUIRE(loop.until([&] { return admission.open.size() == 1; }));
+    routing::Responder* responder = admission.open.begin()->second;
+    responder->began({}, 64 << 20);
+    std::string piece(1 << 20, 'v');
+    REQUIRE(loop.until([&] {
+        if (admission.withdrawn == 0) responder->piece(piece);
+        return admission.withdrawn > 0;
+    }));
+    CHECK(front.connections() == 0);
+}
+
+TEST_CASE("pg: long statements are read while there is capacity for them, one after the other") {
+    PgRig rig(8);
+    rig.admission.capacity = 64 << 20;
+    rig.front.limit_long(5 << 20);
+    auto statement = [](std::string id, std::size_t size) {
+        return pg::Writer()
+            .query("/* id=" + id +
+                   ",c=scan-write,t=a,d=900,k=1,cluster=1 */ INSERT INTO kv (name, content) VALUES ('a', '" +
+                   pg::hex(std::string(size, 'v')) + "') RETURNING content")
+            .take();
+    };
+    std::vector<std::unique_ptr<Client>> clients;
+    const std::string one = statement("s1", 1 << 20);
+    const std::string two = statement("s2", 1 << 20);
+    for (int i = 0; i < 2; ++i) {
+        clients.push_back(std::make_unique<Client>(rig.loop, rig.front.local()));
+        clients.back()->send(pg::Writer().startup("u", "d").take());
+        clients.back()->reply();
+    }
+    clients[0]->send(one.substr(0, 1 << 20));  // it has the capacity, and is not complete yet
+    rig.loop.settle();
+    clients[1]->send(two);
+    rig.loop.settle();
+    CHECK(rig.admission.count == 0);
+    clients[0]->send(one.substr(1 << 20));
+    CHECK(clients[0]->reply() == "TDCZ");
+    CHECK(clients[1]->reply() == "TDCZ");  // next in line
+    CHECK(rig.admission.last.statement.size() + 6 == two.size());
+    CHECK(!rig.admission.last.content);
+    // One that exceeds the capacity is rejected by its header, and an abandoned one releases its capacity.
+    Client large(rig.loop, rig.front.local());
+    large.send(pg::Writer().startup("u", "d").take());
+    large.reply();
+    large.send(statement("s3", 2 << 20).substr(0, 100));
+    large.reply();
+    CHECK(large.code == "54000");
+    std::string bad = statement("s4", 1 << 20);
+    bad[bad.size() - 40] = 'z';
+    clients[0]->send(bad);
+    CHECK(clients[0]->reply() == "EZ");
+    clients[0]->send(one.substr(0, 500000));
+    rig.loop.settle();
+    clients[0]->connection->close();
+    clients[1]->send(two);
+    CHECK(clients[1]->reply() == "TDCZ");
+}
+
+}  // namespace
+}  // namespace indigovane::testing
