--- a/tests/adapters/open_statements_test.cpp
+++ b/tests/adapters/open_statements_test.cpp
@@ -35,10 +35,10 @@
     return s;
 }
 struct Rig {
-    adapters::Statements judged;
+    adapters::Statements statements_;
     PgDeployment d;
     explicit Rig(std::optional<limits::Settings> by_cost = std::nullopt, const std::string& rules = kRules)
-        : judged(statements(rules)), d(64, with_log(), &judged, by_cost) {
+        : statements_(statements(rules)), d(64, with_log(), &statements_, by_cost) {
         auto all = d.known.all();
         all.push_back({"log", routing::ClassId{3}, 4s, true, false, false});
         d.known = adapters::Classes(all);
@@ -51,7 +51,7 @@
         send(pg::Writer().startup(user, "store").take());
         REQUIRE(reply() == "RZ");
     }
-    std::string ask(const std::string& sql) {
+    std::string request(const std::string& sql) {
         send(pg::Writer().query(sql).take());
         return reply();
     }
@@ -60,16 +60,16 @@
 TEST_CASE("any single statement passes: plain reads to replicas, all that may write to the primary") {
     Rig rig;
     PgClient client(rig.d.loop, rig.d.pg.local());
-    CHECK(client.ask("SELECT a, b FROM stock WHERE x = 'it''s'") == "TDDCZ");
+    CHECK(client.request("SELECT a, b FROM stock WHERE x = 'it''s'") == "TDDCZ");
     CHECK(rig.d.replica_queries() == 1);
     for (const char* sql : {"DELETE FROM stock", "SELECT nextval('s')",
                             "SELECT a FROM t ORDER BY abs(app.burn(1))", "SELECT unknown_function(1)",
                             "SELECT a FROM t FOR UPDATE", "WITH x AS (DELETE FROM t RETURNING 1) SELECT 1",
                             "SELECT t.burn FROM app.t", "EXPLAIN ANALYZE UPDATE t SET a = 1"}) {
         int before = rig.d.hosts[0].queries;
-        CHECK(client.ask(sql) == "TDDCZ");
+        CHECK(client.request(sql) == "TDDCZ");
         CHECK_MESSAGE(rig.d.hosts[0].queries == before + 1, sql);
-        CHECK(rig.d.hosts[0].asked.back() == sql);  // as it was written, to the byte
+        CHECK(rig.d.hosts[0].asked.back() == sql);  // byte for byte
     }
     CHECK(rig.d.replica_queries() == 1);
     for (auto [sql, code] : {std::pair{"BEGIN", "0A000"},
@@ -78,23 +78,22 @@
                              {"SELECT 'a", "42601"},
                              {"SELEC 1", "42601"},
                              {"SELECT pg_advisory_lock(1)", "0A000"}}) {
-        CHECK(client.ask(sql) == "EZ");
+        CHECK(client.request(sql) == "EZ");
         CHECK_MESSAGE(client.code == code, sql);
     }
-    CHECK(client.ask("/* nothing */") == "IZ");
-    CHECK(client.ask("SET x = 1") == "CZ");  // as drivers send it: it changes nothing here
-    CHECK(client.ask("/* id=1,c=stock-view,cluster=3 */ SELECT content FROM kv WHERE name = 'r100'") ==
+    CHECK(client.request("/* nothing */") == "IZ");
+    CHECK(client.request("SET x = 1") == "CZ");  // as drivers send it: it changes nothing here
+    CHECK(client.request("/* id=1,c=stock-view,cluster=3 */ SELECT content FROM kv WHERE name = 'r100'") ==
           "TDCZ");
 }
 
-// The whole corpus through the front: what a replica is sent is a plain read, and nothing that was refused is
-// sent.
+// The complete corpus through the front: replicas receive plain reads only, rejected statements are not sent.
 TEST_CASE("the corpus over a socket: no replica is sent what may write") {
     Rig rig;
     auto client = std::make_unique<PgClient>(rig.d.loop, rig.d.pg.local());
     std::ifstream in(CORPUS);
     std::string line;
-    int asked = 0;
+    int sent = 0;
     while (std::getline(in, line)) {
         if (line.empty() || line[0] == '#' || line.find('\\') != std::string::npos) continue;
         std::size_t a = line.find('\t'), b = line.find('\t', a + 1);
@@ -106,66 +105,70 @@
             pg::read_verb(pg::read_statement(sql).body).kind != pg::Verb::Kind::other)
             continue;
         int replicas = rig.d.replica_queries(), primary = rig.d.hosts[0].queries;
-        std::string got = client->ask(sql);
-        CHECK_MESSAGE(got == (route == "refuse" ? "EZ" : "TDDCZ"), sql);
+        std::string reply = client->request(sql);
+        CHECK_MESSAGE(reply == (route == "refuse" ? "EZ" : "TDDCZ"), sql);
         CHECK_MESSAGE(rig.d.replica_queries() - replicas == (route == "replica" ? 1 : 0), sql);
         CHECK_MESSAGE(rig.d.hosts[0].queries - primary == (route == "primary" ? 1 : 0), sql);
-        ++asked;
+        ++sent;
     }
-    CHECK(asked > 400);
+    CHECK(sent > 400);
 }
 
 TEST_CASE("a class that contradicts the statement: never a replica, a clean error where it can't be had") {
     Rig rig;
     PgClient client(rig.d.loop, rig.d.pg.local());
-    CHECK(client.ask("/* id=1,c=stock-view,cluster=3 */ DELETE FROM t") ==
+    CHECK(client.request("/* id=1,c=stock-view,cluster=3 */ DELETE FROM t") ==
           "TDDCZ");  // as log, at the primary
     CHECK(rig.d.replica_queries() == 0);
     CHECK(rig.d.hosts[0].queries == 1);
-    CHECK(client.ask("/* id=2,c=scan-write,cluster=3 */ DELETE FROM t") == "EZ");  // keyed, without its key
+    CHECK(client.request("/* id=2,c=scan-write,cluster=3 */ DELETE FROM t") ==
+          "EZ");  // keyed, without its key
     CHECK(client.code == "22023");
-    CHECK(client.ask("/* id=3,c=scan-write,k=7,cluster=3 */ DELETE FROM t") == "TDDCZ");
-    CHECK(client.ask("/* id=4,c=nonsense,cluster=3 */ SELECT 1") == "EZ");
+    CHECK(client.request("/* id=3,c=scan-write,k=7,cluster=3 */ DELETE FROM t") == "TDDCZ");
+    CHECK(client.request("/* id=4,c=nonsense,cluster=3 */ SELECT 1") == "EZ");
     Rig none(std::nullopt, "[statements]\nopen = true\ngroup = 3\nread_class = \"stock-view\"\n");
     PgClient other(none.d.loop, none.d.pg.local());
-    CHECK(other.ask("DELETE FROM t") == "EZ");
+    CHECK(other.request("DELETE FROM t") == "EZ");
     CHECK(other.code == "22023");
     CHECK(none.d.hosts[0].queries + none.d.replica_queries() == 0);
 }
 
-TEST_CASE("a statement's own error is its answer, a host's trouble is not; it is asked once") {
+TEST_CASE("a statement's own error is its answer, a host's fault is not; it is sent once") {
     Rig rig;
     for (Host& host : rig.d.hosts)
         host.sqlstate_by_prefix = {{"SELECT mistake", "42703"}, {"DELETE", ""}, {"SELECT broken", "XX000"}};
     PgClient client(rig.d.loop, rig.d.pg.local());
-    CHECK(client.ask("SELECT mistake FROM t") == "EZ");
+    CHECK(client.request("SELECT mistake FROM t") == "EZ");
     CHECK(client.code == "42703");
     CHECK(rig.d.replica_queries() == 1);
-    CHECK(client.ask("DELETE FROM t") == "CZ");
-    CHECK(client.ask("SELECT 1 AS still_there") == "TDDCZ");
-    CHECK(client.ask("SELECT broken FROM t") == "EZ");
+    CHECK(client.request("DELETE FROM t") == "CZ");
+    CHECK(client.request("SELECT 1 AS still_there") == "TDDCZ");
+    CHECK(client.request("SELECT broken FROM t") == "EZ");
     CHECK(client.code != "XX000");
 }
 
 // Fails without the connection as a session: the replica lags, and the read would go there.
-TEST_CASE("a connection that names no session sees its own writes, though the hosts tell no commit") {
+TEST_CASE(
+    "a connection that names no session sees its own writes, though the hosts report no commit position") {
     Rig rig(std::nullopt, std::string(kRules) + "[[class]]\nname = \"own-order\"\ntables = [\"orders\"]\n");
-    for (Host& host : rig.d.hosts) host.lag_ms = 60000, host.sqlstate_by_prefix = {{"UPDATE", ""}};
+    for (Host& host : rig.d.hosts) {
+        host.lag_ms = 60000;
+        host.sqlstate_by_prefix = {{"UPDATE", ""}};
+    }
     PgClient client(rig.d.loop, rig.d.pg.local()), other(rig.d.loop, rig.d.pg.local());
-    CHECK(client.ask("UPDATE orders SET a = 1") == "CZ");
+    CHECK(client.request("UPDATE orders SET a = 1") == "CZ");
     for (int i = 0; i < 8; ++i) {
-        CHECK(client.ask("SELECT a FROM orders") == "TDDCZ");
+        CHECK(client.request("SELECT a FROM orders") == "TDDCZ");
         CHECK(client.value == "primary");
     }
 }
 
-TEST_CASE(
-    "what a file of statements says of classes is checked against the settings, its bounds tighten theirs") {
+TEST_CASE("the classes of a statements file are checked against the settings, its bounds tighten theirs") {
     program::Config config;
     config.settings = settings();
     config.settings.classes[0].bound = 3s;
     config.classes = classes();
-    auto take = [&](const char* text) -> std::string {
+    auto load = [&](const char* text) -> std::string {
         try {
             program::take_statements(program::parse_statement_config(text, "f"), "f", config);
         } catch (const program::StatementConfigError& e) {
@@ -173,25 +176,27 @@
         }
         return "";
     };
-    CHECK(take("[[class]]\nname = \"nobody\"\nkinds = [\"read\"]\n").find("no class 'nobody'") !=
+    CHECK(load("[[class]]\nname = \"nobody\"\nkinds = [\"read\"]\n").find("no class 'nobody'") !=
           std::string::npos);
-    CHECK(take("[statements]\nwrite_class = \"stock-view\"\n").find("is none of writes") !=
+    CHECK(load("[statements]\nwrite_class = \"stock-view\"\n").find("is none of writes") !=
           std::string::npos);
-    CHECK(take("[statements]\nread_class = \"scan-write\"\n").find("is one of writes") != std::string::npos);
-    CHECK(take("[[class]]\nname = \"own-order\"\nbound = \"1s\"\n").find("bounded reads") !=
+    CHECK(load("[statements]\nread_class = \"scan-write\"\n").find("is one of writes") != std::string::npos);
+    CHECK(load("[[class]]\nname = \"own-order\"\nbound = \"1s\"\n").find("bounded reads") !=
           std::string::npos);
-    CHECK(take("[[class]]\nname = \"stock-view\"\nbound = \"5s\"\n") == "");
+    CHECK(load("[[class]]\nname = \"stock-view\"\nbound = \"5s\"\n") == "");
     CHECK(config.settings.classes[0].bound == 3s);
-    CHECK(take("[[class]]\nname = \"stock-view\"\nbound = \"2s\"\n") == "");
+    CHECK(load("[[class]]\nname = \"stock-view\"\nbound = \"2s\"\n") == "");
     CHECK(config.settings.classes[0].bound == 2s);
     config.members = program::Wire::rest;
-    CHECK(take("[statements]\nopen = true\n").find("members that speak REST") != std::string::npos);
+    CHECK(load("[statements]\nopen = true\n").find("members that speak REST") != std::string::npos);
 }
 
 TEST_CASE(
-    "rules read again while requests wait and are in hand: those keep their class, the next has the new") {
+    "rules reloaded while requests are queued and in flight: those keep their class, the next has the new") {
     auto limited = limits::Settings{};
-    limited.enabled = true, limited.trial = 1, limited.wait = 10s;
+    limited.enabled = true;
+    limited.trial = 1;
+    limited.wait = 10s;
     Rig rig(limited);
     for (Host& host : rig.d.hosts) host.duration_by_prefix = {{"SELECT a", 30ms}};
     PgClient one(rig.d.loop, rig.d.pg.local()), two(rig.d.loop, rig.d.pg.local());
@@ -200,17 +205,17 @@
     REQUIRE(rig.d.loop.until([&] { return rig.d.limited->limiter().queued() == 1; }));
     auto c = program::parse_statement_config(
         "[statements]\nopen = true\ngroup = 3\nwrite_class = \"log\"\n[[relation]]\nname = \"t\"\n", "t");
-    rig.judged.set(std::move(c.rules), {c.open, c.group, c.read_class, c.primary_class, c.write_class});
+    rig.statements_.set(std::move(c.rules), {c.open, c.group, c.read_class, c.primary_class, c.write_class});
     limited.work = 1ms;
     rig.d.limited->set(limited);
     CHECK(one.reply() == "TDDCZ");
     CHECK(two.reply() == "TDDCZ");
     CHECK(rig.d.replica_queries() == 2);
-    CHECK(one.ask("SELECT a FROM t") == "TDDCZ");
+    CHECK(one.request("SELECT a FROM t") == "TDDCZ");
     CHECK(rig.d.hosts[0].queries == 1);  // a relation with effects now
 }
 
-TEST_CASE("a connection that goes to another process keeps its user, and so its share") {
+TEST_CASE("a connection that is handed over to another process keeps its user, and so its share") {
     Rig rig(limits::Settings{});
     auto client = std::make_unique<PgClient>(rig.d.loop, rig.d.pg.local(), "rance");
     std::vector<routing::ClientHandover> parcels;
@@ -220,21 +225,25 @@
     }));
     CHECK(parcels[0].note == "rance");
     rig.d.pg.take_over(std::move(parcels[0]));
-    CHECK(client->ask("SELECT a FROM t") == "TDDCZ");
+    CHECK(client->request("SELECT a FROM t") == "TDDCZ");
     CHECK(rig.d.limited->limiter().top(1, limits::Time::max())[0].tenant == "rance");
 }
 
 limits::Settings by_cost() {
     limits::Settings s;
     s.enabled = true;
-    s.work = 400ms, s.wait = 150ms, s.queue = 64;
+    s.work = 400ms;
+    s.wait = 150ms;
+    s.queue = 64;
     s.shares = {{"vilaine", 0.5}, {"rance", 0.5}};
     return s;
 }
 
-TEST_CASE("limits: one final answer each, whatever leaves, waits or is refused; both fronts share them") {
+TEST_CASE("limits: one final answer each, whatever is closed, queued or rejected; both fronts share them") {
     auto limited = by_cost();
-    limited.work = 60ms, limited.queue = 4, limited.trial = 1;
+    limited.work = 60ms;
+    limited.queue = 4;
+    limited.trial = 1;
     Rig rig(limited);
     for (Host& host : rig.d.hosts) host.duration_by_prefix = {{"SELECT a", 5ms}, {"SELECT content", 5ms}};
     Dice dice(5);
@@ -250,11 +259,11 @@
         if (dice.below(2))
             clients.erase(clients.begin() + std::ptrdiff_t(dice.below(8)));  // waiting, or in hand
         for (auto& c : clients) {
-            std::string got = c->reply();
-            CHECK((got == "TDDCZ" || got == "EZ"));
-            if (got == "EZ") {
+            std::string reply = c->reply();
+            CHECK((reply == "TDDCZ" || reply == "EZ"));
+            if (reply == "EZ") {
                 CHECK(c->code == "53300");
-                CHECK(std::stoi(c->detail) >= 20);  // when to come back
+                CHECK(std::stoi(c->detail) >= 20);  // when to retry
             }
             rig.d.loop.settle();
             CHECK(c->in.empty());  // and no second answer
@@ -266,10 +275,11 @@
     CHECK(rig.d.limited->limiter().work_in_flight(3) == limits::Duration::zero());
 }
 
-TEST_CASE(
-    "a request that is cancelled while it waits gives its place back, and one of its id may come again") {
+TEST_CASE("a request that is cancelled while queued releases its place, and its id may be used again") {
     auto limited = by_cost();
-    limited.work = 20ms, limited.wait = 10s, limited.trial = 1;
+    limited.work = 20ms;
+    limited.wait = 10s;
+    limited.trial = 1;
     Rig rig(limited);
     for (Host& host : rig.d.hosts) host.silent = true;
     PgClient first(rig.d.loop, rig.d.pg.local());
@@ -291,7 +301,7 @@
 
 // Hosts of two cores each. One laundry sends a costly stock query at five times its share; housekeepers of
 // another read their orders. Returns the part of those reads that were answered within 200 ms.
-double orders_in_time(bool costly, bool limited, int* refused = nullptr) {
+double orders_in_time(bool costly, bool limited, int* rejected = nullptr) {
     std::string rules = std::string(kRules) + "[[class]]\nname = \"own-order\"\ntables = [\"orders\"]\n";
     auto s = by_cost();
     s.work = 240ms, s.costly = 100ms;  // six cores, each with some 40 ms before it
@@ -301,50 +311,52 @@
         host.cores = 2;
         host.duration_by_prefix = {{"SELECT a FROM orders", 15ms}, {"SELECT sum", 250ms}};
     }
-    std::vector<std::unique_ptr<PgClient>> readers, hogs;
+    std::vector<std::unique_ptr<PgClient>> readers, costly_clients;
     for (int i = 0; i < 6; ++i)
         readers.push_back(std::make_unique<PgClient>(rig.d.loop, rig.d.pg.local(), "vilaine"));
     if (costly)
         for (int i = 0; i < 40; ++i)
-            hogs.push_back(std::make_unique<PgClient>(rig.d.loop, rig.d.pg.local(), "rance"));
+            costly_clients.push_back(std::make_unique<PgClient>(rig.d.loop, rig.d.pg.local(), "rance"));
     auto sent = std::vector<std::chrono::steady_clock::time_point>(readers.size());
     int in_time = 0, all = 0;
     auto began = std::chrono::steady_clock::now();
-    auto ask = [&](PgClient& c, const char* sql) {
+    auto send = [&](PgClient& c, const char* sql) {
         c.in.clear();
         c.send(pg::Writer().query(sql).take());
     };
-    auto over = [](Client& c) {
+    auto answered = [](Client& c) {
         return c.in.size() >= 6 && c.in.compare(c.in.size() - 6, 6, std::string("Z\0\0\0\5I", 6)) == 0;
     };
-    for (auto& h : hogs) ask(*h, "SELECT sum(pieces) FROM bags b JOIN rounds r ON true");
-    std::vector<std::chrono::steady_clock::time_point> next(hogs.size(), began);
-    for (std::size_t i = 0; i < readers.size(); ++i)
-        ask(*readers[i], "SELECT a FROM orders WHERE h = 1"), sent[i] = began;
+    for (auto& h : costly_clients) send(*h, "SELECT sum(pieces) FROM bags b JOIN rounds r ON true");
+    std::vector<std::chrono::steady_clock::time_point> next(costly_clients.size(), began);
+    for (std::size_t i = 0; i < readers.size(); ++i) {
+        send(*readers[i], "SELECT a FROM orders WHERE h = 1");
+        sent[i] = began;
+    }
     auto measured = began + 1500ms, end = began + 4500ms;
     rig.d.loop.until([&] {
         auto now = std::chrono::steady_clock::now();
-        for (std::size_t i = 0; i < hogs.size(); ++i)
-            if (over(*hogs[i])) {
-                if (hogs[i]->in[0] == 'E' && refused) ++*refused;
-                hogs[i]->in.clear();
-                next[i] = now + 20ms;  // comes again soon, whatever it is told
-            } else if (hogs[i]->in.empty() && now >= next[i] && next[i] != began) {
-                ask(*hogs[i], "SELECT sum(pieces) FROM bags b JOIN rounds r ON true");
+        for (std::size_t i = 0; i < costly_clients.size(); ++i)
+            if (answered(*costly_clients[i])) {
+                if (costly_clients[i]->in[0] == 'E' && rejected) ++*rejected;
+                costly_clients[i]->in.clear();
+                next[i] = now + 20ms;  // retries soon, whatever the answer
+            } else if (costly_clients[i]->in.empty() && now >= next[i] && next[i] != began) {
+                send(*costly_clients[i], "SELECT sum(pieces) FROM bags b JOIN rounds r ON true");
                 next[i] = began;
             }
         for (std::size_t i = 0; i < readers.size(); ++i)
-            if (over(*readers[i])) {
+            if (answered(*readers[i])) {
                 if (sent[i] > measured) {
                     ++all;
                     in_time += readers[i]->in[0] == 'T' && now - sent[i] <= 200ms;
                 }
-                ask(*readers[i], "SELECT a FROM orders WHERE h = 1");
+                send(*readers[i], "SELECT a FROM orders WHERE h = 1");
                 sent[i] = now;
             }
         return now > end;
     });
-    // Whoever has no answer yet after that time counts as late.
+    // Reads without an answer after that time count as late.
     for (auto& at : sent) all += std::chrono::steady_clock::now() - at > 200ms;
     MESSAGE((limited ? "limits on" : "limits off"), (costly ? ", crowded: " : ", alone: "), in_time, " of ",
             all);
@@ -356,9 +368,9 @@
 TEST_CASE("crowding: own-order reads within 200 ms keep 95% beside a costly shape at five times its share" *
           doctest::skip()) {
     double alone = orders_in_time(false, false), off = orders_in_time(true, false);
-    int refused = 0;
-    double on = orders_in_time(true, true, &refused);
-    MESSAGE("alone ", alone, ", crowded with limits off ", off, ", on ", on, ", refused at once ", refused);
+    int rejected = 0;
+    double on = orders_in_time(true, true, &rejected);
+    MESSAGE("alone ", alone, ", crowded with limits off ", off, ", on ", on, ", refused at once ", rejected);
     CHECK(on >= 0.95 * alone);
     CHECK(off < on);
 }
--- a/tests/adapters/peer_link_test.cpp
+++ b/tests/adapters/peer_link_test.cpp
@@ -1,5 +1,5 @@
-// Datagrams between poolers: what is malformed, foreign, doubled or overtaken goes no further, and what is
-// heard is worth a look of one's own, no more.
+// Datagrams between poolers: malformed, foreign, duplicated or overtaken ones are dropped, and gossip that is
+// received leads to a health check, no more.
 #define XXH_INLINE_ALL
 #include "adapters/peer_link.hpp"
 
@@ -37,16 +37,17 @@
     for (std::size_t i = 0; i < whole.size(); ++i) CHECK_FALSE(peer::read(whole.substr(0, i)));
     CHECK_FALSE(peer::read(whole + '\0'));
     m.primaries.assign(40, {1, -5, std::string(64, 'u')});
-    m.primaries.insert(m.primaries.begin(), {1, 2, std::string(65, 'u')});  // can't be written, and is let go
-    std::size_t told = 0;
+    m.primaries.insert(m.primaries.begin(),
+                       {1, 2, std::string(65, 'u')});  // can't be written, and is dropped
+    std::size_t reported = 0;
     while (!m.primaries.empty()) {
         std::string part = peer::write(m);
         CHECK(part.size() <= peer::kLargest);
         auto back = peer::read(part);
         REQUIRE(back);
-        told += back->primaries.size();
+        reported += back->primaries.size();
     }
-    CHECK(told == 40);
+    CHECK(reported == 40);
 }
 
 TEST_CASE("peer messages: random bytes with a good sum are read or not, and never beyond their end") {
@@ -69,79 +70,83 @@
     CHECK(dropped > 100);
 }
 
-struct Two {
+struct PeerLinkRig {
     Loop loop;
-    std::vector<peer::Primary> heard;
+    std::vector<peer::Primary> received;
     udp::socket other{loop.io, udp::endpoint(boost::asio::ip::address_v4::loopback(), 0)};
     std::unique_ptr<PeerLink> link;
-    Two() {
+    PeerLinkRig() {
         adapters::PeerOptions o;
         o.listen = udp::endpoint(boost::asio::ip::address_v4::loopback(), 0);
         o.peers = {other.local_endpoint()};
         o.cluster = peer::cluster_number("a");
         o.incarnation = 9;
-        o.again = 1ms, o.gather = 1ms;
-        link = std::make_unique<PeerLink>(loop.io, o, [this](const peer::Primary& p) { heard.push_back(p); });
+        o.again = 1ms;
+        o.gather = 1ms;
+        link =
+            std::make_unique<PeerLink>(loop.io, o, [this](const peer::Primary& p) { received.push_back(p); });
         other.non_blocking(true);
     }
-    std::uint64_t seen() const {
+    std::uint64_t processed() const {
         const auto& c = link->counts();
         return c.accepted + c.malformed + c.foreign + c.old;
     }
-    void give(const std::string& datagram, udp::socket& from) {
-        std::uint64_t before = seen();
+    void deliver(const std::string& datagram, udp::socket& from) {
+        std::uint64_t before = processed();
         from.send_to(boost::asio::buffer(datagram), link->local());
-        REQUIRE(loop.until([&] { return seen() > before; }));
+        REQUIRE(loop.until([&] { return processed() > before; }));
     }
 };
 
 TEST_CASE("a peer link drops what is malformed, foreign, doubled or overtaken, and counts it") {
-    Two t;
-    udp::socket stranger(t.loop.io, udp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
-    t.give(bytes(message(5)), t.other);
-    CHECK(t.heard == message().primaries);
-    t.give(bytes(message(5)), t.other);  // doubled
-    t.give(bytes(message(4)), t.other);  // overtaken
-    CHECK(t.link->counts().old == 2);
-    t.give(bytes(message(6)), stranger);
+    PeerLinkRig rig;
+    udp::socket stranger(rig.loop.io, udp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
+    rig.deliver(bytes(message(5)), rig.other);
+    CHECK(rig.received == message().primaries);
+    rig.deliver(bytes(message(5)), rig.other);  // doubled
+    rig.deliver(bytes(message(4)), rig.other);  // overtaken
+    CHECK(rig.link->counts().old == 2);
+    rig.deliver(bytes(message(6)), stranger);
     peer::Message elsewhere = message(6);
     elsewhere.cluster = peer::cluster_number("b");
-    t.give(bytes(elsewhere), t.other);
-    CHECK(t.link->counts().foreign == 2);
-    t.give("IV", t.other);
-    t.give(std::string(300, 'x'), t.other);
-    CHECK(t.link->counts().malformed == 2);
-    CHECK(t.heard.size() == 1);
-    t.give(bytes(message(1, 8)), t.other);  // the sender has started again
-    CHECK(t.heard.size() == 2);
+    rig.deliver(bytes(elsewhere), rig.other);
+    CHECK(rig.link->counts().foreign == 2);
+    rig.deliver("IV", rig.other);
+    rig.deliver(std::string(300, 'x'), rig.other);
+    CHECK(rig.link->counts().malformed == 2);
+    CHECK(rig.received.size() == 1);
+    rig.deliver(bytes(message(1, 8)), rig.other);  // the sender has started again
+    CHECK(rig.received.size() == 2);
 }
 
-TEST_CASE("a peer link tells its news twice, of a group the newest, and goes on when nobody listens") {
-    Two t;
-    t.link->tell({3, 1, "old"});
-    t.link->tell({3, 2, "new"});
-    std::vector<peer::Message> got;
+TEST_CASE(
+    "a peer link sends each change twice, the newest of a group only, and goes on when nobody receives") {
+    PeerLinkRig rig;
+    rig.link->tell({3, 1, "old"});
+    rig.link->tell({3, 2, "new"});
+    std::vector<peer::Message> messages;
     auto more = [&] {
         char buffer[300];
         boost::system::error_code ec;
         udp::endpoint from;
-        std::size_t n = t.other.receive_from(boost::asio::buffer(buffer), from, 0, ec);
-        if (!ec) got.push_back(*peer::read({buffer, n}));
-        return got.size() == 2;
+        std::size_t n = rig.other.receive_from(boost::asio::buffer(buffer), from, 0, ec);
+        if (!ec) messages.push_back(*peer::read({buffer, n}));
+        return messages.size() == 2;
     };
-    REQUIRE(t.loop.until(more));
-    for (const auto& m : got) CHECK(m.primaries == std::vector<peer::Primary>{{3, 2, "new"}});
-    CHECK(got[1].number > got[0].number);
-    t.other.close();
-    std::uint64_t before = t.link->counts().sent + t.link->counts().dropped;
-    t.link->tell({3, 3, "newer"});
-    REQUIRE(t.loop.until([&] { return t.link->counts().sent + t.link->counts().dropped >= before + 2; }));
+    REQUIRE(rig.loop.until(more));
+    for (const auto& m : messages) CHECK(m.primaries == std::vector<peer::Primary>{{3, 2, "new"}});
+    CHECK(messages[1].number > messages[0].number);
+    rig.other.close();
+    std::uint64_t before = rig.link->counts().sent + rig.link->counts().dropped;
+    rig.link->tell({3, 3, "newer"});
+    REQUIRE(
+        rig.loop.until([&] { return rig.link->counts().sent + rig.link->counts().dropped >= before + 2; }));
 }
 
-TEST_CASE("a core tells of a change of primary once, and what it hears makes it look, no more") {
+TEST_CASE("a core reports a change of primary once, and gossip makes it send a health check, no more") {
     Deployment<adapters::PgBackend, PgHost> d;
-    std::vector<std::string> told;
-    d.core.on_primary([&](const EndpointInfo& m, routing::Time) { told.push_back(m.uid); });
+    std::vector<std::string> reported;
+    d.core.on_primary([&](const EndpointInfo& m, routing::Time) { reported.push_back(m.uid); });
     auto now = [&] { return d.clock.to_unix(d.clock.now()); };
     CHECK_FALSE(d.core.on_primary_gossip("nobody", 3, now()));
     CHECK_FALSE(d.core.on_primary_gossip("m1", 4, now()));               // of another group
@@ -150,22 +155,24 @@
     int before = d.hosts[1].probes;
     CHECK(d.core.on_primary_gossip("m1", 3, now()));
     REQUIRE(d.loop.until([&] { return d.hosts[1].probes > before; }));
-    CHECK(told.empty());  // it has seen nothing itself
-    // The first that it sees for itself is no news, another after it is.
-    d.hosts[0].primary = false, d.hosts[1].primary = true;
+    CHECK(reported.empty());  // it has no evidence of its own
+    // The first primary that it sees itself is no change, the next one is.
+    d.hosts[0].primary = false;
+    d.hosts[1].primary = true;
     before = d.hosts[1].probes;
     CHECK(d.core.on_primary_gossip("m1", 3, now()));
     REQUIRE(d.loop.until([&] { return d.hosts[1].probes > before; }));
-    std::this_thread::sleep_for(5ms);  // a report tells whole milliseconds, and a newer one is wanted
+    std::this_thread::sleep_for(5ms);  // a report has milliseconds, and the next is to be newer
     d.loop.settle();
-    d.hosts[1].primary = false, d.hosts[2].primary = true;
+    d.hosts[1].primary = false;
+    d.hosts[2].primary = true;
     before = d.hosts[2].probes;
     CHECK(d.core.on_primary_gossip("m2", 3, now()));
-    REQUIRE(d.loop.until([&] { return !told.empty(); }));
-    CHECK(told == std::vector<std::string>{"m2"});
+    REQUIRE(d.loop.until([&] { return !reported.empty(); }));
+    CHECK(reported == std::vector<std::string>{"m2"});
 }
 
-TEST_CASE("configuration: peers are taken where the platform permits and names them") {
+TEST_CASE("configuration: peers are used where the platform permits and names them") {
     std::string start = R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:2","peer_listen":"127.0.0.1:9",)",
                 end = R"(,"settings":{"allowed":{"peerMessages":true}}})";
     auto config = program::parse_platform_config(start + R"("peers":["127.0.0.1:8","127.0.0.1:9"])" + end);
@@ -174,13 +181,13 @@
     CHECK(config.peering->cluster == "a");
     auto named = program::parse_platform_config(start + R"("peers":{"n1":"127.0.0.1:8","n2":17})" + end);
     CHECK(named.peers.size() == 1);
-    auto refused = [&](const std::string& text) {
+    auto expect_rejected = [&](const std::string& text) {
         auto bad = program::parse_platform_config(text);
         CHECK_THROWS_AS(program::take_peers({"a"}, "f", bad), program::ConfigError);
     };
-    refused(start + R"("peers":[])" + end);
-    refused(start + R"("peers":"127.0.0.1:8")" + end);
-    refused(start + R"("peers":["127.0.0.1:8"],"settings":{}})");
+    expect_rejected(start + R"("peers":[])" + end);
+    expect_rejected(start + R"("peers":"127.0.0.1:8")" + end);
+    expect_rejected(start + R"("peers":["127.0.0.1:8"],"settings":{}})");
     CHECK_THROWS_AS(program::parse_peer_config("[peers]\nclustre = \"a\"", "f"), program::FileError);
     CHECK_THROWS_AS(program::parse_peer_config("[peers]\ncluster = \"a\"\nagain = \"0ms\"", "f"),
                     program::FileError);
--- a/tests/adapters/pg_backend_test.cpp
+++ b/tests/adapters/pg_backend_test.cpp
@@ -1,4 +1,5 @@
-// A link to a member against a model of the answers it may give: whatever differs is spoilt.
+// A connection to a PostgreSQL host against a model of the answers it may give: whatever differs is
+// malformed.
 #include "adapters/pg_backend.hpp"
 
 #include "support/harness.hpp"
@@ -9,7 +10,7 @@
 using policy::AttemptStatus;
 using routing::BackendConnection;
 
-// Welcomes, then answers each query with the bytes it is told.
+// Completes the startup, then answers each query with the scripted bytes.
 struct Script : PgStandIn {
     using PgStandIn::PgStandIn;
     bool take(Peer& peer, transport::Buffer& in, std::string& out) override {
@@ -21,7 +22,7 @@
 };
 
 struct LinkRig : BackendConnection::Owner {
-    explicit LinkRig(std::string reply = "") : host(loop, manners), backend(loop.io) {
+    explicit LinkRig(std::string reply = "") : host(loop, data), backend(loop.io) {
         host.reply = std::move(reply);
         link = backend.open(host.address(), 10s, *this);
     }
@@ -30,16 +31,16 @@
     void on_begun(BackendConnection&, const routing::Answer&, std::size_t length) override { begun = length; }
     bool on_piece(BackendConnection&, std::string_view bytes) override {
         pieces += bytes;
-        return room > pieces.size();
+        return capacity > pieces.size();
     }
     std::optional<std::size_t> begun;
     std::string pieces;
-    std::size_t room = std::size_t(-1);
+    std::size_t capacity = std::size_t(-1);
     void on_end(BackendConnection&, BackendConnection::End e) override { ended = e; }
-    bool over() const { return result || ended; }
+    bool done() const { return result || ended; }
     // One query's result; none where the link ended without.
-    std::optional<routing::AttemptResult> ask(const std::string& reply, bool probe = false,
-                                              bool in_pieces = false) {
+    std::optional<routing::AttemptResult> request(const std::string& reply, bool probe = false,
+                                                  bool in_pieces = false) {
         host.reply = reply;
         result.reset();
         REQUIRE(loop.until([&] { return ready || ended; }));
@@ -52,16 +53,16 @@
         else
             link->submit(item, 4s, std::nullopt);
         REQUIRE(loop.until([&] {
-            if (!over() && pieces.size() >= room) {  // the client has read what there was
-                room = pieces.size() + 30000;
+            if (!done() && pieces.size() >= capacity) {  // the client has read what there was
+                capacity = pieces.size() + 30000;
                 link->resume();
             }
-            return over();
+            return done();
         }));
         return result;
     }
     Loop loop;
-    Host manners;
+    Host data;
     Script host;
     adapters::PgBackend backend;
     std::shared_ptr<BackendConnection> link;
@@ -88,68 +89,87 @@
     return out;
 }
 
+// The messages of an answer after one random change.
+struct ChangedAnswer {
+    std::vector<std::string> parts;
+    bool more_behind = false;  // something follows the answer
+};
+ChangedAnswer change(const std::vector<std::string>& complete, Dice& dice) {
+    ChangedAnswer changed{complete};
+    auto& parts = changed.parts;
+    const std::size_t at = dice.below(parts.size());
+    const std::size_t other = dice.below(parts.size());
+    switch (dice.below(8)) {
+        case 0:
+            parts.erase(parts.begin() + std::ptrdiff_t(at));
+            break;
+        case 1:
+            parts.insert(parts.begin() + std::ptrdiff_t(at), parts[other]);
+            break;
+        case 2:
+            std::swap(parts[at], parts[other]);
+            break;
+        case 3:  // a length that does not fit, up to gigabytes
+            parts[at][1 + dice.below(4)] ^= char(1 + dice.below(255));
+            break;
+        case 4:
+            parts[at] = "-ERR nonsense\r\n";
+            break;
+        case 5:
+            changed.more_behind = true;
+            break;
+        default:
+            break;
+    }
+    return changed;
+}
+
+// Whether the messages up to the first ReadyForQuery are the complete answer. A ParameterStatus may be
+// anywhere in it, or nowhere.
+bool begins_with_answer(const std::vector<std::string>& parts, std::vector<std::string> complete,
+                        bool& more_behind) {
+    const std::string parameter = complete[3];
+    const std::string ready = complete[4];
+    auto first_end = std::find(parts.begin(), parts.end(), ready);
+    if (first_end != parts.end()) ++first_end;
+    more_behind = more_behind || first_end != parts.end();
+    std::vector<std::string> answer(parts.begin(), first_end);
+    std::erase(answer, parameter);
+    std::erase(complete, parameter);
+    return answer == complete;
+}
+
 TEST_CASE("pg links: an answer in disorder is a failed attempt, one with more behind it counts") {
     Dice dice(41);
-    LinkRig* rig = nullptr;
-    std::unique_ptr<LinkRig> kept;
-    int fine = 0, malformed = 0;
+    std::unique_ptr<LinkRig> rig;
+    int well_formed = 0;
+    int malformed = 0;
     for (int round = 0; round < 300; ++round) {
-        if (!rig) kept = std::make_unique<LinkRig>(), rig = kept.get();
-        std::string value = std::to_string(round) + std::string(dice.below(3) * 3000, 'v');
-        auto parts = good(value);
-        const auto whole = parts;
-        std::size_t at = dice.below(parts.size()), other = dice.below(parts.size());
-        bool behind = false, trailing = false;
-        switch (dice.below(8)) {
-            case 0:
-                parts.erase(parts.begin() + std::ptrdiff_t(at));
-                break;
-            case 1:
-                parts.insert(parts.begin() + std::ptrdiff_t(at), parts[other]);
-                break;
-            case 2:
-                std::swap(parts[at], parts[other]);
-                break;
-            case 3:  // a length that does not fit, up to gigabytes
-                parts[at][1 + dice.below(4)] ^= char(1 + dice.below(255));
-                break;
-            case 4:
-                parts[at] = "-ERR nonsense\r\n";
-                break;
-            case 5:  // a second copy behind, or noise
-                behind = true;
-                trailing = true;
-                break;
-            default:
-                break;
-        }
-        // What ends with the first ReadyForQuery is the answer; the rest stands behind it. A parameter may be
-        // anywhere in it, or nowhere.
-        auto first_end = std::find(parts.begin(), parts.end(), whole[4]);
-        if (first_end != parts.end()) ++first_end;
-        std::vector<std::string> answer(parts.begin(), first_end), core = whole;
-        trailing = trailing || first_end != parts.end();
-        std::erase(answer, whole[3]), std::erase(core, whole[3]);
-        bool as_it_should = answer == core;
-        std::string bytes = joined(parts);
-        if (behind) bytes += dice.below(2) ? joined(whole) : "noise";
-        auto r = rig->ask(bytes);
-        REQUIRE(r);
-        if (as_it_should) {
-            ++fine;
-            CHECK(r->status == AttemptStatus::ok);
-            REQUIRE(r->answer.rows.size() == 1);
-            CHECK(r->answer.rows[0].content == value);
-            if (trailing) CHECK(rig->loop.until([&] { return !r->reusable || rig->ended; }));
+        if (!rig) rig = std::make_unique<LinkRig>();
+        const std::string value = std::to_string(round) + std::string(dice.below(3) * 3000, 'v');
+        const auto complete = good(value);
+        const ChangedAnswer changed = change(complete, dice);
+        bool trailing = changed.more_behind;
+        const bool expect_ok = begins_with_answer(changed.parts, complete, trailing);
+        std::string bytes = joined(changed.parts);
+        if (changed.more_behind) bytes += dice.below(2) ? joined(complete) : "noise";
+        auto result = rig->request(bytes);
+        REQUIRE(result);
+        if (expect_ok) {
+            ++well_formed;
+            CHECK(result->status == AttemptStatus::ok);
+            REQUIRE(result->answer.rows.size() == 1);
+            CHECK(result->answer.rows[0].content == value);
+            if (trailing) CHECK(rig->loop.until([&] { return !result->reusable || rig->ended; }));
         } else {
             ++malformed;
-            CHECK(r->status == AttemptStatus::error);
-            CHECK(r->answer.rows.empty());
-            CHECK(!r->position_unix_us);
+            CHECK(result->status == AttemptStatus::error);
+            CHECK(result->answer.rows.empty());
+            CHECK(!result->position_unix_us);
         }
-        if (!as_it_should || trailing) rig = nullptr;
+        if (!expect_ok || trailing) rig.reset();
     }
-    CHECK(fine > 50);
+    CHECK(well_formed > 50);
     CHECK(malformed > 50);
 }
 
@@ -167,7 +187,7 @@
           head + row(std::string(1 << 20, 'a')),  // never ends
           pg::Writer().plain('E', "nonsense").ready().take(), std::string("noise\r\nnoise\r\n")}) {
         LinkRig rig;
-        auto r = rig.ask(bytes);
+        auto r = rig.request(bytes);
         REQUIRE(r);
         CHECK(r->status == AttemptStatus::error);
         CHECK(r->malformed);
@@ -188,7 +208,7 @@
           with("recovery", "maybe"),
           joined({whole[0], whole[1], whole[2],
                   pg::Writer().plain('S', std::string("health\0no end", 13)).take(), whole[4]})}) {
-        auto r = rig.ask(bytes);
+        auto r = rig.request(bytes);
         REQUIRE(r);
         CHECK(r->status == AttemptStatus::ok);
         CHECK(r->reusable);
@@ -196,7 +216,7 @@
         CHECK(!r->position_unix_us);
         CHECK(!r->role);
     }
-    auto r = rig.ask(with("health", "inflight=7,x0=1767225600.5"));
+    auto r = rig.request(with("health", "inflight=7,x0=1767225600.5"));
     CHECK(r->report.in_flight == 7.0);
     std::string probe = pg::Writer()
                             .row_description({{"health", 25, false}})
@@ -204,7 +224,7 @@
                             .complete("SHOW")
                             .ready()
                             .take();
-    r = rig.ask(probe, true);
+    r = rig.request(probe, true);
     CHECK(r->status == AttemptStatus::ok);
     CHECK(r->report.in_flight == 3.0);
 }
@@ -212,23 +232,24 @@
 TEST_CASE("pg links: a value of some hundred KiB is an answer like any other") {
     LinkRig rig;
     std::string value(400000, 'v');
-    auto r = rig.ask(joined(good(value)));
+    auto r = rig.request(joined(good(value)));
     REQUIRE(r);
     CHECK(r->status == AttemptStatus::ok);
     CHECK(r->answer.rows.at(0).content == value);
     CHECK(r->reusable);
 }
 
-// The model of a long value: so much has come, so much is to come, and nothing comes while there is no room.
-TEST_CASE("pg links: a long value comes in pieces, no more than there is room for, and ends like any other") {
+// The model of a long value: it is received in pieces, and nothing is read while there is no capacity.
+TEST_CASE(
+    "pg links: a long value is received in pieces, no more than the capacity, and ends like any other") {
     Dice dice(12);
     LinkRig rig;
     for (int round = 0; round < 40; ++round) {
         std::string value(dice.below(300000), 'a');
         for (std::size_t i = 0; i < value.size(); i += 97) value[i] = char(dice.below(256));
         bool limited = dice.below(2);
-        rig.room = limited ? 20000 : std::size_t(-1);
-        auto r = rig.ask(joined(good(value)), false, true);
+        rig.capacity = limited ? 20000 : std::size_t(-1);
+        auto r = rig.request(joined(good(value)), false, true);
         REQUIRE(r);
         CHECK(r->status == AttemptStatus::ok);
         CHECK(r->reusable);
@@ -238,14 +259,14 @@
         CHECK(r->answer.rows.empty() == is_long);
         CHECK((is_long ? rig.pieces : r->answer.rows.at(0).content) == value);
     }
-    rig.room = std::size_t(-1);
-    CHECK(rig.ask(joined(good(std::string(4 << 20, 'x'))), false, true)->status == AttemptStatus::ok);
+    rig.capacity = std::size_t(-1);
+    CHECK(rig.request(joined(good(std::string(4 << 20, 'x'))), false, true)->status == AttemptStatus::ok);
     CHECK(rig.pieces.size() == 4 << 20);
 }
 
-TEST_CASE("pg links: a link that has no room reads no further") {
+TEST_CASE("pg links: a link without capacity reads no further") {
     LinkRig rig;
-    rig.room = 1;
+    rig.capacity = 1;
     rig.host.reply = joined(good(std::string(4 << 20, 'x')));
     REQUIRE(rig.loop.until([&] { return rig.ready; }));
     routing::ClientRequest item;
@@ -257,14 +278,14 @@
     rig.link->resume();
     rig.loop.settle();
     CHECK(rig.pieces.size() < 2 * 65536);
-    CHECK(!rig.over());
+    CHECK(!rig.done());
 }
 
 TEST_CASE("pg links: a long value that breaks off or does not fit is none") {
     auto parts = good(std::string(200000, 'v'));
     auto malformed = [&](std::string reply, bool begins) {
         LinkRig rig;
-        auto r = rig.ask(std::move(reply), false, true);
+        auto r = rig.request(std::move(reply), false, true);
         REQUIRE(r);
         CHECK(r->status == AttemptStatus::error);
         CHECK(r->malformed);
@@ -286,7 +307,7 @@
     rig.link->submit(item, 4s, std::nullopt);
     REQUIRE(rig.loop.until([&] { return rig.pieces.size() == 100000 - 11; }));
     rig.host.drop_all();
-    REQUIRE(rig.loop.until([&] { return rig.over(); }));
+    REQUIRE(rig.loop.until([&] { return rig.done(); }));
     CHECK(rig.ended == BackendConnection::End::written);
 }
 
@@ -302,7 +323,7 @@
     rig.host.welcome += "noise";
     REQUIRE(rig.loop.until([&] { return rig.ended.has_value(); }));
     LinkRig closing;
-    REQUIRE(closing.ask(joined(good("v")))->reusable);
+    REQUIRE(closing.request(joined(good("v")))->reusable);
     CHECK(closing.link->quiet());
     closing.host.drop_all();
     CHECK(closing.loop.until([&] { return !closing.link->quiet(); }));
--- a/tests/processes/execution_test.cpp
+++ b/tests/processes/execution_test.cpp
@@ -1,6 +1,6 @@
-// Real processes of the program before hosts whose answers prove that a statement ran, and that tell
-// something else as well: data older than the read needs, or a refusal behind the row. What ran is not run
-// again where its class does not allow it (docs/incidents/2026-12-02-repeated-session-reads.md).
+// Real processes of the program before hosts whose answers prove that a statement ran, and report something
+// else as well: data older than the read needs, or an error behind the row. An executed statement is not
+// retried where its class does not allow it (docs/incidents/2026-12-02-repeated-session-reads.md).
 #include "processes/small_deployment.hpp"
 
 namespace indigovane::testing {
@@ -19,12 +19,13 @@
         auto client = d.client(pooler);
         for (int n = 0; n < 40; ++n) {
             int session = 1 + n % 20;
-            // At first right after the write; then once hosts count as having heard of it.
-            if (n < 20) REQUIRE(d.ask(*client, true, session) == "TDCZ");
+            // First right after the write, then once its commit counts as replicated.
+            if (n < 20) REQUIRE(d.request(*client, true, session) == "TDCZ");
             if (n == 20) d.wait(300ms);
-            std::string reply = d.ask(*client, false, session);
+            std::string reply = d.request(*client, false, session);
             CHECK(d.sent_to() == 1);
-            // Old data is not passed on, and what has run is not refused: that would promise no effect.
+            // Stale data is not forwarded, and an executed statement not rejected: that would promise no
+            // effect.
             if (reply != "TDCZ") CHECK(reply == "EZ");
             if (reply != "TDCZ") CHECK(!is_refusal(client->code));
         }
@@ -39,7 +40,7 @@
         auto client = d.client(0);
         for (int session = 1; session <= 5; ++session) {
             for (bool write : {true, false}) {
-                CHECK(d.ask(*client, write, session) == "EZ");
+                CHECK(d.request(*client, write, session) == "EZ");
                 CHECK(!is_refusal(client->code));
                 CHECK(d.sent_to() == 1);
             }
--- a/tests/processes/harness.hpp
+++ b/tests/processes/harness.hpp
@@ -1,5 +1,5 @@
-// Several real processes of the program on loopback, stand-in hosts of ours, and relays between them that
-// follow a script of faults. No verdict hangs on the clock: what is waited for comes, or the test has failed.
+// Several real processes of the program on loopback, stand-in hosts, and relays between them that inject
+// scripted faults. No result depends on the clock: what is waited for happens, or the test fails.
 #pragma once
 
 #include <signal.h>
@@ -34,19 +34,19 @@
         posix_spawn_file_actions_init(&actions);
         posix_spawn_file_actions_addopen(&actions, 1, log_.c_str(), O_WRONLY | O_CREAT | O_TRUNC, 0600);
         posix_spawn_file_actions_adddup2(&actions, 1, 2);
-        // Else it would hold the test's own connections open after the test has closed them.
+        // Inherited descriptors would keep the test's own connections open after the test has closed them.
         posix_spawn_file_actions_addclosefrom_np(&actions, 3);
-        std::vector<char*> words{const_cast<char*>(PROGRAM)};
-        for (const std::string& a : arguments) words.push_back(const_cast<char*>(a.c_str()));
-        words.push_back(nullptr);
-        // What a pooler leaves in its scratch folder for its heirs is its test's alone.
+        std::vector<char*> argv{const_cast<char*>(PROGRAM)};
+        for (const std::string& a : arguments) argv.push_back(const_cast<char*>(a.c_str()));
+        argv.push_back(nullptr);
+        // Each test has its own TMPDIR: a pooler leaves its handover files there.
         std::string scratch = "TMPDIR=" + folder;
         std::vector<char*> variables{scratch.data()};
         for (std::string& variable : environment) variables.push_back(variable.data());
         for (char** v = environ; *v; ++v)
             if (std::string_view(*v).substr(0, 7) != "TMPDIR=") variables.push_back(*v);
         variables.push_back(nullptr);
-        REQUIRE(posix_spawn(&pid_, PROGRAM, &actions, nullptr, words.data(), variables.data()) == 0);
+        REQUIRE(posix_spawn(&pid_, PROGRAM, &actions, nullptr, argv.data(), variables.data()) == 0);
         posix_spawn_file_actions_destroy(&actions);
     }
     ~Process() { end(SIGKILL); }
@@ -77,21 +77,21 @@
         text << in.rdbuf();
         return text.str();
     }
-    // How many lines hold all of the words.
-    int said(std::initializer_list<std::string_view> words) const {
+    // How many lines of the log contain all of `parts`.
+    int said(std::initializer_list<std::string_view> parts) const {
         std::istringstream lines(log());
         int count = 0;
         for (std::string line; std::getline(lines, line);)
-            count += std::all_of(words.begin(), words.end(),
-                                 [&](auto w) { return line.find(w) != std::string::npos; });
+            count += std::all_of(parts.begin(), parts.end(),
+                                 [&](auto part) { return line.find(part) != std::string::npos; });
         return count;
     }
-    // The port that a line of the log with these words tells, 0: none yet.
-    unsigned short port(std::string_view words) const {
+    // The port in the first line of the log that contains `part`, 0: none yet.
+    unsigned short port(std::string_view part) const {
         std::istringstream lines(log());
         for (std::string line; std::getline(lines, line);)
             if (auto at = line.find("at=\"127.0.0.1:");
-                line.find(words) != std::string::npos && at != std::string::npos)
+                line.find(part) != std::string::npos && at != std::string::npos)
                 return static_cast<unsigned short>(std::atoi(line.c_str() + at + 14));
         return 0;
     }
@@ -101,11 +101,11 @@
     pid_t pid_ = -1;
 };
 
-// What befalls datagrams on one way.
+// Faults of the datagrams from one pooler to another.
 struct Fault {
     bool drop = false;
-    int copies = 1;
-    bool hold = false;  // keeps them until `release`, which sends the last first
+    int deliveries = 1;
+    bool queue = false;  // until `release`, which sends the last first
 };
 
 // Carries datagrams between poolers. Each ordered pair has a socket here: what i sends to its address of j
@@ -125,12 +125,12 @@
     void all(Fault fault) {
         for (auto& w : ways_) w->fault = fault;
     }
-    std::size_t held(std::size_t from, std::size_t to) { return way(from, to).kept.size(); }
+    std::size_t queued(std::size_t from, std::size_t to) { return way(from, to).queued.size(); }
     std::size_t passed(std::size_t from, std::size_t to) { return way(from, to).passed; }
     void release(std::size_t from, std::size_t to) {
         Way& w = way(from, to);
-        for (auto it = w.kept.rbegin(); it != w.kept.rend(); ++it) pass(from, to, *it);
-        w.kept.clear();
+        for (auto it = w.queued.rbegin(); it != w.queued.rend(); ++it) pass(from, to, *it);
+        w.queued.clear();
     }
 
   private:
@@ -140,7 +140,7 @@
         std::array<char, 2048> buffer{};
         udp::endpoint sender;
         Fault fault;
-        std::vector<std::string> kept;
+        std::vector<std::string> queued;
         std::size_t passed = 0;
     };
     Way& way(std::size_t from, std::size_t to) { return *ways_[from * count_ + to]; }
@@ -157,9 +157,9 @@
     void arrived(std::size_t from, std::size_t to, std::string bytes) {
         Way& w = way(from, to);
         if (w.fault.drop) return;
-        for (int i = 0; i < w.fault.copies; ++i) {
-            if (w.fault.hold)
-                w.kept.push_back(bytes);
+        for (int i = 0; i < w.fault.deliveries; ++i) {
+            if (w.fault.queue)
+                w.queued.push_back(bytes);
             else
                 pass(from, to, bytes);
         }
@@ -237,7 +237,7 @@
         }));
         return served;
     }
-    int heard(std::size_t i, const std::string& host) const {
+    int gossip_received(std::size_t i, const std::string& host) const {
         return processes[i]->said({"heard of a primary", "endpoint=\"" + host + "\""});
     }
 };
--- a/tests/processes/narrow_test.cpp
+++ b/tests/processes/narrow_test.cpp
@@ -1,5 +1,5 @@
-// Real processes of the program in narrow moments: descriptors that idle clients fill while discovery is
-// down, restarts while discovery and hosts are out of reach, an end right after the start.
+// Real processes of the program in narrow moments: descriptors that idle clients exhaust while discovery is
+// down, restarts while discovery and hosts are unreachable, shutdown right after the start.
 #include <sys/resource.h>
 
 #include "processes/site_harness.hpp"
@@ -21,7 +21,7 @@
     explicit Narrow(std::size_t count) : processes(count) {
         hosts[0].primary = true;
         for (Host& host : hosts) servers.push_back(std::make_unique<PgHost>(loop, host));
-        list.tell(targets("ready"));
+        list.publish(targets("ready"));
     }
     std::string targets(const std::string& last) {
         std::string out;
@@ -44,7 +44,7 @@
         processes[i] = std::make_unique<Process>(folder.path, "p" + std::to_string(i),
                                                  std::vector<std::string>{"serve", "--config", path});
     }
-    // It answers an empty query: the moment at which it is taken in.
+    // Ready: it answers an empty query.
     void await_ready(std::size_t i) {
         REQUIRE(loop.until([&] { return processes[i]->said({"phase", "serving"}) > 0; }));
         Client c(loop, at(i));
@@ -56,7 +56,7 @@
         return *transport::parse_socket_address("127.0.0.1:" +
                                                 std::to_string(processes[i]->port("front=\"pg\"")));
     }
-    std::string ask(Client& c) {
+    std::string request(Client& c) {
         char id[17];
         std::snprintf(id, sizeof id, "%016x", unsigned(++ids));
         c.send(pg::Writer()
@@ -68,9 +68,10 @@
 };
 
 TEST_CASE("narrow processes: idle clients fill the descriptors while discovery is down, and stay") {
-    for (bool silent : {false, true}) {
+    for (bool unresponsive : {false, true}) {
         Narrow n(1);
-        n.list_way.set({.deaf = silent, .mute = silent, .reset = !silent});
+        n.list_way.set(
+            {.blocks_responses = unresponsive, .blocks_requests = unresponsive, .reset = !unresponsive});
         constexpr int kSockets = 96;
         n.start(0, kSockets);
         rlimit most{kSockets, kSockets};
@@ -79,23 +80,23 @@
         Client busy(n.loop, n.at(0));
         busy.send(pg::Writer().startup("backend", "store").take());
         CHECK(busy.reply() == "RZ");
-        CHECK(n.ask(busy) == "TDCZ");
+        CHECK(n.request(busy) == "TDCZ");
         std::vector<std::unique_ptr<Client>> idle;
         for (int i = 0; i < 2 * kSockets; ++i) {
             idle.push_back(std::make_unique<Client>(n.loop, n.at(0)));
             if (i % 2) idle.back()->send(pg::Writer().startup("backend", "store").take());
         }
         n.loop.settle();
-        // Who asks is served, on a connection of before as on one that comes now.
+        // Clients with requests are served, on earlier connections as on new ones.
         if (busy.closed) MESSAGE("the served one gave way");
         for (int i = 0; i < 5; ++i) {
             Client late(n.loop, n.at(0));
             late.send(pg::Writer().startup("backend", "store").take());
             CHECK(late.reply() == "RZ");
-            CHECK(n.ask(late) == "TDCZ");
+            CHECK(n.request(late) == "TDCZ");
         }
-        // Discovery is back, and a host drains: it is noticed, and gets nothing more.
-        n.list.tell(n.targets("draining"));
+        // Discovery is back, and a host drains: it receives nothing more.
+        n.list.publish(n.targets("draining"));
         n.list_way.set({});
         Client after(n.loop, n.at(0));
         after.send(pg::Writer().startup("backend", "store").take());
@@ -103,31 +104,32 @@
         int before = 0;
         REQUIRE(n.loop.until([&] {  // ten in a row that it has not seen: 1 in 1000 by chance without the list
             int seen = n.hosts[2].queries;
-            for (int i = 0; i < 10; ++i) CHECK(n.ask(after) == "TDCZ");
+            for (int i = 0; i < 10; ++i) CHECK(n.request(after) == "TDCZ");
             before = n.hosts[2].queries;
             return before == seen && n.list.watched();
         }));
-        for (int i = 0; i < 30; ++i) CHECK(n.ask(after) == "TDCZ");
+        for (int i = 0; i < 30; ++i) CHECK(n.request(after) == "TDCZ");
         CHECK(n.hosts[2].queries == before);
         CHECK(n.processes[0]->end(SIGTERM) == 0);
     }
 }
 
 TEST_CASE("narrow processes: all restarted at once are ready, whatever discovery and hosts do") {
-    enum class Trouble { discovery_down, discovery_silent, hosts_hang };
-    for (Trouble trouble : {Trouble::discovery_down, Trouble::discovery_silent, Trouble::hosts_hang}) {
+    enum class Fault { discovery_down, discovery_unresponsive, hosts_hang };
+    for (Fault fault : {Fault::discovery_down, Fault::discovery_unresponsive, Fault::hosts_hang}) {
         Narrow n(6);
-        if (trouble == Trouble::discovery_down) n.list_way.set({.reset = true});
-        if (trouble == Trouble::discovery_silent) n.list_way.set({.deaf = true, .mute = true});
-        if (trouble == Trouble::hosts_hang)
+        if (fault == Fault::discovery_down) n.list_way.set({.reset = true});
+        if (fault == Fault::discovery_unresponsive)
+            n.list_way.set({.blocks_responses = true, .blocks_requests = true});
+        if (fault == Fault::hosts_hang)
             for (Host& host : n.hosts) host.silent = true;
         for (int life = 0; life < 2; ++life) {
             for (std::size_t i = 0; i < 6; ++i) n.start(i, 256);
             auto began = std::chrono::steady_clock::now();
             for (std::size_t i = 0; i < 6; ++i) n.await_ready(i);
-            auto took = std::chrono::steady_clock::now() - began;
-            MESSAGE("all ready after " << std::chrono::duration_cast<std::chrono::milliseconds>(took).count()
-                                       << " ms");
+            auto duration = std::chrono::steady_clock::now() - began;
+            MESSAGE("all ready after "
+                    << std::chrono::duration_cast<std::chrono::milliseconds>(duration).count() << " ms");
             for (auto& p : n.processes) CHECK(p->end(life ? SIGTERM : SIGKILL) == (life ? 0 : -SIGKILL));
         }
     }
--- a/tests/processes/peer_links_test.cpp
+++ b/tests/processes/peer_links_test.cpp
@@ -22,9 +22,9 @@
     p.make_primary(1);
     int probes = p.hosts[1].probes;
     CHECK(p.writes(0));
-    REQUIRE(p.loop.until([&] { return p.heard(1, "h1") > 0 && p.heard(2, "h1") > 0; }));
+    REQUIRE(p.loop.until([&] { return p.gossip_received(1, "h1") > 0 && p.gossip_received(2, "h1") > 0; }));
     REQUIRE(p.loop.until([&] { return p.hosts[1].probes >= probes + 2; }));
-    CHECK(p.heard(0, "h1") == 0);  // nobody is told what it said itself
+    CHECK(p.gossip_received(0, "h1") == 0);  // not its own gossip
     CHECK(p.writes(1));
     stop(p);
 }
@@ -35,31 +35,32 @@
     p.relay.fault(0, 1).drop = true;  // 1 hears nothing of 0, 0 hears of 1
     p.make_primary(1);
     CHECK(p.writes(0));
-    REQUIRE(p.loop.until([&] { return p.heard(2, "h1") > 0; }));
-    CHECK(p.heard(1, "h1") == 0);
+    REQUIRE(p.loop.until([&] { return p.gossip_received(2, "h1") > 0; }));
+    CHECK(p.gossip_received(1, "h1") == 0);
     CHECK(p.writes(1));  // finds out for itself, and says so
-    REQUIRE(p.loop.until([&] { return p.heard(0, "h1") > 0; }));
+    REQUIRE(p.loop.until([&] { return p.gossip_received(0, "h1") > 0; }));
     p.relay.all({.drop = true});
     p.make_primary(2);
     for (std::size_t i = 0; i < 3; ++i) CHECK(p.writes(i));
-    for (std::size_t i = 0; i < 3; ++i) CHECK(p.heard(i, "h2") == 0);
+    for (std::size_t i = 0; i < 3; ++i) CHECK(p.gossip_received(i, "h2") == 0);
     stop(p);
 }
 
 TEST_CASE("processes: doubled and reordered datagrams are taken once, and an overtaken one not at all") {
     Poolers p(2);
     begin(p);
-    p.relay.fault(0, 1) = {.copies = 3, .hold = true};
+    p.relay.fault(0, 1) = {.deliveries = 3, .queue = true};
     p.make_primary(1);
     CHECK(p.writes(0));
-    REQUIRE(p.loop.until([&] { return p.relay.held(0, 1) == 6; }));  // told twice, three copies each
-    p.relay.release(0, 1);                                           // the later one first
-    REQUIRE(p.loop.until([&] { return p.heard(1, "h1") > 0; }));
+    REQUIRE(
+        p.loop.until([&] { return p.relay.queued(0, 1) == 6; }));  // sent twice, each delivered three times
+    p.relay.release(0, 1);                                         // the later one first
+    REQUIRE(p.loop.until([&] { return p.gossip_received(1, "h1") > 0; }));
     p.relay.fault(0, 1) = {};
     p.make_primary(2);
     CHECK(p.writes(0));
-    REQUIRE(p.loop.until([&] { return p.heard(1, "h2") == 2; }));
-    CHECK(p.heard(1, "h1") == 1);
+    REQUIRE(p.loop.until([&] { return p.gossip_received(1, "h2") == 2; }));
+    CHECK(p.gossip_received(1, "h1") == 1);
     stop(p);
 }
 
@@ -78,7 +79,7 @@
     CHECK(p.writes(1));
     p.make_primary(2);
     CHECK(p.writes(1));  // its numbers begin anew, with another incarnation
-    REQUIRE(p.loop.until([&] { return p.heard(0, "h2") > 0; }));
+    REQUIRE(p.loop.until([&] { return p.gossip_received(0, "h2") > 0; }));
     stop(p);
 }
 
@@ -95,8 +96,8 @@
     for (int i = 0; i < 100; ++i) give(std::string(std::size_t(i * 20), char(i)));
     p.make_primary(1);
     CHECK(p.writes(0));
-    REQUIRE(p.loop.until([&] { return p.heard(1, "h1") > 0; }));  // came after all of them
-    CHECK(p.heard(1, "h2") == 0);
+    REQUIRE(p.loop.until([&] { return p.gossip_received(1, "h1") > 0; }));  // came after all of them
+    CHECK(p.gossip_received(1, "h2") == 0);
     CHECK(p.writes(1));
     stop(p);
 }
--- a/tests/processes/site_harness.hpp
+++ b/tests/processes/site_harness.hpp
@@ -1,6 +1,6 @@
 // Five poolers before three zones of three hosts each, and a relay on every way between a pooler and a host
-// that does to its bytes what a case's script says. What clients saw and what hosts were asked is kept, and
-// checked by rules at the end of each case.
+// that injects the faults of a case. What clients and hosts received is recorded, and checked by rules at the
+// end of each case.
 #pragma once
 
 #include <boost/asio/write.hpp>
@@ -9,13 +9,13 @@
 
 namespace indigovane::testing {
 
-// What befalls the bytes between one pooler and one host.
-struct Way {
-    bool deaf = false;                  // nothing comes back
-    bool mute = false;                  // nothing goes there
+// Faults of the connections between one pooler and one host.
+struct LinkFault {
+    bool blocks_responses = false;      // host to pooler
+    bool blocks_requests = false;       // pooler to host
     bool reset = false;                 // connections are reset, new ones at once
-    std::chrono::milliseconds slow{0};  // each piece waits so long, each way
-    std::size_t trickle = 0;            // so many bytes at a time, each way; 0: all there are
+    std::chrono::milliseconds slow{0};  // delay of each piece, each way
+    std::size_t trickle = 0;            // bytes at a time, each way; 0: all available
 };
 
 class StreamRelay {
@@ -36,11 +36,11 @@
     }
     std::string address() const { return text(listener_->local()); }
     std::size_t opened() const { return opened_; }
-    // Held bytes go on when a way heals: a real network sends them again.
-    void set(Way way) {
+    // Blocked bytes are forwarded once the fault ends: a real network retransmits them.
+    void set(LinkFault way) {
         way_ = way;
         auto pairs = pairs_;
-        for (auto& p : pairs) way.reset ? p->close() : p->pump();
+        for (auto& p : pairs) way.reset ? p->close() : p->forward();
     }
 
   private:
@@ -52,7 +52,7 @@
             far.async_connect(relay.to_, [self = shared_from_this()](const auto& ec) {
                 if (ec) return self->close();
                 self->up = true;
-                self->pump();
+                self->forward();
             });
             read(near, there, in_near);
         }
@@ -61,30 +61,30 @@
                                                                &buffer](const auto& ec, std::size_t n) {
                 if (ec) return self->close();
                 into.append(buffer.data(), n);
-                self->pump();
+                self->forward();
                 self->read(from, into, buffer);
             });
         }
-        void pump() {
+        void forward() {
             if (!up || closed) return;
             if (!std::exchange(reading_far, true)) read(far, back, in_far);
-            const Way& w = relay.way_;
-            if (!w.mute) pass(far, there, drips_there);
-            if (!w.deaf) pass(near, back, drips_back);
+            const LinkFault& w = relay.way_;
+            if (!w.blocks_requests) pass(far, there, writing_requests);
+            if (!w.blocks_responses) pass(near, back, writing_responses);
         }
-        // A drop at a time: the next one leaves when the one before is written.
-        void pass(Tcp::socket& to, std::string& bytes, bool& drips) {
-            if (bytes.empty() || drips) return;
-            std::size_t n = drips = relay.way_.trickle;
+        // With `trickle` the next piece is sent when the one before is written.
+        void pass(Tcp::socket& to, std::string& bytes, bool& writing) {
+            if (bytes.empty() || writing) return;
+            std::size_t n = writing = relay.way_.trickle;
             if (n == 0) n = bytes.size();
-            auto held = std::make_shared<std::string>(bytes.substr(0, n));
-            bytes.erase(0, held->size());
+            auto piece = std::make_shared<std::string>(bytes.substr(0, n));
+            bytes.erase(0, piece->size());
             auto timer = std::make_shared<boost::asio::steady_timer>(relay.loop_.io, relay.way_.slow);
-            timer->async_wait([self = shared_from_this(), &to, &drips, held, timer](const auto&) {
+            timer->async_wait([self = shared_from_this(), &to, &writing, piece, timer](const auto&) {
                 if (self->closed) return;
-                boost::asio::async_write(to, boost::asio::buffer(*held),
-                                         [self, &drips, held](const auto&, std::size_t) {
-                                             if (std::exchange(drips, false)) self->pump();
+                boost::asio::async_write(to, boost::asio::buffer(*piece),
+                                         [self, &writing, piece](const auto&, std::size_t) {
+                                             if (std::exchange(writing, false)) self->forward();
                                          });
             });
         }
@@ -101,27 +101,27 @@
         std::string there, back;
         std::array<char, 16384> in_near{}, in_far{};
         bool up = false, closed = false, reading_far = false;
-        bool drips_there = false, drips_back = false;
+        bool writing_requests = false, writing_responses = false;
     };
     Loop& loop_;
     transport::SocketAddress to_;
-    Way way_;
+    LinkFault way_;
     std::size_t opened_ = 0;
     std::set<std::shared_ptr<Pair>> pairs_;
     std::unique_ptr<transport::Listener> listener_;
 };
 
-// Discovery as one pooler sees it. A watch is held until there is something to tell.
+// Discovery as one pooler sees it. A watch is answered when there is a new list.
 class ListHost : public StandIn {
   public:
     using StandIn::StandIn;
-    void tell(std::string list) {
+    void publish(std::string list) {
         targets_ = std::move(list);
         ++revision_;
         for (Peer* p : std::exchange(watches_, {})) p->connection->write(reply());
     }
 
-    bool watched() const { return !watches_.empty(); }  // with all that there is to tell
+    bool watched() const { return !watches_.empty(); }  // of the newest list
 
   protected:
     bool take(Peer& peer, transport::Buffer& in, std::string& out) override {
@@ -148,18 +148,19 @@
     std::set<Peer*> watches_;
 };
 
-// Rule: a cold host is asked for no more, by all poolers together, than the settings allow it: of `capacity`
-// (a second) a share that grows evenly from `from` to all of it within `ramp`, `multiple` times that in any
-// `window`, and chance beside it (N + 3 x root of N + 3). The first moment that breaks it, in seconds.
-struct ColdRule {
+// Rule: a host in slow start receives no more, from all poolers together, than the settings allow: of
+// `capacity` (a second) a share that grows evenly from `from` to all of it within `ramp`, `multiple` times
+// that in any `window`, and chance beside it (N + 3 x root of N + 3). The first moment that breaks it, in
+// seconds.
+struct SlowStartRule {
     double capacity, from, ramp, multiple, window;
-    std::optional<double> broken(const std::vector<double>& came) const {
-        for (std::size_t i = 0, first = 0; i < came.size(); ++i) {
-            while (came[i] - came[first] > window) ++first;
+    std::optional<double> first_breach(const std::vector<double>& query_times) const {
+        for (std::size_t i = 0, first = 0; i < query_times.size(); ++i) {
+            while (query_times[i] - query_times[first] > window) ++first;
             // What it can do at the end of the window is the most that it can in it.
-            double share = std::min(1.0, from + (1 - from) * std::max(0.0, came[i]) / ramp);
+            double share = std::min(1.0, from + (1 - from) * std::max(0.0, query_times[i]) / ramp);
             double n = multiple * share * capacity * window;
-            if (double(i - first + 1) > n + 3 * std::sqrt(n) + 3) return came[i];
+            if (double(i - first + 1) > n + 3 * std::sqrt(n) + 3) return query_times[i];
         }
         return std::nullopt;
     }
@@ -167,7 +168,7 @@
 
 struct Zones {
     static constexpr std::size_t kPoolers = 5, kGroups = 3, kZones = 3, kHosts = kGroups * kZones,
-                                 kLanes = 4;  // reads out at a pooler at a time
+                                 kLanes = 4;  // requests in flight at a pooler
     Loop loop;
     Folder folder;
     Host agent;          // discovery's own record
@@ -176,18 +177,18 @@
     std::vector<std::unique_ptr<StreamRelay>> ways;  // pooler p to host h: p * 9 + h
     std::vector<std::unique_ptr<ListHost>> lists;    // each pooler's discovery, and the way there
     std::vector<std::unique_ptr<StreamRelay>> list_ways;
-    std::int64_t booted[kHosts] = {};  // of each host, as discovery tells; 0: long ago
+    std::int64_t booted[kHosts] = {};  // of each host, as discovery reports; 0: long ago
     std::vector<std::unique_ptr<Process>> poolers;
     std::vector<std::unique_ptr<Client>> clients;  // lane l of pooler p: p * kLanes + l
-    enum class Ask { view, own, book };
+    enum class RequestKind { view, own, book };
     struct Sent {
-        std::string name;  // of the row asked for; "": nothing is out
-        Ask ask = Ask::view;
+        std::string name;  // of the requested row; "": nothing in flight
+        RequestKind kind = RequestKind::view;
         std::size_t group = 0;
     };
     std::vector<Sent> sent;  // on each
     bool mixed = false;      // session reads and writes too
-    int ids = 0, served = 0, refused = 0, wrong = 0, written[kGroups] = {};
+    int ids = 0, served = 0, rejected = 0, wrong = 0, written[kGroups] = {};
     std::string sites = "[sites]\n";
 
     explicit Zones(std::string more = "least = 2\n") : sites("[sites]\n" + more) {
@@ -201,7 +202,7 @@
         for (std::size_t p = 0; p < kPoolers; ++p) {
             lists.push_back(std::make_unique<ListHost>(loop, agent));
             list_ways.push_back(std::make_unique<StreamRelay>(loop, lists[p]->address()));
-            lists[p]->tell(targets(p));
+            lists[p]->publish(targets(p));
         }
         poolers.resize(kPoolers);
         clients.resize(kPoolers * kLanes);
@@ -211,10 +212,10 @@
         for (std::size_t p = 0; p < kPoolers; ++p) await(p);
     }
     StreamRelay& way(std::size_t p, std::size_t h) { return *ways[p * kHosts + h]; }
-    void strike(std::size_t zone, Way w) {
-        for (std::size_t p = 0; p < kPoolers; ++p) strike(p, zone, w);
+    void inject(std::size_t zone, LinkFault w) {
+        for (std::size_t p = 0; p < kPoolers; ++p) inject(p, zone, w);
     }
-    void strike(std::size_t p, std::size_t zone, Way w) {
+    void inject(std::size_t p, std::size_t zone, LinkFault w) {
         for (std::size_t h = zone; h < kHosts; h += kZones) way(p, h).set(w);
     }
     std::string targets(std::size_t p) {
@@ -227,9 +228,9 @@
                    (hosts[h].primary ? "off" : "on") + "\"}";
         return out;
     }
-    // Discovery tells what is so now.
-    void tell() {
-        for (std::size_t p = 0; p < kPoolers; ++p) lists[p]->tell(targets(p));
+    // Discovery publishes the present state.
+    void publish() {
+        for (std::size_t p = 0; p < kPoolers; ++p) lists[p]->publish(targets(p));
     }
     void reach_lists(bool reachable) {
         for (auto& w : list_ways) w->set({.reset = !reachable});
@@ -270,9 +271,9 @@
             sent[l].name.clear();
         }
     }
-    // A request on every lane that has none out, and what has come back is counted. Each has exactly one
-    // answer: on one connection a second would stand for the next one's, whose value it has not.
-    void look() {
+    // Sends a request on every lane that has none in flight, and counts the answers. Each has exactly one: on
+    // one connection a second would stand for the next one's, whose value it has not.
+    void exchange() {
         for (std::size_t l = 0; l < clients.size(); ++l) {
             if (!clients[l]) continue;
             Client& c = *clients[l];
@@ -290,16 +291,16 @@
                 if (types.empty() || types.back() != 'Z') continue;
                 c.in.erase(0, end);
                 bool answered = types.find('D') != std::string::npos;
-                if (answered && sent[l].ask != Ask::book && value != sent[l].name &&
-                    (sent[l].ask == Ask::own || value != kOld))
+                if (answered && sent[l].kind != RequestKind::book && value != sent[l].name &&
+                    (sent[l].kind == RequestKind::own || value != kOld))
                     ++wrong;
-                (answered ? served : refused)++;
-                if (answered && sent[l].ask == Ask::book) ++written[sent[l].group];
+                (answered ? served : rejected)++;
+                if (answered && sent[l].kind == RequestKind::book) ++written[sent[l].group];
                 sent[l].name.clear();
             }
-            sent[l] = {name_of(std::size_t(ids) % kGroups), Ask::view, std::size_t(ids) % kGroups};
-            if (mixed && ids % 8 == 3) sent[l].ask = Ask::book, sent[l].name = "7f3a9c21e0b4d655";
-            if (mixed && ids % 8 % 3 == 1) sent[l].ask = Ask::own;
+            sent[l] = {name_of(std::size_t(ids) % kGroups), RequestKind::view, std::size_t(ids) % kGroups};
+            if (mixed && ids % 8 == 3) sent[l].kind = RequestKind::book, sent[l].name = "7f3a9c21e0b4d655";
+            if (mixed && ids % 8 % 3 == 1) sent[l].kind = RequestKind::own;
             // A replica that is far behind has another value for everything.
             for (Host& h : hosts)
                 h.rows[sent[l].name] = h.lag_ms > 10'000 && !h.primary ? kOld : sent[l].name;
@@ -312,31 +313,31 @@
         char id[17];
         std::snprintf(id, sizeof id, "%016x", unsigned(++ids));
         std::string head = "/* id=" + std::string(id) + ",cluster=" + std::to_string(s.group);
-        if (s.ask == Ask::book)
+        if (s.kind == RequestKind::book)
             return head + ",c=book,d=5000 */ INSERT INTO kv (name, content) VALUES ('" + s.name +
                    "', '\\x9f03') RETURNING content";
-        if (s.ask == Ask::own)
+        if (s.kind == RequestKind::own)
             head += ",c=own,s=00000000000000a1,after=" + std::to_string(hosts[0].position() - 2000);
         else
             head += ",c=view";
         return head + ",d=2000 */ SELECT content FROM kv WHERE name = '" + s.name + "'";
     }
-    // Writes that took effect more often than once, and some whose clients were told of each of them.
-    int ran_again() const {
+    // Writes that took effect more than once.
+    int repeated_writes() const {
         std::map<std::string, int> times;
         for (const Host& h : hosts)
             for (const std::string& body : h.executed_writes) ++times[body.substr(0, body.find(','))];
         return int(std::count_if(times.begin(), times.end(), [](auto& t) { return t.second > 1; }));
     }
-    // Reads go on for so long: for what takes its time, such as sleep. Nothing is measured by it.
-    void go_on(std::chrono::milliseconds length) {
+    // Keeps reading for `length`, for what takes time, such as sleep. Nothing is measured by it.
+    void keep_reading_for(std::chrono::milliseconds length) {
         auto end = std::chrono::steady_clock::now() + length;
         REQUIRE(until([&] { return std::chrono::steady_clock::now() > end; }));
     }
-    // Reads go on until something holds.
+    // Keeps reading until `holds`.
     bool until(const std::function<bool()>& holds) {
         return loop.until([&] {
-            look();
+            exchange();
             return holds();
         });
     }
@@ -350,7 +351,7 @@
     }
     json status(std::size_t p) { return json::parse(control(p, "site status").substr(4)); }
     std::string is(std::size_t p, std::size_t zone) { return status(p)["sites"][zone]["is"]; }
-    // How often pooler p has said that this zone came to be so.
+    // How often pooler p has logged that this zone changed to `what`.
     int became(std::size_t p, std::size_t zone, const std::string& what) const {
         return poolers[p]->said({" site [", "zone=\"" + std::to_string(zone) + "\"", "is=\"" + what + "\""});
     }
@@ -359,12 +360,12 @@
             if (became(p, zone, what) == 0) return false;
         return true;
     }
-    int asked(std::size_t zone) const {
+    int queries(std::size_t zone) const {
         int n = 0;
         for (std::size_t h = zone; h < kHosts; h += kZones) n += hosts[h].queries;
         return n;
     }
-    // The end of every case: nobody has died, each answer was the right one, all end in order.
+    // The end of every case: no pooler has crashed, each answer was the right one, all exit in order.
     void stop() {
         CHECK(wrong == 0);
         for (auto& p : poolers) p->send(SIGCONT);
--- a/tests/processes/site_test.cpp
+++ b/tests/processes/site_test.cpp
@@ -6,7 +6,7 @@
 namespace indigovane::testing {
 namespace {
 
-// All hosts have been heard of: what nobody has dealt with yet is no evidence.
+// Until every host has been used: an unused one is no evidence.
 void begin(Zones& z) {
     REQUIRE(z.until([&] {
         return z.served > 200 && std::all_of(std::begin(z.hosts), std::end(z.hosts),
@@ -21,22 +21,22 @@
 TEST_CASE("site processes: silent, every pooler gives it up, asks it nothing, and takes it back by itself") {
     Zones z;
     begin(z);
-    z.strike(1, {.deaf = true});  // what is sent there arrives, and would be counted
+    z.inject(1, {.blocks_responses = true});  // requests sent there arrive, and would be counted
     REQUIRE(z.until([&] { return z.all_became(1, "lost"); }));
     reads(z, 50);  // what was on its way there is over
-    int before = z.asked(1);
+    int before = z.queries(1);
     reads(z, 300);
-    CHECK(z.asked(1) == before);
+    CHECK(z.queries(1) == before);
     for (std::size_t p = 0; p < Zones::kPoolers; ++p) {
         json s = z.status(p);
         CHECK(s["sites"][1]["is"] == "lost");
         CHECK(s["sites"][0]["is"] == "reachable");
         CHECK(s["own_link_down"] == false);
     }
-    z.strike(1, {});
+    z.inject(1, {});
     REQUIRE(z.until([&] { return z.all_became(1, "reachable"); }));
-    before = z.asked(1);
-    REQUIRE(z.until([&] { return z.asked(1) > before + 20; }));
+    before = z.queries(1);
+    REQUIRE(z.until([&] { return z.queries(1) > before + 20; }));
     z.stop();
 }
 
@@ -45,25 +45,25 @@
     for (bool abandon_unresponsive : {true, false}) {
         Zones z(std::string("least = 2\nrescue = ") + (abandon_unresponsive ? "true\n" : "false\n"));
         begin(z);
-        z.strike(1, {.deaf = true, .mute = true});
+        z.inject(1, {.blocks_responses = true, .blocks_requests = true});
         REQUIRE(z.until([&] { return z.all_became(1, "lost"); }));
         reads(z, 300);
         if (abandon_unresponsive)
-            CHECK(z.refused == 0);
+            CHECK(z.rejected == 0);
         else
-            REQUIRE(z.until([&] { return z.refused > 0; }));
+            REQUIRE(z.until([&] { return z.rejected > 0; }));
         z.stop();
     }
 }
 
 TEST_CASE("site processes: reset, and one that only hears, are given up alike") {
-    for (Way way : {Way{.reset = true}, Way{.deaf = true}}) {
+    for (LinkFault fault : {LinkFault{.reset = true}, LinkFault{.blocks_responses = true}}) {
         Zones z;
         begin(z);
-        z.strike(2, way);
+        z.inject(2, fault);
         REQUIRE(z.until([&] { return z.all_became(2, "lost"); }));
         reads(z, 100);
-        z.strike(2, {});
+        z.inject(2, {});
         REQUIRE(z.until([&] { return z.all_became(2, "reachable"); }));
         z.stop();
     }
@@ -73,9 +73,9 @@
     Zones z("least = 2\nramp_unsure = \"100ms\"\n");
     begin(z);
     for (int fall = 1; fall <= 2; ++fall) {
-        z.strike(1, {.deaf = true, .mute = true});
+        z.inject(1, {.blocks_responses = true, .blocks_requests = true});
         REQUIRE(z.until([&] { return z.became(0, 1, "lost") >= fall; }));
-        z.strike(1, {});
+        z.inject(1, {});
         REQUIRE(z.until([&] { return z.became(0, 1, "reachable") >= fall; }));
     }
     CHECK(z.poolers[0]->said({"is=\"lost\"", "falls=\"1\"", "hold_s=\"1.00\""}) == 1);
@@ -86,9 +86,10 @@
 TEST_CASE("site processes: one whose own link is gone gives nobody up, and the others notice nothing") {
     Zones z;
     begin(z);
-    for (std::size_t zone = 0; zone < 3; ++zone) z.strike(0, zone, {.deaf = true, .mute = true});
+    for (std::size_t zone = 0; zone < 3; ++zone)
+        z.inject(0, zone, {.blocks_responses = true, .blocks_requests = true});
     REQUIRE(z.until([&] { return z.status(0)["own_link_down"] == true; }));
-    for (std::size_t zone = 0; zone < 3; ++zone) z.strike(0, zone, {});
+    for (std::size_t zone = 0; zone < 3; ++zone) z.inject(0, zone, {});
     REQUIRE(z.until([&] { return z.status(0)["own_link_down"] == false; }));
     reads(z, 200);
     for (std::size_t p = 0; p < Zones::kPoolers; ++p)
@@ -102,7 +103,7 @@
     Zones z;
     begin(z);
     z.poolers[4]->send(SIGSTOP);
-    z.strike(1, {.deaf = true, .mute = true});
+    z.inject(1, {.blocks_responses = true, .blocks_requests = true});
     REQUIRE(z.until([&] {
         return z.became(0, 1, "lost") && z.became(1, 1, "lost") && z.became(2, 1, "lost") &&
                z.became(3, 1, "lost");
@@ -110,11 +111,11 @@
     z.poolers[4]->send(SIGCONT);
     REQUIRE(z.until([&] { return z.became(4, 1, "lost") > 0; }));
     CHECK(z.became(4, 0, "lost") + z.became(4, 2, "lost") == 0);
-    z.strike(1, {});
+    z.inject(1, {});
     REQUIRE(z.until([&] { return z.all_became(1, "reachable"); }));
     // Asleep while nothing happens at all: it wakes to time-outs of its own making.
     z.poolers[4]->send(SIGSTOP);
-    z.go_on(3s);
+    z.keep_reading_for(3s);
     z.poolers[4]->send(SIGCONT);
     reads(z, 300);
     CHECK(z.became(4, 0, "lost") + z.became(4, 2, "lost") == 0);
@@ -125,19 +126,19 @@
 TEST_CASE("site processes: lost while half of the poolers start again, a second loss in the return") {
     Zones z;
     begin(z);
-    z.strike(1, {.deaf = true, .mute = true});
+    z.inject(1, {.blocks_responses = true, .blocks_requests = true});
     for (std::size_t p : {0, 1}) {
         z.poolers[p]->end(SIGKILL);  // its clients' connections break: they are given up
         z.launch(p);
     }
     for (std::size_t p : {0, 1}) z.await(p);
     REQUIRE(z.until([&] { return z.all_became(1, "lost"); }));  // new ones find out for themselves
-    z.strike(1, {});
+    z.inject(1, {});
     REQUIRE(z.until([&] { return z.became(3, 1, "returning") > 0; }));
-    z.strike(1, {.reset = true});
+    z.inject(1, {.reset = true});
     REQUIRE(z.until([&] { return z.became(3, 1, "lost") >= 2; }));
     reads(z, 100);
-    z.strike(1, {});
+    z.inject(1, {});
     REQUIRE(z.until([&] { return z.became(3, 1, "reachable") > 0 && z.is(3, 1) == "reachable"; }));
     z.stop();
 }
@@ -152,14 +153,14 @@
     for (std::size_t p = 0; p < Zones::kPoolers; ++p)
         CHECK(z.control(p, "site drain b").substr(0, 3) == "+OK");
     reads(z, 50);
-    int before = z.asked(1);
+    int before = z.queries(1);
     reads(z, 300);
-    CHECK(z.asked(1) == before);
+    CHECK(z.queries(1) == before);
     CHECK(z.is(2, 1) == "drained");
     for (std::size_t p = 0; p < Zones::kPoolers; ++p)
         CHECK(z.control(p, "site return b").substr(0, 3) == "+OK");
     REQUIRE(z.until([&] { return z.all_became(1, "reachable"); }));
-    REQUIRE(z.until([&] { return z.asked(1) > before + 20; }));
+    REQUIRE(z.until([&] { return z.queries(1) > before + 20; }));
     z.stop();
 }
 
@@ -170,17 +171,17 @@
     for (std::size_t p = 0; p < Zones::kPoolers; ++p)
         CHECK(z.control(p, "site drain b").substr(0, 3) == "+OK");
     reads(z, 50);
-    int before = z.asked(1);
-    REQUIRE(z.until([&] { return z.asked(1) > before + 20; }));
+    int before = z.queries(1);
+    REQUIRE(z.until([&] { return z.queries(1) > before + 20; }));
     CHECK(z.status(0)["hosts_out"] == 0);
     z.stop();
 }
 
 TEST_CASE("site processes: slow links alone, or a trickle, give nobody up") {
-    for (Way way : {Way{.slow = 120ms}, Way{.trickle = 24}}) {
+    for (LinkFault fault : {LinkFault{.slow = 120ms}, LinkFault{.trickle = 24}}) {
         Zones z;
         begin(z);
-        z.strike(1, way);
+        z.inject(1, fault);
         reads(z, 600);
         for (std::size_t p = 0; p < Zones::kPoolers; ++p) CHECK(z.became(p, 1, "lost") == 0);
         z.stop();
@@ -188,25 +189,25 @@
     // That this can fail: silence for less than the links take is held to be a loss.
     Zones z("least = 2\nquiet = \"60ms\"\n");
     begin(z);
-    z.strike(1, {.slow = 150ms});
+    z.inject(1, {.slow = 150ms});
     REQUIRE(z.until([&] { return z.became(0, 1, "lost") + z.became(1, 1, "lost") > 0; }));
     z.stop();
 }
 
-// The site of group 1's primary hears, and is not heard: its writes run, and nobody is told. Another takes
-// over, one replica of each group is a minute behind.
+// The site of group 1's primary receives requests, its responses are blocked: its writes run unnoticed.
+// Another takes over, one replica of each group is a minute behind.
 void lose_primary(Zones& z) {
     z.mixed = true;
     for (std::size_t h : {2, 5, 6}) z.hosts[h].lag_ms = 60'000;
     begin(z);
     REQUIRE(z.until([&] { return z.written[0] > 5 && z.written[1] > 5 && z.written[2] > 5; }));
-    z.strike(1, {.deaf = true});
+    z.inject(1, {.blocks_responses = true});
     REQUIRE(z.until([&] { return z.all_became(1, "lost"); }));
     z.hosts[4].primary = false, z.hosts[3].primary = true;
-    z.tell();
+    z.publish();
     int before = z.written[1];
     REQUIRE(z.until([&] { return z.written[1] > before + 5; }));
-    z.strike(1, {});
+    z.inject(1, {});
     REQUIRE(z.until([&] { return z.all_became(1, "reachable"); }));
     reads(z, 200);
 }
@@ -214,7 +215,7 @@
 TEST_CASE("site processes: a primary lost with its site: no write runs twice, nothing stale is read") {
     Zones z;
     lose_primary(z);
-    CHECK(z.ran_again() == 0);
+    CHECK(z.repeated_writes() == 0);
     z.stop();
 }
 
@@ -223,35 +224,35 @@
     for (Host& h : z.hosts) h.cores = 4, h.duration_by_prefix["SELECT"] = 20ms;
     begin(z);
     z.reach_lists(false);
-    z.strike(1, {.reset = true});
+    z.inject(1, {.reset = true});
     REQUIRE(z.until([&] { return z.all_became(1, "lost"); }));
     for (std::size_t h : {1, 4, 7}) z.hosts[h].query_times.clear();
     auto back = std::chrono::steady_clock::now();
-    z.strike(1, {});
+    z.inject(1, {});
     REQUIRE(z.until([&] { return z.all_became(1, "reachable"); }));
     reads(z, 300);
     for (std::size_t h : {1, 7}) {
-        std::vector<double> came;
+        std::vector<double> query_times;
         for (auto at : z.hosts[h].query_times)
-            came.push_back(std::chrono::duration<double>(at - back).count());
-        CHECK(came.size() > 10);
-        CHECK(!ColdRule{200, 0.2, 4, 2.5, 2}.broken(came));
+            query_times.push_back(std::chrono::duration<double>(at - back).count());
+        CHECK(query_times.size() > 10);
+        CHECK(!SlowStartRule{200, 0.2, 4, 2.5, 2}.first_breach(query_times));
     }
     // The starts that discovery tells of when it is back are old by then, and nobody is left again for them.
     for (std::size_t h : {1, 4, 7}) z.booted[h] = z.hosts[h].position() - 3000;
-    z.tell();
+    z.publish();
     z.reach_lists(true);
-    int before = z.asked(1);
-    REQUIRE(z.until([&] { return z.asked(1) > before + 50; }));
+    int before = z.queries(1);
+    REQUIRE(z.until([&] { return z.queries(1) > before + 50; }));
     for (std::size_t p = 0; p < Zones::kPoolers; ++p) CHECK(z.is(p, 1) == "reachable");
     z.stop();
 }
 
 TEST_CASE("site processes: the rule of cold hosts finds what is too much") {
-    std::vector<double> came;
-    for (int i = 0; i < 1600; ++i) came.push_back(i * 0.0025);  // 400 a second from the start
-    CHECK(ColdRule{200, 0.2, 4, 2.5, 2}.broken(came));
-    CHECK(!ColdRule{200, 1, 4, 2.5, 2}.broken(came));
+    std::vector<double> query_times;
+    for (int i = 0; i < 1600; ++i) query_times.push_back(i * 0.0025);  // 400 a second from the start
+    CHECK(SlowStartRule{200, 0.2, 4, 2.5, 2}.first_breach(query_times));
+    CHECK(!SlowStartRule{200, 1, 4, 2.5, 2}.first_breach(query_times));
 }
 
 }  // namespace
--- a/tests/processes/small_deployment.hpp
+++ b/tests/processes/small_deployment.hpp
@@ -67,8 +67,8 @@
         return c;
     }
 
-    // One request of a session; the types of the messages that answer it.
-    std::string ask(Client& c, bool write, int session) {
+    // Sends one request of a session; the types of the messages that answer it.
+    std::string request(Client& c, bool write, int session) {
         char id[17], key[17];
         std::snprintf(id, sizeof id, "%016x", unsigned(++ids));
         std::snprintf(key, sizeof key, "%016x", unsigned(session));
--- a/tests/processes/soak_client.hpp
+++ b/tests/processes/soak_client.hpp
@@ -1,5 +1,5 @@
 // A client of a soak run: one connection, one request at a time, driven by ticks. It may write its request in
-// pieces, leave in the middle, stop half-way and stay, or rest until the pooler ends its connection.
+// pieces, close in the middle, stop half-way and stay, or idle until the pooler ends its connection.
 #pragma once
 
 #include "processes/soak_host.hpp"
@@ -10,8 +10,8 @@
 struct SoakPooler {
     std::optional<transport::SocketAddress> at;  // none: not serving
     int life = 0;
-    SteadyTime told_to_end{};  // SIGTERM; the epoch: not told
-    bool killed = false;       // this life
+    SteadyTime terminated_at{};  // SIGTERM; the epoch: not sent
+    bool killed = false;         // this life
 };
 
 class SoakClient : private transport::Connection::Handler {
@@ -31,7 +31,7 @@
             return;
         }
         if (busy()) return wait(now);
-        if (greeted_ && now >= next_ && !stopping) ask(now);
+        if (greeted_ && now >= next_ && !stopping) send_request(now);
     }
 
   private:
@@ -58,11 +58,11 @@
         return text;
     }
 
-    void ask(SteadyTime now) {
+    void send_request(SteadyTime now) {
         cls_ = SoakClass(random_() % 4);
         key_ = int(random_() % 3);
         char id[17];
-        std::snprintf(id, sizeof id, "%08zx%08x", number_ + 1, unsigned(++asked_));
+        std::snprintf(id, sizeof id, "%08zx%08x", number_ + 1, unsigned(++requests_));
         id_ = id;
         sent_ = now;
         leaves_at_ =
@@ -73,9 +73,9 @@
     void write(SteadyTime now) {
         const SoakClassRule& rule = rule_of(cls_);
         auto left = std::chrono::duration_cast<Millis>(sent_ + rule.deadline - now);
-        std::string head = "/* id=" + id_ + ",c=" + rule.name +
-                           ",d=" + std::to_string(std::max<long>(1, left.count())) +
-                           ",cluster=" + std::to_string(group()) + (rule.keyed ? ",k=" + id_ : "") + " */ ";
+        std::string head =
+            "/* id=" + id_ + ",c=" + rule.name + ",d=" + std::to_string(std::max<long>(1, left.count())) +
+            ",cluster=" + std::to_string(group()) + (rule.has_idempotency_key ? ",k=" + id_ : "") + " */ ";
         bool writes = cls_ == SoakClass::write || cls_ == SoakClass::book;
         if (writes) ++version_[key_];
         char content[9];
@@ -137,7 +137,7 @@
         id_.clear();
     }
 
-    // Rule: a session reads its own writes, by what its client had been told when it asked.
+    // Rule: a session reads its own writes that were acknowledged before the read was sent.
     void check(const std::string& value) {
         int version = 0;
         for (unsigned char c : value) version = version << 8 | c;
@@ -157,7 +157,7 @@
         next_ = now + Millis(20);
         if (!busy()) return;
         // Only a close that crosses the request on its way is none of the pooler's: then it was never read.
-        bool ending = pooler_.told_to_end != SteadyTime{} && now < sent_ + Millis(40);
+        bool ending = pooler_.terminated_at != SteadyTime{} && now < sent_ + Millis(40);
         bool was_read = !record_.request(id_).attempts.empty();
         if (ending && !was_read && !pooler_.killed) {
             ++record_.excused;
@@ -179,7 +179,7 @@
     std::shared_ptr<transport::Connection> connection_;
     std::string in_, id_, code_, value_;
     SoakClass cls_{};
-    int key_ = 0, asked_ = 0, life_ = 0;
+    int key_ = 0, requests_ = 0, life_ = 0;
     int version_[3] = {};
     Acknowledged acknowledged_[3], needs_;
     SteadyTime sent_{}, next_{}, leaves_at_{};
--- a/tests/processes/soak_fleet.hpp
+++ b/tests/processes/soak_fleet.hpp
@@ -32,7 +32,7 @@
         nodes_.resize(options.poolers);
         for (std::size_t p = 0; p < nodes_.size(); ++p) {
             nodes_[p] = std::make_unique<Node>(loop_);
-            nodes_[p]->agent.tell(targets());
+            nodes_[p]->agent.publish(targets());
             start(p);
         }
         REQUIRE(until([&] { return serving() == nodes_.size(); }, Millis(15000)));
@@ -58,10 +58,10 @@
               Millis(6000));
         clients_.clear();
         for (std::size_t p = 0; p < nodes_.size(); ++p) end(p);
-        record.check_copies();
+        record.check_single_attempts();
     }
 
-    // What the record and the poolers' logs hold of the request that a breach names.
+    // What the record and the poolers' logs contain about the request that a breach names.
     std::string story(const std::string& breach) {
         std::string id = breach.substr(breach.find(": ") + 2, 16), text = record.describe(id);
         for (const auto& node : nodes_)
@@ -98,10 +98,10 @@
         loop_.io.poll();
         auto now = std::chrono::steady_clock::now();
         for (auto& c : clients_) c->tick(now);
-        if (now < looked_ + Millis(20)) return;
-        looked_ = now;
+        if (now < supervised_ + Millis(20)) return;
+        supervised_ = now;
         end_faults(now);
-        for (std::size_t p = 0; p < nodes_.size(); ++p) look(p, now);
+        for (std::size_t p = 0; p < nodes_.size(); ++p) supervise(p, now);
     }
     bool until(const std::function<bool()>& holds, Millis most) {
         auto end = std::chrono::steady_clock::now() + most;
@@ -126,8 +126,8 @@
         }
         return out;
     }
-    void tell() {
-        for (auto& node : nodes_) node->agent.tell(targets());
+    void publish() {
+        for (auto& node : nodes_) node->agent.publish(targets());
     }
 
     void configure(std::size_t p) {
@@ -152,7 +152,7 @@
         Node& n = *nodes_[p];
         configure(p);
         n.seen.at.reset();
-        n.seen.told_to_end = {};
+        n.seen.terminated_at = {};
         n.seen.killed = false;
         ++n.seen.life;
         n.process = std::make_unique<Process>(
@@ -160,12 +160,12 @@
             std::vector<std::string>{"serve", "--config", folder_.path + "/p" + std::to_string(p) + ".json"},
             calls_.environment());
     }
-    // One look at a process: whether it serves by now, has ended, or is to be killed.
-    void look(std::size_t p, SteadyTime now) {
+    // Whether a process serves by now, has ended, or is to be killed.
+    void supervise(std::size_t p, SteadyTime now) {
         Node& n = *nodes_[p];
         if (!n.process) return;
         if (auto status = n.process->poll_end()) {
-            if (n.seen.told_to_end == SteadyTime{})
+            if (n.seen.terminated_at == SteadyTime{})
                 record.breach("ended by itself", "p" + std::to_string(p) + " status " +
                                                      std::to_string(*status) + ": " + last_line(*n.process));
             else if (*status != 0)
@@ -182,7 +182,7 @@
             n.process->send(SIGCONT);
             n.stopped_until.reset();
         }
-        if (n.seen.at || n.seen.told_to_end != SteadyTime{} || n.process->said({"phase", "serving"}) == 0)
+        if (n.seen.at || n.seen.terminated_at != SteadyTime{} || n.process->said({"phase", "serving"}) == 0)
             return;
         n.seen.at =
             transport::parse_socket_address("127.0.0.1:" + std::to_string(n.process->port("front=\"pg\"")));
@@ -212,7 +212,7 @@
     void end(std::size_t p) {
         Node& n = *nodes_[p];
         if (n.stopped_until) n.process->send(SIGCONT);
-        n.seen.told_to_end = std::chrono::steady_clock::now();
+        n.seen.terminated_at = std::chrono::steady_clock::now();
         int status = n.process->end(SIGTERM);
         if (status != 0)
             record.breach("end in disorder", "p" + std::to_string(p) + " " + std::to_string(status));
@@ -230,19 +230,21 @@
         });
         for (Active& a : over) a.undo();
     }
-    void hold(SteadyTime until, std::function<void()> undo) { active_.push_back({until, std::move(undo)}); }
+    void schedule_undo(SteadyTime until, std::function<void()> undo) {
+        active_.push_back({until, std::move(undo)});
+    }
 
     template <typename T>
     void set(SteadyTime until, T& what, T value) {
         T before = what;
         what = value;
-        hold(until, [&what, before] { what = before; });
+        schedule_undo(until, [&what, before] { what = before; });
     }
 
     void begin_fault(SteadyTime now) {
         SteadyTime until = now + Millis(300 + random_() % 2500);
         double share = 0.02 + double(random_() % 30) / 100;
-        SoakTrouble& host = hosts_[random_() % kHosts]->trouble;
+        SoakFaults& host = hosts_[random_() % kHosts]->faults;
         std::size_t p = random_() % nodes_.size();
         FaultRates& rates = calls_.rates();
         switch (random_() % 24) {
@@ -259,7 +261,7 @@
             case 5:
                 return note("refuses"), set(until, host.refuses, share);
             case 6:
-                return note("takes back"), set(until, host.takes_back, share);
+                return note("takes back"), set(until, host.errors_after_row, share);
             case 7:
                 return note("resets before"), set(until, host.resets_before, share);
             case 8:
@@ -301,37 +303,37 @@
     void note(const char* what) { ++faults[what]; }
     void rate(SteadyTime until, std::atomic<float>& which, float value) {
         which.store(value);
-        hold(until, [&which] { which.store(0); });
+        schedule_undo(until, [&which] { which.store(0); });
     }
     void down(SteadyTime until) {
         SoakHost& host = *hosts_[random_() % kHosts];
-        set(until, host.trouble.down, true);
+        set(until, host.faults.down, true);
         host.reset_every_connection();
     }
     void drain(SteadyTime until, const char* state) {
         std::size_t h = random_() % kHosts;
         if (bases_[h].primary || states_[h] != "ready") return;
         states_[h] = state;
-        tell();
-        hold(until, [this, h] {
+        publish();
+        schedule_undo(until, [this, h] {
             states_[h] = "ready";
-            tell();
+            publish();
         });
     }
     void leave(SteadyTime until) {
         for (auto& c : clients_) c->leaves = 0.3;
-        hold(until, [this] {
+        schedule_undo(until, [this] {
             for (auto& c : clients_) c->leaves = 0;
         });
     }
     bool undisturbed(std::size_t p) const {
         const Node& n = *nodes_[p];
-        return n.seen.at && n.seen.told_to_end == SteadyTime{} && !n.stopped_until;
+        return n.seen.at && n.seen.terminated_at == SteadyTime{} && !n.stopped_until;
     }
     void terminate(std::size_t p, SteadyTime now) {
         if (!undisturbed(p)) return;
         Node& n = *nodes_[p];
-        n.seen.told_to_end = now;
+        n.seen.terminated_at = now;
         n.seen.at.reset();
         n.kill_at = now + Millis(3700) + options_.slack;
         n.process->send(SIGTERM);
@@ -367,7 +369,7 @@
     std::vector<std::unique_ptr<Node>> nodes_;
     std::vector<std::unique_ptr<SoakClient>> clients_;
     std::vector<Active> active_;
-    SteadyTime looked_{};
+    SteadyTime supervised_{};
 };
 
 }  // namespace indigovane::testing
--- a/tests/processes/soak_host.hpp
+++ b/tests/processes/soak_host.hpp
@@ -1,5 +1,5 @@
-// A host of a soak run: a primary or a replica of one group that executes, lags, refuses, breaks and lies as
-// its script of the moment says, and records what it did.
+// A host of a soak run: a primary or a replica of one group that executes, lags, rejects and fails as its
+// faults of the moment say, and records what it did.
 #pragma once
 
 #include "processes/soak_record.hpp"
@@ -25,18 +25,18 @@
     }
 };
 
-// What befalls statements at a host; several at once. Shares are of the statements.
-struct SoakTrouble {
-    bool hangs = false;           // takes statements and answers none
-    bool down = false;            // resets whatever comes
+// Faults of a host; several at once. Shares are of the statements.
+struct SoakFaults {
+    bool hangs = false;           // accepts statements and answers none
+    bool down = false;            // resets every connection
     bool closes_idle = false;     // after each answer
     Millis slow{0};               // more than usual
     Millis lag{0};                // of a replica
     double refuses = 0;           // 53300 before anything is executed
-    double takes_back = 0;        // the row, then a refusal
+    double errors_after_row = 0;  // the row, then an error
     double resets_before = 0;     // executed, then reset without an answer
     double resets_within = 0;     // ... after half of the answer
-    double stops_within = 0;      // half of the answer, then silence
+    double stops_within = 0;      // half of the answer, then nothing
     double garbage = 0;           // executed, an answer of the wrong form
     double closes_at_answer = 0;  // the answer, and the end in the same moment
     double errs = 0;              // XX000
@@ -51,12 +51,12 @@
     // All connections are reset.
     void reset_every_connection() {
         auto now = std::chrono::steady_clock::now();
-        for (const auto& [peer, what] : asked_) record_.attempt_closed(what.first, what.second, now);
-        asked_.clear();
+        for (const auto& [peer, what] : in_flight_) record_.attempt_closed(what.first, what.second, now);
+        in_flight_.clear();
         reset_all();
     }
 
-    SoakTrouble trouble;
+    SoakFaults faults;
 
   protected:
     struct Work {
@@ -68,7 +68,7 @@
     bool take(Peer& peer, transport::Buffer& in, std::string& out) override {
         auto body = next_text(peer, in);
         if (!body) return false;
-        if (trouble.down) {
+        if (faults.down) {
             reset(*peer.connection);
             return false;
         }
@@ -77,22 +77,22 @@
             return true;
         }
         if (*body == "SHOW health") {
-            if (!trouble.hangs) out += health(position(), host_.primary);
+            if (!faults.hangs) out += health(position(), host_.primary);
             return true;
         }
         begin(peer, *body);
         return true;
     }
     void left(Peer& peer) override {
-        auto it = asked_.find(&peer);
-        if (it == asked_.end()) return;
+        auto it = in_flight_.find(&peer);
+        if (it == in_flight_.end()) return;
         record_.attempt_closed(it->second.first, it->second.second, std::chrono::steady_clock::now());
-        asked_.erase(it);
+        in_flight_.erase(it);
     }
 
   private:
     std::int64_t now_unix_ms() const { return host_.clock.to_unix(host_.clock.now()) / 1000; }
-    std::int64_t position() const { return now_unix_ms() - (host_.primary ? 0 : trouble.lag.count()); }
+    std::int64_t position() const { return now_unix_ms() - (host_.primary ? 0 : faults.lag.count()); }
     bool draw(double share) { return share > 0 && double(random_() % 100000) < share * 100000; }
 
     void reset_at_work(const Work& work, transport::Connection& connection) {
@@ -103,12 +103,13 @@
     void begin(Peer& peer, const std::string& body) {
         pg::Statement statement = pg::read_statement(body);
         std::string id(statement.field("id").value_or(""));
-        Millis told(std::atoi(std::string(statement.field("d").value_or("0")).c_str()));
-        std::size_t attempt = record_.asked(id, number_, told, std::chrono::steady_clock::now());
-        asked_[&peer] = {id, attempt};
-        if (trouble.hangs) return;
+        Millis deadline(std::atoi(std::string(statement.field("d").value_or("0")).c_str()));
+        std::size_t attempt =
+            record_.attempt_started(id, number_, deadline, std::chrono::steady_clock::now());
+        in_flight_[&peer] = {id, attempt};
+        if (faults.hangs) return;
         auto timer =
-            std::make_shared<boost::asio::steady_timer>(loop_.io, Millis(1 + random_() % 12) + trouble.slow);
+            std::make_shared<boost::asio::steady_timer>(loop_.io, Millis(1 + random_() % 12) + faults.slow);
         Work work{id, body, attempt, peer.connection};
         timer->async_wait([this, timer, work](const boost::system::error_code& ec) {
             if (!ec) finish(work);
@@ -122,34 +123,34 @@
             if (random_() % 2) execute(work);
             return;
         }
-        if (draw(trouble.refuses)) return reject_by_site(work, *connection, "53300");
-        if (draw(trouble.errs)) return answer(work, *connection, error("XX000"));
+        if (draw(faults.refuses)) return reject(work, *connection, "53300");
+        if (draw(faults.errs)) return answer(work, *connection, error("XX000"));
         pg::Statement statement = pg::read_statement(work.body);
         pg::Verb verb = pg::read_verb(statement.body);
-        if (verb.content && !host_.primary) return reject_by_site(work, *connection, "25006");
-        // Hosts check session reads for themselves, but hear of a commit 100 ms late.
+        if (verb.content && !host_.primary) return reject(work, *connection, "25006");
+        // Hosts check session reads for themselves, but know of a commit 100 ms late.
         if (!verb.content && statement.field("c") == "own" &&
             store_.index(verb.name, position()) < store_.index(verb.name, now_unix_ms() - 100))
-            return reject_by_site(work, *connection, "72000");
+            return reject(work, *connection, "72000");
         deliver(work, *connection, execute(work));
     }
 
     void deliver(const Work& work, transport::Connection& connection, std::string bytes) {
-        if (draw(trouble.resets_before)) return reset_at_work(work, connection);
-        if (draw(trouble.garbage)) return answer(work, connection, pg::Writer().complete("SELECT 7").take());
-        if (draw(trouble.resets_within)) {
+        if (draw(faults.resets_before)) return reset_at_work(work, connection);
+        if (draw(faults.garbage)) return answer(work, connection, pg::Writer().complete("SELECT 7").take());
+        if (draw(faults.resets_within)) {
             connection.write(bytes.substr(0, bytes.size() / 2));
             return reset_at_work(work, connection);
         }
-        if (draw(trouble.stops_within)) return connection.write(bytes.substr(0, bytes.size() / 2));
-        if (draw(trouble.takes_back)) {
+        if (draw(faults.stops_within)) return connection.write(bytes.substr(0, bytes.size() / 2));
+        if (draw(faults.errors_after_row)) {
             pg::Writer w;
             w.row_description({{"content", 17, true}}).data_row({"taken back"});
             w.error("ERROR", random_() % 2 ? "53300" : "57P03", "after the row");
             return answer(work, connection, w.ready().take());
         }
         answer(work, connection, std::move(bytes));
-        if (draw(trouble.closes_at_answer) || trouble.closes_idle)
+        if (draw(faults.closes_at_answer) || faults.closes_idle)
             connection.close_after_writing(transport::Connection::Crossing::unread);
     }
 
@@ -160,7 +161,7 @@
         record_.ended(work.id, work.attempt);
         connection.write(std::move(bytes));
     }
-    void reject_by_site(const Work& work, transport::Connection& connection, const char* code) {
+    void reject(const Work& work, transport::Connection& connection, const char* code) {
         record_.executed(work.id, work.attempt, Executed::never);
         answer(work, connection, error(code));
     }
@@ -170,22 +171,23 @@
         pg::Statement statement = pg::read_statement(work.body);
         pg::Verb verb = pg::read_verb(statement.body);
         record_.executed(work.id, work.attempt, Executed::yes);
-        std::int64_t told = position();
+        std::int64_t reported_position = position();
         std::string content;
         if (verb.content) {
             content = pg::unhex(*verb.content).value_or(*verb.content);
             std::string key(statement.field("k").value_or(""));
             if (key.empty() || store_.by_idempotency_key.emplace(key, work.id).second) {
-                told = now_unix_ms() + 1;
-                store_.commits[verb.name].push_back({told, content});
+                reported_position = now_unix_ms() + 1;
+                store_.commits[verb.name].push_back({reported_position, content});
             }
-        } else if (int i = store_.index(verb.name, told); i >= 0) {
+        } else if (int i = store_.index(verb.name, reported_position); i >= 0) {
             content = store_.commits[verb.name][std::size_t(i)].content;
         }
         pg::Writer w;
         w.row_description({{"content", 17, true}}).data_row({content});
         w.complete(verb.content ? "INSERT 0 1" : "SELECT 1");
-        w.parameter("recovery", host_.primary ? "off" : "on").parameter("lsn_ms", std::to_string(told));
+        w.parameter("recovery", host_.primary ? "off" : "on")
+            .parameter("lsn_ms", std::to_string(reported_position));
         return w.ready().take();
     }
 
@@ -193,7 +195,7 @@
     SoakStore& store_;
     std::size_t number_;
     std::mt19937_64 random_;
-    std::map<Peer*, std::pair<std::string, std::size_t>> asked_;
+    std::map<Peer*, std::pair<std::string, std::size_t>> in_flight_;
 };
 
 }  // namespace indigovane::testing
--- a/tests/processes/soak_record.hpp
+++ b/tests/processes/soak_record.hpp
@@ -1,6 +1,6 @@
-// What clients and hosts of a soak run saw, and the invariants that it is judged by. Nothing that a pooler
-// believes is asked. Each rule is worded where it is checked; times have a slack, since the record is kept by
-// one thread beside the processes.
+// What clients and hosts of a soak run saw, and the invariants that it is checked by, independent of the
+// poolers' own state. Each rule is worded where it is checked; times have a slack, since one thread records
+// them beside the processes.
 #pragma once
 
 #include <chrono>
@@ -19,9 +19,9 @@
 // What a class promises, as the poolers' settings have it.
 struct SoakClassRule {
     const char* name;
-    bool may_retry;           // reads without an effect
-    bool keyed;               // repeats in the window are dropped by its hosts
-    Millis deadline, window;  // the window counts from the first send
+    bool may_retry;            // reads without an effect
+    bool has_idempotency_key;  // its hosts drop duplicates within the window
+    Millis deadline, window;   // the window counts from the first send
 };
 constexpr SoakClassRule kSoakClasses[] = {
     {"view", true, false, Millis(800), Millis(0)},
@@ -42,7 +42,7 @@
 
     struct Attempt {
         std::size_t host;
-        SteadyTime asked;
+        SteadyTime started;
         Executed executed = Executed::unknown;
         bool answered = false;               // the host has written a whole answer
         std::optional<SteadyTime> closed{};  // its connection
@@ -67,22 +67,24 @@
         r.left = now;
     }
     // A host has read the whole statement. Returns the attempt's number.
-    std::size_t asked(const std::string& id, std::size_t host, Millis told, SteadyTime now) {
+    std::size_t attempt_started(const std::string& id, std::size_t host, Millis deadline, SteadyTime now) {
         Request& r = requests_[id];
         const SoakClassRule& rule = rule_of(r.request_class);
         for (const Attempt& a : r.attempts) {
             if (a.executed == Executed::never || rule.may_retry) continue;
             // Rule: what may have run runs again only as its class allows, within its window.
-            if (!rule.keyed) breach("duplicate", id);
-            if (rule.keyed && now > r.attempts.front().asked + rule.window + slack_) breach("window", id);
+            if (!rule.has_idempotency_key) breach("duplicate", id);
+            if (rule.has_idempotency_key && now > r.attempts.front().started + rule.window + slack_)
+                breach("window", id);
         }
         // Rule: no attempt begins over 0.1 s after its client closed.
         if (r.gone && now > r.left + Millis(100) + slack_)
             breach("sent after its client had gone",
                    id + text_of(now - r.left) + (r.attempts.empty() ? ", first" : ", further"));
-        // Rule: the time told to a host is at most what the client has left, and 0.15 s.
+        // Rule: the deadline sent to a host is at most what the client has left, and 0.15 s.
         auto left = std::chrono::duration_cast<Millis>(r.sent + rule.deadline - now);
-        if (told > left + Millis(150) + slack_) breach("told too long a deadline", id + text_of(told - left));
+        if (deadline > left + Millis(150) + slack_)
+            breach("told too long a deadline", id + text_of(deadline - left));
         r.attempts.push_back({host, now});
         return r.attempts.size() - 1;
     }
@@ -97,11 +99,11 @@
         requests_[id].attempts[attempt].answered = true;
     }
     // Rule: no two attempts of a request are out on open connections at once. Looked at when all is over.
-    void check_copies() {
+    void check_single_attempts() {
         for (const auto& [id, r] : requests_)
             for (std::size_t i = 0; i + 1 < r.attempts.size(); ++i) {
                 const Attempt& a = r.attempts[i];
-                if (a.answered || (a.closed && *a.closed < r.attempts[i + 1].asked + Millis(50) + slack_))
+                if (a.answered || (a.closed && *a.closed < r.attempts[i + 1].started + Millis(50) + slack_))
                     continue;
                 breach("two attempts out", id);
             }
@@ -131,7 +133,7 @@
         std::string text = std::string(" class ") + rule_of(r.request_class).name;
         if (r.gone) text += ", left" + text_of(r.left - r.sent);
         for (const Attempt& a : r.attempts)
-            text += "; h" + std::to_string(a.host) + " asked" + text_of(a.asked - r.sent) + " executed " +
+            text += "; h" + std::to_string(a.host) + " asked" + text_of(a.started - r.sent) + " executed " +
                     std::to_string(int(a.executed)) + (a.answered ? " answered" : "") +
                     (a.closed ? " closed" + text_of(*a.closed - r.sent) : "");
         return text;
--- a/tests/processes/system_calls_test.cpp
+++ b/tests/processes/system_calls_test.cpp
@@ -49,7 +49,7 @@
                 continue;
             }
             for (int n = 0; n < 4; ++n) {
-                deployment.ask(*client, n % 4 == 0, 1 + round);
+                deployment.request(*client, n % 4 == 0, 1 + round);
                 CHECK(deployment.sent_to() <= 1);
                 if (client->closed) {
                     ++broken;
@@ -75,7 +75,7 @@
     CHECK(calm.answered == 100);
     REQUIRE(calls.injected() == 0);
 
-    auto strike = [&](const char* name) {
+    auto inject = [&](const char* name) {
         CAPTURE(std::string(name));
         Load load{d};
         std::uint32_t injected = calls.injected();
@@ -90,11 +90,11 @@
     };
     for (const Kind& kind : kKinds) {
         (calls.rates().*kind.rate).store(kind.value);
-        strike(kind.name);
+        inject(kind.name);
         calls.none();
     }
     for (const Kind& kind : kKinds) (calls.rates().*kind.rate).store(kind.value / 4);
-    strike("all together");
+    inject("all together");
     calls.none();
     Load after{d};
     after.run(10);
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -24,9 +24,9 @@
     for (int step = 0; step < 20000; ++step) {
         if (dice.below(2)) {
             std::size_t count = dice.below(dice.below(20) ? 300 : 40000);
-            auto room = buffer.prepare(count);
-            REQUIRE(room.size >= count);
-            for (std::size_t i = 0; i < count; ++i) model += room.data[i] = next++;
+            auto space = buffer.prepare(count);
+            REQUIRE(space.size >= count);
+            for (std::size_t i = 0; i < count; ++i) model += space.data[i] = next++;
             buffer.commit(count);
         } else {
             std::size_t count = dice.below(600) + (dice.below(10) ? 0 : 30000);
@@ -105,8 +105,9 @@
     std::string changed = pg::with_deadline(sql, s, "7");
     CHECK(changed ==
           "/* id=9b,c=basket, t=acme,d=7,cluster=2 */ SELECT content FROM kv WHERE name = 'a;''b'");
-    std::string bare = "/* id=1 */ X";
-    CHECK(pg::with_deadline(bare, pg::read_statement(bare), "7") == "/* id=1,d=7 */ X");
+    std::string without_deadline = "/* id=1 */ X";
+    CHECK(pg::with_deadline(without_deadline, pg::read_statement(without_deadline), "7") ==
+          "/* id=1,d=7 */ X");
     CHECK(pg::read_statement("/* a=1 */ SELECT 1; SELECT 2").several);
     CHECK(!pg::read_statement("/* a=1 */ SELECT 1 ; ").several);
     CHECK(pg::read_statement("/* a=1 SELECT 1").malformed);
--- a/tests/support/deployment.hpp
+++ b/tests/support/deployment.hpp
@@ -1,5 +1,4 @@
-// A whole pooler on loopback: both fronts, the core with its module, a backend, and hosts that stand in for
-// members.
+// A complete pooler on loopback: both fronts, the core with its policy, a backend, and stand-in hosts.
 #pragma once
 
 #include "adapters/limited_admission.hpp"
@@ -56,17 +55,22 @@
         return core;
     }
     static routing::CoreLimits limits(std::size_t links) {
-        routing::CoreLimits l;
-        l.keep_left = 0s, l.sweep = 10ms;
-        l.links = links;
-        l.probe_timeout = l.connect_timeout = 2s;
-        return l;
+        routing::CoreLimits limits;
+        limits.keep_left = 0s;
+        limits.sweep = 10ms;
+        limits.links = links;
+        limits.probe_timeout = 2s;
+        limits.connect_timeout = 2s;
+        return limits;
     }
     EndpointInfo endpoint(std::size_t i, EndpointState state) {
-        EndpointInfo m;
-        m.uid = "m" + std::to_string(i), m.address = servers[i]->address();
-        m.group = 3, m.state = state, m.primary = i == 0;
-        return m;
+        EndpointInfo info;
+        info.uid = "m" + std::to_string(i);
+        info.address = servers[i]->address();
+        info.group = 3;
+        info.state = state;
+        info.primary = i == 0;
+        return info;
     }
     int replica_queries() const { return hosts[1].queries + hosts[2].queries; }
 };
--- a/tests/support/discovery.hpp
+++ b/tests/support/discovery.hpp
@@ -1,5 +1,4 @@
-// Discovery as the tests of the list's watch have it: what it answers next, as it stands, and what it was
-// asked.
+// A stand-in discovery service with scripted replies, and a client that watches its endpoint list.
 #pragma once
 
 #include "adapters/pg_backend.hpp"
@@ -9,16 +8,19 @@
 
 namespace indigovane::testing {
 
+// Answers each request with the next of `replies`, and leaves it unanswered when there is none. Requested
+// targets are in the host's `asked`.
 struct Agent : StandIn {
     using StandIn::StandIn;
     bool take(Peer& peer, transport::Buffer& in, std::string& out) override {
-        http::Request r;
+        http::Request request;
         std::size_t length = 0;
-        if (http::Parser({65536, 1 << 20}).request(in.view(), r, length) != http::Next::message) return false;
-        host_.asked.push_back(std::string(r.target));
+        if (http::Parser({65536, 1 << 20}).request(in.view(), request, length) != http::Next::message)
+            return false;
+        host_.asked.push_back(std::string(request.target));
         in.consume(length);
         if (replies.empty()) {
-            peer.waiting = true;  // silence
+            peer.waiting = true;
         } else {
             out += replies.front();
             replies.erase(replies.begin());
@@ -29,7 +31,7 @@
     std::vector<std::string> replies;
 };
 
-// A watch of it. Whatever fails is tried again at once, and what is silent is waited for.
+// A discovery client before an Agent: it retries failures at once, and waits for unresponsive calls.
 struct ListRig {
     Loop loop;
     NullLogger logger;
