--- a/bench/added_bench.cpp
+++ b/bench/added_bench.cpp
@@ -25,7 +25,7 @@
     limits.shares = {{"vilaine", 0.59}, {"rance", 0.41}};
     Deployment<adapters::PgBackend, PgHost> d(64, settings(), open ? &statements : nullptr,
                                               limited ? std::optional(limits) : std::nullopt);
-    for (Host& host : d.hosts) host.open = true;
+    for (Host& host : d.hosts) host.accepts_any_statement = true;
     Client client(d.loop, d.pg.local());
     client.send(pg::Writer().startup("vilaine", "store").take());
     client.reply();
--- a/tests/adapters/peer_link_test.cpp
+++ b/tests/adapters/peer_link_test.cpp
@@ -50,7 +50,8 @@
     CHECK(reported == 40);
 }
 
-TEST_CASE("peer messages: random bytes with a good sum are read or not, and never beyond their end") {
+TEST_CASE(
+    "peer messages: random bytes with a valid checksum are read or dropped, and never beyond their end") {
     Dice dice(5);
     int accepted = 0, dropped = 0;
     for (int i = 0; i < 20000; ++i) {
@@ -98,7 +99,7 @@
     }
 };
 
-TEST_CASE("a peer link drops what is malformed, foreign, doubled or overtaken, and counts it") {
+TEST_CASE("a peer link drops malformed, foreign, duplicated or overtaken datagrams, and counts them") {
     PeerLinkRig rig;
     udp::socket stranger(rig.loop.io, udp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
     rig.deliver(bytes(message(5)), rig.other);
--- a/tests/adapters/pg_backend_test.cpp
+++ b/tests/adapters/pg_backend_test.cpp
@@ -139,7 +139,7 @@
     return answer == complete;
 }
 
-TEST_CASE("pg links: an answer in disorder is a failed attempt, one with more behind it counts") {
+TEST_CASE("pg links: an answer out of order is a failed attempt, one with more behind it counts") {
     Dice dice(41);
     std::unique_ptr<LinkRig> rig;
     int well_formed = 0;
@@ -173,7 +173,7 @@
     CHECK(malformed > 50);
 }
 
-TEST_CASE("pg links: what is no answer, and what it leaves of the connection") {
+TEST_CASE("pg links: a malformed answer is a failed attempt, and its connection is not reused") {
     auto row = [](auto... v) { return pg::Writer().data_row({v...}).take(); };
     std::string head = pg::Writer().row_description({{"content", 17, true}}).take();
     std::string end = pg::Writer().complete("SELECT 1").ready().take();
@@ -195,7 +195,7 @@
     }
 }
 
-TEST_CASE("pg links: a report or position that can't be read spoils nothing but itself") {
+TEST_CASE("pg links: a malformed report or position invalidates nothing but itself") {
     auto whole = good("v");
     auto with = [&](std::string name, std::string value) {
         auto parts = whole;
@@ -281,7 +281,7 @@
     CHECK(!rig.done());
 }
 
-TEST_CASE("pg links: a long value that breaks off or does not fit is none") {
+TEST_CASE("pg links: a long value that breaks off or has the wrong length is a failed attempt") {
     auto parts = good(std::string(200000, 'v'));
     auto malformed = [&](std::string reply, bool begins) {
         LinkRig rig;
@@ -311,7 +311,7 @@
     CHECK(rig.ended == BackendConnection::End::written);
 }
 
-TEST_CASE("pg links: a welcome that is none never comes up; bytes between requests end the connection") {
+TEST_CASE("pg links: a malformed startup never gets ready; bytes between requests end the connection") {
     for (std::string welcome : {std::string("SSH-2.0\r\n"), pg::Writer().ready().take(),
                                 pg::Writer().plain('R', std::string("\0\0\0\3", 4)).take()}) {
         LinkRig rig;
--- a/tests/adapters/pg_request_test.cpp
+++ b/tests/adapters/pg_request_test.cpp
@@ -51,7 +51,7 @@
           "the statement does not fit its class");
 }
 
-TEST_CASE("a request of another wire is written as the statement that it stands for") {
+TEST_CASE("a request of the other protocol is written as the statement that it stands for") {
     routing::ClientRequest request;
     request.verb = routing::ClientRequest::Verb::page;
     request.id = "p1";
--- a/tests/adapters/whole_path_test.cpp
+++ b/tests/adapters/whole_path_test.cpp
@@ -1,4 +1,4 @@
-// Whole paths on loopback: a front, the core with its module, a backend, and hosts that stand in for members.
+// Complete paths on loopback: a front, the core with its policy, a backend, and stand-in hosts.
 #include "support/deployment.hpp"
 
 namespace indigovane::testing {
@@ -59,7 +59,7 @@
             target = next_of(r);
         }
         CHECK(names == all_names(d));
-        CHECK(d.hosts[drained].queries == before);  // nothing new to it from the moment of the news
+        CHECK(d.hosts[drained].queries == before);  // nothing new to it from the moment of the change
         CHECK(pages > 3);
     }
 }
@@ -82,7 +82,7 @@
     CHECK(d.rest.connections() == 0);
 }
 
-TEST_CASE_TEMPLATE("a lagging replica: every page is fresh enough or refused", D, RestDeployment,
+TEST_CASE_TEMPLATE("a lagging replica: every page is fresh enough or rejected", D, RestDeployment,
                    PgDeployment) {
     for (bool checks : {true, false}) {
         D d;
@@ -107,7 +107,7 @@
         }
         CHECK(served >= 1);
         CHECK(refused >= 10);
-        CHECK(d.hosts[0].queries == 0);  // refused, never spilled to the primary
+        CHECK(d.hosts[0].queries == 0);  // rejected, never spilled to the primary
     }
 }
 
@@ -162,7 +162,7 @@
     CHECK(client.reply() == "EZ");  // it has no form there
 }
 
-TEST_CASE_TEMPLATE("refusals, failures and deadlines have their status", D, RestDeployment, PgDeployment) {
+TEST_CASE_TEMPLATE("rejections, failures and deadlines have their status", D, RestDeployment, PgDeployment) {
     D d;
     Client client(d.loop, d.rest.local());
     REQUIRE(client.get(kPage).status == 200);
@@ -179,7 +179,7 @@
     CHECK(client.get("/v1/clusters/9/kv?class=stock-view&wait_ms=400").status >= 503);
 }
 
-TEST_CASE("a write that may have run and can't be repeated is failed, not refused") {
+TEST_CASE("a write that may have run and can't be retried is failed, not rejected") {
     PgDeployment d;
     Client client(d.loop, d.pg.local());
     client.send(pg::Writer().startup("u", "d").take());
@@ -199,7 +199,7 @@
           std::string::npos);
 }
 
-TEST_CASE("a write whose connection does not come up is refused while its client has time left") {
+TEST_CASE("a write whose connection is not established is rejected while its client has time left") {
     PgDeployment d;
     std::vector<boost::asio::ip::tcp::socket> mute;
     transport::Listener listener(d.loop.io, loopback(),
@@ -220,7 +220,7 @@
     CHECK(!client.detail.empty());
 }
 
-TEST_CASE_TEMPLATE("members that come and go are forgotten; one that comes back serves", D, RestDeployment,
+TEST_CASE_TEMPLATE("hosts that leave the list are forgotten; one that returns serves", D, RestDeployment,
                    PgDeployment) {
     D d;
     Client client(d.loop, d.rest.local());
@@ -252,7 +252,7 @@
     }
 }
 
-TEST_CASE("memory for items is given back when they are over") {
+TEST_CASE("memory for requests is released when they end") {
     PgDeployment d;
     CHECK(!d.core.has_capacity(std::size_t(64 << 20) + 1));
     Client client(d.loop, d.rest.local());
@@ -261,7 +261,7 @@
     CHECK(d.core.has_capacity(64 << 20));
 }
 
-TEST_CASE("values of some MiB reach many clients at once, whole") {
+TEST_CASE("values of some MiB reach many clients at once, complete") {
     PgDeployment d;
     std::string value(3 << 20, 'x');
     for (std::size_t i = 0; i < value.size(); i += 4099) value[i] = char(i / 4099);
@@ -283,7 +283,7 @@
     }
     REQUIRE(d.loop.until([&] { return d.core.idle(); }));
     CHECK(d.hosts[0].queries == 0);
-    CHECK(d.replica_queries() == 6);  // none was asked for again
+    CHECK(d.replica_queries() == 6);  // none was retried
 }
 
 TEST_CASE_TEMPLATE("values of some MiB are written, slowly and in pieces, whatever wire the hosts speak", D,
@@ -315,7 +315,7 @@
     CHECK(d.hosts[0].queries == 5);
 }
 
-TEST_CASE("few connections to members: all requests are answered all the same") {
+TEST_CASE("few connections to hosts: all requests are answered all the same") {
     PgDeployment d(3);
     std::vector<std::unique_ptr<Client>> clients;
     for (int i = 0; i < 30; ++i) {
--- a/tests/processes/execution_test.cpp
+++ b/tests/processes/execution_test.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_CASE("execution: a session read whose answer was too old is not run again where its class forbids it") {
+TEST_CASE("execution: a session read whose answer was stale is not retried where its class forbids it") {
     SmallDeployment d(3);
     d.hosts[1].lag_ms = d.hosts[2].lag_ms = 3'600'000;
     for (std::size_t pooler = 0; pooler < 3; ++pooler) {
@@ -32,7 +32,7 @@
     }
 }
 
-TEST_CASE("execution: a host that takes back its row has run the statement all the same") {
+TEST_CASE("execution: a host that sends an error behind its row has run the statement all the same") {
     for (const char* code : {"53300", "57P03", "25006", "72000", "XX000"}) {
         CAPTURE(std::string(code));
         SmallDeployment d(1);
--- a/tests/processes/narrow_test.cpp
+++ b/tests/processes/narrow_test.cpp
@@ -114,7 +114,7 @@
     }
 }
 
-TEST_CASE("narrow processes: all restarted at once are ready, whatever discovery and hosts do") {
+TEST_CASE("narrow processes: all restarted at once get ready, whatever discovery and hosts do") {
     enum class Fault { discovery_down, discovery_unresponsive, hosts_hang };
     for (Fault fault : {Fault::discovery_down, Fault::discovery_unresponsive, Fault::hosts_hang}) {
         Narrow n(6);
--- a/tests/processes/peer_links_test.cpp
+++ b/tests/processes/peer_links_test.cpp
@@ -6,7 +6,7 @@
 namespace indigovane::testing {
 namespace {
 
-// All have seen a primary before: the first that a pooler learns is no news.
+// All have seen a primary before: the first that a pooler learns is no change.
 void begin(Poolers& p) {
     for (std::size_t i = 0; i < p.processes.size(); ++i) CHECK(p.writes(i));
 }
@@ -16,7 +16,7 @@
     for (auto& process : p.processes) CHECK(process->end(SIGTERM) == 0);
 }
 
-TEST_CASE("processes: a new primary that one has seen is looked at by the others") {
+TEST_CASE("processes: a new primary that one has seen is health checked by the others") {
     Poolers p(3);
     begin(p);
     p.make_primary(1);
@@ -46,7 +46,8 @@
     stop(p);
 }
 
-TEST_CASE("processes: doubled and reordered datagrams are taken once, and an overtaken one not at all") {
+TEST_CASE(
+    "processes: duplicated and reordered datagrams are accepted once, and an overtaken one not at all") {
     Poolers p(2);
     begin(p);
     p.relay.fault(0, 1) = {.deliveries = 3, .queue = true};
@@ -64,7 +65,7 @@
     stop(p);
 }
 
-TEST_CASE("processes: one that is stopped wakes up and serves, one that was killed is believed anew") {
+TEST_CASE("processes: a stopped one resumes and serves, a killed one is accepted again after its restart") {
     Poolers p(2);
     begin(p);
     p.processes[1]->send(SIGSTOP);
@@ -83,7 +84,7 @@
     stop(p);
 }
 
-TEST_CASE("processes: strangers, other clusters and noise are not heard, and harm nothing") {
+TEST_CASE("processes: datagrams of strangers, other clusters and noise are dropped, and harm nothing") {
     Poolers p(2);
     begin(p);
     namespace peer = protocol::peer;
--- a/tests/processes/site_test.cpp
+++ b/tests/processes/site_test.cpp
@@ -18,7 +18,7 @@
     REQUIRE(z.until([&] { return z.served >= before + more; }));
 }
 
-TEST_CASE("site processes: silent, every pooler gives it up, asks it nothing, and takes it back by itself") {
+TEST_CASE("site processes: an unresponsive site is ejected by every pooler, sent nothing, and readmitted") {
     Zones z;
     begin(z);
     z.inject(1, {.blocks_responses = true});  // requests sent there arrive, and would be counted
@@ -40,8 +40,8 @@
     z.stop();
 }
 
-// Every lane has a read out that waits for 2 s; the verdict comes sooner, and the others serve every group.
-TEST_CASE("site processes: reads that are out at a site when it is lost are answered by the others") {
+// Every lane has a read in flight with 2 s; the site is ejected sooner, and the others serve every group.
+TEST_CASE("site processes: reads in flight at a site when it is lost are answered by the others") {
     for (bool abandon_unresponsive : {true, false}) {
         Zones z(std::string("least = 2\nrescue = ") + (abandon_unresponsive ? "true\n" : "false\n"));
         begin(z);
@@ -56,7 +56,7 @@
     }
 }
 
-TEST_CASE("site processes: reset, and one that only hears, are given up alike") {
+TEST_CASE("site processes: a site that resets and one whose responses are blocked are ejected alike") {
     for (LinkFault fault : {LinkFault{.reset = true}, LinkFault{.blocks_responses = true}}) {
         Zones z;
         begin(z);
@@ -69,7 +69,7 @@
     }
 }
 
-TEST_CASE("site processes: a flapping cut is taken back later each time") {
+TEST_CASE("site processes: a flapping site is readmitted later each time") {
     Zones z("least = 2\nramp_unsure = \"100ms\"\n");
     begin(z);
     for (int fall = 1; fall <= 2; ++fall) {
@@ -83,7 +83,7 @@
     z.stop();
 }
 
-TEST_CASE("site processes: one whose own link is gone gives nobody up, and the others notice nothing") {
+TEST_CASE("site processes: a pooler without its own link ejects no site, and the others notice nothing") {
     Zones z;
     begin(z);
     for (std::size_t zone = 0; zone < 3; ++zone)
@@ -99,7 +99,8 @@
 }
 
 TEST_CASE(
-    "site processes: a stalled pooler that wakes in the middle of a loss judges by what it hears then") {
+    "site processes: a stalled pooler that resumes in the middle of a loss decides by what it receives "
+    "then") {
     Zones z;
     begin(z);
     z.poolers[4]->send(SIGSTOP);
@@ -123,7 +124,7 @@
     z.stop();
 }
 
-TEST_CASE("site processes: lost while half of the poolers start again, a second loss in the return") {
+TEST_CASE("site processes: a loss while half of the poolers restart, a second loss in the recovery") {
     Zones z;
     begin(z);
     z.inject(1, {.blocks_responses = true, .blocks_requests = true});
@@ -164,8 +165,8 @@
     z.stop();
 }
 
-// What that case checks can fail: with nothing held out, a drained site is asked as before.
-TEST_CASE("site processes: where hosts are not held out, a drained site goes on being asked") {
+// The check of that case can fail: with nothing held out, a drained site receives requests as before.
+TEST_CASE("site processes: where hosts are not held out, a drained site still receives requests") {
     Zones z("least = 2\nhold_out = false\n");
     begin(z);
     for (std::size_t p = 0; p < Zones::kPoolers; ++p)
@@ -177,7 +178,7 @@
     z.stop();
 }
 
-TEST_CASE("site processes: slow links alone, or a trickle, give nobody up") {
+TEST_CASE("site processes: slow links alone, or a trickle, eject no site") {
     for (LinkFault fault : {LinkFault{.slow = 120ms}, LinkFault{.trickle = 24}}) {
         Zones z;
         begin(z);
@@ -186,7 +187,7 @@
         for (std::size_t p = 0; p < Zones::kPoolers; ++p) CHECK(z.became(p, 1, "lost") == 0);
         z.stop();
     }
-    // That this can fail: silence for less than the links take is held to be a loss.
+    // The check can fail: a detection time shorter than the latency of the links takes them for lost.
     Zones z("least = 2\nquiet = \"60ms\"\n");
     begin(z);
     z.inject(1, {.slow = 150ms});
@@ -219,7 +220,7 @@
     z.stop();
 }
 
-TEST_CASE("site processes: back and cold while discovery is out of reach, no host is asked for too much") {
+TEST_CASE("site processes: a recovery in slow start while discovery is unreachable overloads no host") {
     Zones z;
     for (Host& h : z.hosts) h.cores = 4, h.duration_by_prefix["SELECT"] = 20ms;
     begin(z);
@@ -238,7 +239,7 @@
         CHECK(query_times.size() > 10);
         CHECK(!SlowStartRule{200, 0.2, 4, 2.5, 2}.first_breach(query_times));
     }
-    // The starts that discovery tells of when it is back are old by then, and nobody is left again for them.
+    // The starts that discovery reports when it is back are old by then, and cause no second ejection.
     for (std::size_t h : {1, 4, 7}) z.booted[h] = z.hosts[h].position() - 3000;
     z.publish();
     z.reach_lists(true);
@@ -248,7 +249,7 @@
     z.stop();
 }
 
-TEST_CASE("site processes: the rule of cold hosts finds what is too much") {
+TEST_CASE("site processes: the slow start rule detects overload") {
     std::vector<double> query_times;
     for (int i = 0; i < 1600; ++i) query_times.push_back(i * 0.0025);  // 400 a second from the start
     CHECK(SlowStartRule{200, 0.2, 4, 2.5, 2}.first_breach(query_times));
--- a/tests/processes/soak_record.hpp
+++ b/tests/processes/soak_record.hpp
@@ -44,7 +44,7 @@
         std::size_t host;
         SteadyTime started;
         Executed executed = Executed::unknown;
-        bool answered = false;               // the host has written a whole answer
+        bool answered = false;               // the host has written a complete answer
         std::optional<SteadyTime> closed{};  // its connection
     };
     struct Request {
@@ -66,7 +66,7 @@
         r.gone = true;
         r.left = now;
     }
-    // A host has read the whole statement. Returns the attempt's number.
+    // A host has received the complete statement. Returns the attempt's number.
     std::size_t attempt_started(const std::string& id, std::size_t host, Millis deadline, SteadyTime now) {
         Request& r = requests_[id];
         const SoakClassRule& rule = rule_of(r.request_class);
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -39,7 +39,7 @@
     CHECK(buffer.capacity() <= 16384);  // a large block is given back
 }
 
-TEST_CASE("pg: messages come out as they went in, however they are cut") {
+TEST_CASE("pg: messages are read as they were written, however they are split") {
     std::string all = pg::Writer()
                           .query("SELECT 1")
                           .empty_query()
@@ -62,7 +62,7 @@
     CHECK(types == "QICE");
 }
 
-TEST_CASE("pg: lengths are bounded and damage is no crash") {
+TEST_CASE("pg: lengths are bounded and damaged messages do not crash") {
     pg::Message m;
     std::size_t length = 0;
     CHECK(pg::next_message(std::string("Q\0\0\0\3", 5), 100, m, length) == pg::Next::malformed);
@@ -90,7 +90,7 @@
     }
 }
 
-TEST_CASE("pg: the comment's fields, one statement, and what is passed on") {
+TEST_CASE("pg: the comment's fields, one statement, and what is forwarded") {
     std::string sql =
         "/* id=9b,c=basket, t=acme,d=480,cluster=2 */ SELECT content FROM kv WHERE name = 'a;''b'";
     auto s = pg::read_statement(sql);
--- a/tests/statement/statement_properties_test.cpp
+++ b/tests/statement/statement_properties_test.cpp
@@ -41,7 +41,7 @@
 
 // PostgreSQL's own normalisation writes $n for each constant: what stands between them must be what stands
 // between the scanner's spans.
-TEST_CASE("the literals that the scanner finds are those that libpg_query takes out") {
+TEST_CASE("the literals that the scanner finds are those that libpg_query normalizes") {
     CHECK(rc::check([](std::uint64_t seed) {
         std::mt19937_64 random(seed);
         std::string sql = write(StatementGenerator(random).statement(), random);
