--- a/tests/processes/site_harness.hpp
+++ b/tests/processes/site_harness.hpp
@@ -1,171 +1,16 @@
-// Five poolers before three zones of three hosts each, and a relay on every way between a pooler and a host
-// that injects the faults of a case. What clients and hosts received is recorded, and checked by rules at the
-// end of each case.
+// Five poolers before three zones of three hosts each, and a relay between every pooler and every host that
+// injects the faults of a case. What clients and hosts received is recorded, and checked by rules at the end
+// of each case.
 #pragma once
 
-#include <boost/asio/write.hpp>
-
 #include "processes/harness.hpp"
+#include "processes/list_host.hpp"
+#include "processes/slow_start_rule.hpp"
+#include "processes/stream_relay.hpp"
 
 namespace indigovane::testing {
 
-// Faults of the connections between one pooler and one host.
-struct LinkFault {
-    bool blocks_responses = false;      // host to pooler
-    bool blocks_requests = false;       // pooler to host
-    bool reset = false;                 // connections are reset, new ones at once
-    std::chrono::milliseconds slow{0};  // delay of each piece, each way
-    std::size_t trickle = 0;            // bytes at a time, each way; 0: all available
-};
-
-class StreamRelay {
-  public:
-    StreamRelay(Loop& loop, std::string to) : loop_(loop), to_(*transport::parse_socket_address(to)) {
-        listener_ = std::make_unique<transport::Listener>(loop.io, loopback(), [this](auto socket) {
-            ++opened_;
-            auto pair = std::make_shared<Pair>(*this, std::move(socket));
-            pairs_.insert(pair);
-            pair->begin();
-        });
-        listener_->start();
-    }
-    ~StreamRelay() {
-        listener_->close();
-        auto pairs = pairs_;  // closing takes each out of the set
-        for (auto& p : pairs) p->close();
-    }
-    std::string address() const { return text(listener_->local()); }
-    std::size_t opened() const { return opened_; }
-    // Blocked bytes are forwarded once the fault ends: a real network retransmits them.
-    void set(LinkFault way) {
-        way_ = way;
-        auto pairs = pairs_;
-        for (auto& p : pairs) way.reset ? p->close() : p->forward();
-    }
-
-  private:
-    using Tcp = boost::asio::ip::tcp;
-    struct Pair : std::enable_shared_from_this<Pair> {
-        Pair(StreamRelay& r, Tcp::socket s) : relay(r), near(std::move(s)), far(r.loop_.io) {}
-        void begin() {
-            if (relay.way_.reset) return close();
-            far.async_connect(relay.to_, [self = shared_from_this()](const auto& ec) {
-                if (ec) return self->close();
-                self->up = true;
-                self->forward();
-            });
-            read(near, there, in_near);
-        }
-        void read(Tcp::socket& from, std::string& into, std::array<char, 16384>& buffer) {
-            from.async_read_some(boost::asio::buffer(buffer), [self = shared_from_this(), &from, &into,
-                                                               &buffer](const auto& ec, std::size_t n) {
-                if (ec) return self->close();
-                into.append(buffer.data(), n);
-                self->forward();
-                self->read(from, into, buffer);
-            });
-        }
-        void forward() {
-            if (!up || closed) return;
-            if (!std::exchange(reading_far, true)) read(far, back, in_far);
-            const LinkFault& w = relay.way_;
-            if (!w.blocks_requests) pass(far, there, writing_requests);
-            if (!w.blocks_responses) pass(near, back, writing_responses);
-        }
-        // With `trickle` the next piece is sent when the one before is written.
-        void pass(Tcp::socket& to, std::string& bytes, bool& writing) {
-            if (bytes.empty() || writing) return;
-            std::size_t n = writing = relay.way_.trickle;
-            if (n == 0) n = bytes.size();
-            auto piece = std::make_shared<std::string>(bytes.substr(0, n));
-            bytes.erase(0, piece->size());
-            auto timer = std::make_shared<boost::asio::steady_timer>(relay.loop_.io, relay.way_.slow);
-            timer->async_wait([self = shared_from_this(), &to, &writing, piece, timer](const auto&) {
-                if (self->closed) return;
-                boost::asio::async_write(to, boost::asio::buffer(*piece),
-                                         [self, &writing, piece](const auto&, std::size_t) {
-                                             if (std::exchange(writing, false)) self->forward();
-                                         });
-            });
-        }
-        void close() {
-            if (std::exchange(closed, true)) return;
-            boost::system::error_code ec;
-            near.set_option(boost::asio::socket_base::linger(true, 0), ec);  // a reset
-            near.close(ec);
-            far.close(ec);
-            relay.pairs_.erase(shared_from_this());
-        }
-        StreamRelay& relay;
-        Tcp::socket near, far;
-        std::string there, back;
-        std::array<char, 16384> in_near{}, in_far{};
-        bool up = false, closed = false, reading_far = false;
-        bool writing_requests = false, writing_responses = false;
-    };
-    Loop& loop_;
-    transport::SocketAddress to_;
-    LinkFault way_;
-    std::size_t opened_ = 0;
-    std::set<std::shared_ptr<Pair>> pairs_;
-    std::unique_ptr<transport::Listener> listener_;
-};
-
-// Discovery as one pooler sees it. A watch is answered when there is a new list.
-class ListHost : public StandIn {
-  public:
-    using StandIn::StandIn;
-    void publish(std::string list) {
-        targets_ = std::move(list);
-        ++revision_;
-        for (Peer* p : std::exchange(watches_, {})) p->connection->write(reply());
-    }
-
-    bool watched() const { return !watches_.empty(); }  // of the newest list
-
-  protected:
-    bool take(Peer& peer, transport::Buffer& in, std::string& out) override {
-        http::Request r;
-        std::size_t length = 0;
-        if (http::Parser({65536, 8 << 20}).request(in.view(), r, length) != http::Next::message) return false;
-        if (r.target.find("from=" + std::to_string(revision_)) == std::string_view::npos)
-            out += reply();
-        else
-            watches_.insert(&peer);
-        in.consume(length);
-        return true;
-    }
-    void left(Peer& peer) override { watches_.erase(&peer); }
-
-  private:
-    std::string reply() const {
-        return http::write_response(
-            200, {},
-            "{\"rev\":" + std::to_string(revision_) + ",\"all\":true,\"targets\":[" + targets_ + "]}", true);
-    }
-    std::string targets_;
-    int revision_ = 1;
-    std::set<Peer*> watches_;
-};
-
-// Rule: a host in slow start receives no more, from all poolers together, than the settings allow: of
-// `capacity` (a second) a share that grows evenly from `from` to all of it within `ramp`, `multiple` times
-// that in any `window`, and chance beside it (N + 3 x root of N + 3). The first moment that breaks it, in
-// seconds.
-struct SlowStartRule {
-    double capacity, from, ramp, multiple, window;
-    std::optional<double> first_breach(const std::vector<double>& query_times) const {
-        for (std::size_t i = 0, first = 0; i < query_times.size(); ++i) {
-            while (query_times[i] - query_times[first] > window) ++first;
-            // What it can do at the end of the window is the most that it can in it.
-            double share = std::min(1.0, from + (1 - from) * std::max(0.0, query_times[i]) / ramp);
-            double n = multiple * share * capacity * window;
-            if (double(i - first + 1) > n + 3 * std::sqrt(n) + 3) return query_times[i];
-        }
-        return std::nullopt;
-    }
-};
-
+// Five poolers, three zones of three hosts each, and a relay between every pooler and every host.
 struct Zones {
     static constexpr std::size_t kPoolers = 5, kGroups = 3, kZones = 3, kHosts = kGroups * kZones,
                                  kLanes = 4;  // requests in flight at a pooler
@@ -274,38 +119,52 @@
     // Sends a request on every lane that has none in flight, and counts the answers. Each has exactly one: on
     // one connection a second would stand for the next one's, whose value it has not.
     void exchange() {
-        for (std::size_t l = 0; l < clients.size(); ++l) {
-            if (!clients[l]) continue;
-            Client& c = *clients[l];
-            if (!sent[l].name.empty()) {
-                std::size_t end = 0, length = 0;
-                pg::Message m;
-                std::string types, value;
-                while (pg::next_message(std::string_view(c.in).substr(end), 1 << 20, m, length) ==
-                       pg::Next::message) {
-                    end += length;
-                    types += m.type;
-                    if (m.type == 'D') value = (*pg::read_values(m.body))[0].value_or("");
-                    if (m.type == 'Z') break;
-                }
-                if (types.empty() || types.back() != 'Z') continue;
-                c.in.erase(0, end);
-                bool answered = types.find('D') != std::string::npos;
-                if (answered && sent[l].kind != RequestKind::book && value != sent[l].name &&
-                    (sent[l].kind == RequestKind::own || value != kOld))
-                    ++wrong;
-                (answered ? served : rejected)++;
-                if (answered && sent[l].kind == RequestKind::book) ++written[sent[l].group];
-                sent[l].name.clear();
-            }
-            sent[l] = {name_of(std::size_t(ids) % kGroups), RequestKind::view, std::size_t(ids) % kGroups};
-            if (mixed && ids % 8 == 3) sent[l].kind = RequestKind::book, sent[l].name = "7f3a9c21e0b4d655";
-            if (mixed && ids % 8 % 3 == 1) sent[l].kind = RequestKind::own;
-            // A replica that is far behind has another value for everything.
-            for (Host& h : hosts)
-                h.rows[sent[l].name] = h.lag_ms > 10'000 && !h.primary ? kOld : sent[l].name;
-            c.send(pg::Writer().query(statement(sent[l])).take());
+        for (std::size_t lane = 0; lane < clients.size(); ++lane) {
+            if (!clients[lane]) continue;
+            if (!sent[lane].name.empty() && !receive(lane)) continue;
+            send_next(lane);
+        }
+    }
+    // Counts the lane's answer; false: it is not complete yet.
+    bool receive(std::size_t lane) {
+        std::string& in = clients[lane]->in;
+        std::size_t end = 0;
+        std::size_t length = 0;
+        pg::Message message;
+        std::string types;
+        std::string value;
+        while (pg::next_message(std::string_view(in).substr(end), 1 << 20, message, length) ==
+               pg::Next::message) {
+            end += length;
+            types += message.type;
+            if (message.type == 'D') value = (*pg::read_values(message.body))[0].value_or("");
+            if (message.type == 'Z') break;
+        }
+        if (types.empty() || types.back() != 'Z') return false;
+        in.erase(0, end);
+        Sent& request = sent[lane];
+        const bool answered = types.find('D') != std::string::npos;
+        const bool write = request.kind == RequestKind::book;
+        const bool stale_allowed = request.kind == RequestKind::view && value == kOld;
+        if (answered && !write && value != request.name && !stale_allowed) ++wrong;
+        (answered ? served : rejected)++;
+        if (answered && write) ++written[request.group];
+        request.name.clear();
+        return true;
+    }
+    void send_next(std::size_t lane) {
+        const std::size_t group = std::size_t(ids) % kGroups;
+        Sent& request = sent[lane];
+        request = {name_of(group), RequestKind::view, group};
+        if (mixed && ids % 8 == 3) {
+            request.kind = RequestKind::book;
+            request.name = "7f3a9c21e0b4d655";
         }
+        if (mixed && ids % 8 % 3 == 1) request.kind = RequestKind::own;
+        // A replica that is far behind has another value for everything.
+        for (Host& host : hosts)
+            host.rows[request.name] = host.lag_ms > 10'000 && !host.primary ? kOld : request.name;
+        clients[lane]->send(pg::Writer().query(statement(request)).take());
     }
     static constexpr const char* kOld = "from before";
     static std::string name_of(std::size_t group) { return "000000000000000" + std::to_string(group + 1); }
