--- a/tests/adapters/limited_admission_test.cpp
+++ b/tests/adapters/limited_admission_test.cpp
@@ -27,7 +27,7 @@
 
 TEST_CASE(
     "a request queued in the limiter keeps its class across a reload, or is rejected if the class is gone") {
-    for (bool class_kept : {true, false}) {
+    for (bool class_exists : {true, false}) {
         Loop loop;
         routing::Clock clock;
         PendingAdmission core;
@@ -44,14 +44,14 @@
         REQUIRE(core.requests.size() == 1);  // "2" is queued
         // Class 2 is 0 from now on, what was 0 is 2: as "0" of before it would be a write of another effect.
         using Ids = std::vector<std::optional<routing::ClassId>>;
-        limited.renumber(class_kept ? Ids{routing::ClassId{2}, routing::ClassId{1}, routing::ClassId{0}}
-                                    : Ids{routing::ClassId{0}, routing::ClassId{1}});
+        limited.renumber(class_exists ? Ids{routing::ClassId{2}, routing::ClassId{1}, routing::ClassId{0}}
+                                      : Ids{routing::ClassId{0}, routing::ClassId{1}});
         core.responders[0]->served({});
         loop.settle();
-        CHECK(core.requests.size() == (class_kept ? 2 : 1));
-        if (class_kept) CHECK(core.requests.back().request_class == routing::ClassId{0});
-        CHECK(second.answers == (class_kept ? 0 : 1));
-        CHECK(second.rejected != class_kept);
+        CHECK(core.requests.size() == (class_exists ? 2 : 1));
+        if (class_exists) CHECK(core.requests.back().request_class == routing::ClassId{0});
+        CHECK(second.answers == (class_exists ? 0 : 1));
+        CHECK(second.rejected != class_exists);
     }
 }
 
--- a/tests/adapters/open_statements_test.cpp
+++ b/tests/adapters/open_statements_test.cpp
@@ -36,13 +36,13 @@
 }
 struct Rig {
     adapters::Statements statements_;
-    PgDeployment d;
+    PgDeployment pooler;
     explicit Rig(std::optional<limits::Settings> by_cost = std::nullopt, const std::string& rules = kRules)
-        : statements_(statements(rules)), d(64, with_log(), &statements_, by_cost) {
-        auto all = d.known.all();
+        : statements_(statements(rules)), pooler(64, with_log(), &statements_, by_cost) {
+        auto all = pooler.known.all();
         all.push_back({"log", routing::ClassId{3}, 4s, true, false, false});
-        d.known = adapters::Classes(all);
-        for (Host& host : d.hosts) host.accepts_any_statement = true;
+        pooler.known = adapters::Classes(all);
+        for (Host& host : pooler.hosts) host.accepts_any_statement = true;
     }
 };
 struct PgClient : Client {
@@ -59,19 +59,19 @@
 
 TEST_CASE("any single statement passes: plain reads to replicas, all that may write to the primary") {
     Rig rig;
-    PgClient client(rig.d.loop, rig.d.pg.local());
+    PgClient client(rig.pooler.loop, rig.pooler.pg.local());
     CHECK(client.request("SELECT a, b FROM stock WHERE x = 'it''s'") == "TDDCZ");
-    CHECK(rig.d.replica_queries() == 1);
+    CHECK(rig.pooler.replica_queries() == 1);
     for (const char* sql : {"DELETE FROM stock", "SELECT nextval('s')",
                             "SELECT a FROM t ORDER BY abs(app.burn(1))", "SELECT unknown_function(1)",
                             "SELECT a FROM t FOR UPDATE", "WITH x AS (DELETE FROM t RETURNING 1) SELECT 1",
                             "SELECT t.burn FROM app.t", "EXPLAIN ANALYZE UPDATE t SET a = 1"}) {
-        int before = rig.d.hosts[0].queries;
+        int before = rig.pooler.hosts[0].queries;
         CHECK(client.request(sql) == "TDDCZ");
-        CHECK_MESSAGE(rig.d.hosts[0].queries == before + 1, sql);
-        CHECK(rig.d.hosts[0].asked.back() == sql);  // byte for byte
+        CHECK_MESSAGE(rig.pooler.hosts[0].queries == before + 1, sql);
+        CHECK(rig.pooler.hosts[0].asked.back() == sql);  // byte for byte
     }
-    CHECK(rig.d.replica_queries() == 1);
+    CHECK(rig.pooler.replica_queries() == 1);
     for (auto [sql, code] : {std::pair{"BEGIN", "0A000"},
                              {"LISTEN c", "0A000"},
                              {"SELECT 1; SELECT 2", "42601"},
@@ -90,7 +90,7 @@
 // The complete corpus through the front: replicas receive plain reads only, rejected statements are not sent.
 TEST_CASE("the corpus over a socket: no replica is sent what may write") {
     Rig rig;
-    auto client = std::make_unique<PgClient>(rig.d.loop, rig.d.pg.local());
+    auto client = std::make_unique<PgClient>(rig.pooler.loop, rig.pooler.pg.local());
     std::ifstream in(CORPUS);
     std::string line;
     int sent = 0;
@@ -104,11 +104,11 @@
             sql.substr(0, 7) == "DISCARD" ||
             pg::read_verb(pg::read_statement(sql).body).kind != pg::Verb::Kind::other)
             continue;
-        int replicas = rig.d.replica_queries(), primary = rig.d.hosts[0].queries;
+        int replicas = rig.pooler.replica_queries(), primary = rig.pooler.hosts[0].queries;
         std::string reply = client->request(sql);
         CHECK_MESSAGE(reply == (route == "refuse" ? "EZ" : "TDDCZ"), sql);
-        CHECK_MESSAGE(rig.d.replica_queries() - replicas == (route == "replica" ? 1 : 0), sql);
-        CHECK_MESSAGE(rig.d.hosts[0].queries - primary == (route == "primary" ? 1 : 0), sql);
+        CHECK_MESSAGE(rig.pooler.replica_queries() - replicas == (route == "replica" ? 1 : 0), sql);
+        CHECK_MESSAGE(rig.pooler.hosts[0].queries - primary == (route == "primary" ? 1 : 0), sql);
         ++sent;
     }
     CHECK(sent > 400);
@@ -116,31 +116,31 @@
 
 TEST_CASE("a class that contradicts the statement: never a replica, a clean error where it can't be had") {
     Rig rig;
-    PgClient client(rig.d.loop, rig.d.pg.local());
+    PgClient client(rig.pooler.loop, rig.pooler.pg.local());
     CHECK(client.request("/* id=1,c=stock-view,cluster=3 */ DELETE FROM t") ==
           "TDDCZ");  // as log, at the primary
-    CHECK(rig.d.replica_queries() == 0);
-    CHECK(rig.d.hosts[0].queries == 1);
+    CHECK(rig.pooler.replica_queries() == 0);
+    CHECK(rig.pooler.hosts[0].queries == 1);
     CHECK(client.request("/* id=2,c=scan-write,cluster=3 */ DELETE FROM t") ==
           "EZ");  // keyed, without its key
     CHECK(client.code == "22023");
     CHECK(client.request("/* id=3,c=scan-write,k=7,cluster=3 */ DELETE FROM t") == "TDDCZ");
     CHECK(client.request("/* id=4,c=nonsense,cluster=3 */ SELECT 1") == "EZ");
     Rig none(std::nullopt, "[statements]\nopen = true\ngroup = 3\nread_class = \"stock-view\"\n");
-    PgClient other(none.d.loop, none.d.pg.local());
+    PgClient other(none.pooler.loop, none.pooler.pg.local());
     CHECK(other.request("DELETE FROM t") == "EZ");
     CHECK(other.code == "22023");
-    CHECK(none.d.hosts[0].queries + none.d.replica_queries() == 0);
+    CHECK(none.pooler.hosts[0].queries + none.pooler.replica_queries() == 0);
 }
 
 TEST_CASE("a statement's own error is its answer, a host's fault is not; it is sent once") {
     Rig rig;
-    for (Host& host : rig.d.hosts)
+    for (Host& host : rig.pooler.hosts)
         host.sqlstate_by_prefix = {{"SELECT mistake", "42703"}, {"DELETE", ""}, {"SELECT broken", "XX000"}};
-    PgClient client(rig.d.loop, rig.d.pg.local());
+    PgClient client(rig.pooler.loop, rig.pooler.pg.local());
     CHECK(client.request("SELECT mistake FROM t") == "EZ");
     CHECK(client.code == "42703");
-    CHECK(rig.d.replica_queries() == 1);
+    CHECK(rig.pooler.replica_queries() == 1);
     CHECK(client.request("DELETE FROM t") == "CZ");
     CHECK(client.request("SELECT 1 AS still_there") == "TDDCZ");
     CHECK(client.request("SELECT broken FROM t") == "EZ");
@@ -151,11 +151,11 @@
 TEST_CASE(
     "a connection that names no session sees its own writes, though the hosts report no commit position") {
     Rig rig(std::nullopt, std::string(kRules) + "[[class]]\nname = \"own-order\"\ntables = [\"orders\"]\n");
-    for (Host& host : rig.d.hosts) {
+    for (Host& host : rig.pooler.hosts) {
         host.lag_ms = 60000;
         host.sqlstate_by_prefix = {{"UPDATE", ""}};
     }
-    PgClient client(rig.d.loop, rig.d.pg.local()), other(rig.d.loop, rig.d.pg.local());
+    PgClient client(rig.pooler.loop, rig.pooler.pg.local()), other(rig.pooler.loop, rig.pooler.pg.local());
     CHECK(client.request("UPDATE orders SET a = 1") == "CZ");
     for (int i = 0; i < 8; ++i) {
         CHECK(client.request("SELECT a FROM orders") == "TDDCZ");
@@ -198,35 +198,35 @@
     limited.trial = 1;
     limited.wait = 10s;
     Rig rig(limited);
-    for (Host& host : rig.d.hosts) host.duration_by_prefix = {{"SELECT a", 30ms}};
-    PgClient one(rig.d.loop, rig.d.pg.local()), two(rig.d.loop, rig.d.pg.local());
+    for (Host& host : rig.pooler.hosts) host.duration_by_prefix = {{"SELECT a", 30ms}};
+    PgClient one(rig.pooler.loop, rig.pooler.pg.local()), two(rig.pooler.loop, rig.pooler.pg.local());
     one.send(pg::Writer().query("SELECT a FROM t").take());
     two.send(pg::Writer().query("SELECT a FROM t").take());
-    REQUIRE(rig.d.loop.until([&] { return rig.d.limited->limiter().queued() == 1; }));
+    REQUIRE(rig.pooler.loop.until([&] { return rig.pooler.limited->limiter().queued() == 1; }));
     auto c = program::parse_statement_config(
         "[statements]\nopen = true\ngroup = 3\nwrite_class = \"log\"\n[[relation]]\nname = \"t\"\n", "t");
     rig.statements_.set(std::move(c.rules), {c.open, c.group, c.read_class, c.primary_class, c.write_class});
     limited.work = 1ms;
-    rig.d.limited->set(limited);
+    rig.pooler.limited->set(limited);
     CHECK(one.reply() == "TDDCZ");
     CHECK(two.reply() == "TDDCZ");
-    CHECK(rig.d.replica_queries() == 2);
+    CHECK(rig.pooler.replica_queries() == 2);
     CHECK(one.request("SELECT a FROM t") == "TDDCZ");
-    CHECK(rig.d.hosts[0].queries == 1);  // a relation with effects now
+    CHECK(rig.pooler.hosts[0].queries == 1);  // a relation with effects now
 }
 
 TEST_CASE("a connection that is handed over to another process keeps its user, and so its share") {
     Rig rig(limits::Settings{});
-    auto client = std::make_unique<PgClient>(rig.d.loop, rig.d.pg.local(), "rance");
+    auto client = std::make_unique<PgClient>(rig.pooler.loop, rig.pooler.pg.local(), "rance");
     std::vector<routing::ClientHandover> parcels;
-    REQUIRE(rig.d.loop.until([&] {
-        rig.d.pg.hand_over([&](routing::ClientHandover p) { parcels.push_back(std::move(p)); });
+    REQUIRE(rig.pooler.loop.until([&] {
+        rig.pooler.pg.hand_over([&](routing::ClientHandover p) { parcels.push_back(std::move(p)); });
         return !parcels.empty();
     }));
     CHECK(parcels[0].note == "rance");
-    rig.d.pg.take_over(std::move(parcels[0]));
+    rig.pooler.pg.take_over(std::move(parcels[0]));
     CHECK(client->request("SELECT a FROM t") == "TDDCZ");
-    CHECK(rig.d.limited->limiter().top(1, limits::Time::max())[0].tenant == "rance");
+    CHECK(rig.pooler.limited->limiter().top(1, limits::Time::max())[0].tenant == "rance");
 }
 
 limits::Settings by_cost() {
@@ -245,16 +245,17 @@
     limited.queue = 4;
     limited.trial = 1;
     Rig rig(limited);
-    for (Host& host : rig.d.hosts) host.duration_by_prefix = {{"SELECT a", 5ms}, {"SELECT content", 5ms}};
+    for (Host& host : rig.pooler.hosts)
+        host.duration_by_prefix = {{"SELECT a", 5ms}, {"SELECT content", 5ms}};
     Dice dice(5);
     for (int round = 0; round < 30; ++round) {
         std::vector<std::unique_ptr<PgClient>> clients;
         for (int i = 0; i < 8; ++i) {
-            clients.push_back(
-                std::make_unique<PgClient>(rig.d.loop, rig.d.pg.local(), i % 2 ? "rance" : "vilaine"));
+            clients.push_back(std::make_unique<PgClient>(rig.pooler.loop, rig.pooler.pg.local(),
+                                                         i % 2 ? "rance" : "vilaine"));
             clients.back()->send(pg::Writer().query("SELECT a" + std::to_string(i) + " FROM t").take());
         }
-        Client web(rig.d.loop, rig.d.rest.local());
+        Client web(rig.pooler.loop, rig.pooler.rest.local());
         web.send(http::write_request("GET", "/v1/clusters/3/kv/r100?class=stock-view&tenant=rance", "t", {}));
         if (dice.below(2))
             clients.erase(clients.begin() + std::ptrdiff_t(dice.below(8)));  // waiting, or in hand
@@ -265,14 +266,14 @@
                 CHECK(c->code == "53300");
                 CHECK(std::stoi(c->detail) >= 20);  // when to retry
             }
-            rig.d.loop.settle();
+            rig.pooler.loop.settle();
             CHECK(c->in.empty());  // and no second answer
         }
         int status = web.response().status;
         CHECK((status == 200 || status == 503));
     }
-    REQUIRE(rig.d.loop.until([&] { return rig.d.limited->idle() && rig.d.core.idle(); }));
-    CHECK(rig.d.limited->limiter().work_in_flight(3) == limits::Duration::zero());
+    REQUIRE(rig.pooler.loop.until([&] { return rig.pooler.limited->idle() && rig.pooler.core.idle(); }));
+    CHECK(rig.pooler.limited->limiter().work_in_flight(3) == limits::Duration::zero());
 }
 
 TEST_CASE("a request that is cancelled while queued releases its place, and its id may be used again") {
@@ -281,20 +282,20 @@
     limited.wait = 10s;
     limited.trial = 1;
     Rig rig(limited);
-    for (Host& host : rig.d.hosts) host.silent = true;
-    PgClient first(rig.d.loop, rig.d.pg.local());
+    for (Host& host : rig.pooler.hosts) host.silent = true;
+    PgClient first(rig.pooler.loop, rig.pooler.pg.local());
     first.send(pg::Writer().query("SELECT a FROM t").take());
-    REQUIRE(rig.d.loop.until([&] { return rig.d.replica_queries() == 1; }));
-    auto second = std::make_unique<PgClient>(rig.d.loop, rig.d.pg.local());
+    REQUIRE(rig.pooler.loop.until([&] { return rig.pooler.replica_queries() == 1; }));
+    auto second = std::make_unique<PgClient>(rig.pooler.loop, rig.pooler.pg.local());
     std::string sql = "/* id=77,c=stock-view,cluster=3 */ SELECT a FROM t";
     second->send(pg::Writer().query(sql).take());
-    REQUIRE(rig.d.loop.until([&] { return rig.d.limited->limiter().queued() == 1; }));
-    CHECK(rig.d.limited->is_open("77"));
+    REQUIRE(rig.pooler.loop.until([&] { return rig.pooler.limited->limiter().queued() == 1; }));
+    CHECK(rig.pooler.limited->is_open("77"));
     second.reset();
-    REQUIRE(rig.d.loop.until([&] { return rig.d.limited->limiter().queued() == 0; }));
-    CHECK_FALSE(rig.d.limited->is_open("77"));
+    REQUIRE(rig.pooler.loop.until([&] { return rig.pooler.limited->limiter().queued() == 0; }));
+    CHECK_FALSE(rig.pooler.limited->is_open("77"));
     first.connection->close();
-    REQUIRE(rig.d.loop.until([&] { return true; }));
+    REQUIRE(rig.pooler.loop.until([&] { return true; }));
 }
 
 // ---- crowding ------------------------------------------------------------------------------------
@@ -307,16 +308,17 @@
     s.work = 240ms, s.costly = 100ms;  // six cores, each with some 40 ms before it
     s.shares = {{"vilaine", 0.59}, {"rance", 0.41}};
     Rig rig(limited ? std::optional(s) : std::nullopt, rules);
-    for (Host& host : rig.d.hosts) {
+    for (Host& host : rig.pooler.hosts) {
         host.cores = 2;
         host.duration_by_prefix = {{"SELECT a FROM orders", 15ms}, {"SELECT sum", 250ms}};
     }
     std::vector<std::unique_ptr<PgClient>> readers, costly_clients;
     for (int i = 0; i < 6; ++i)
-        readers.push_back(std::make_unique<PgClient>(rig.d.loop, rig.d.pg.local(), "vilaine"));
+        readers.push_back(std::make_unique<PgClient>(rig.pooler.loop, rig.pooler.pg.local(), "vilaine"));
     if (costly)
         for (int i = 0; i < 40; ++i)
-            costly_clients.push_back(std::make_unique<PgClient>(rig.d.loop, rig.d.pg.local(), "rance"));
+            costly_clients.push_back(
+                std::make_unique<PgClient>(rig.pooler.loop, rig.pooler.pg.local(), "rance"));
     auto sent = std::vector<std::chrono::steady_clock::time_point>(readers.size());
     int in_time = 0, all = 0;
     auto began = std::chrono::steady_clock::now();
@@ -334,7 +336,7 @@
         sent[i] = began;
     }
     auto measured = began + 1500ms, end = began + 4500ms;
-    rig.d.loop.until([&] {
+    rig.pooler.loop.until([&] {
         auto now = std::chrono::steady_clock::now();
         for (std::size_t i = 0; i < costly_clients.size(); ++i)
             if (answered(*costly_clients[i])) {
--- a/tests/adapters/peer_link_test.cpp
+++ b/tests/adapters/peer_link_test.cpp
@@ -145,31 +145,31 @@
 }
 
 TEST_CASE("a core reports a change of primary once, and gossip makes it send a health check, no more") {
-    Deployment<adapters::PgBackend, PgHost> d;
+    Deployment<adapters::PgBackend, PgHost> pooler;
     std::vector<std::string> reported;
-    d.core.on_primary([&](const EndpointInfo& m, routing::Time) { reported.push_back(m.uid); });
-    auto now = [&] { return d.clock.to_unix(d.clock.now()); };
-    CHECK_FALSE(d.core.on_primary_gossip("nobody", 3, now()));
-    CHECK_FALSE(d.core.on_primary_gossip("m1", 4, now()));               // of another group
-    CHECK_FALSE(d.core.on_primary_gossip("m1", 3, now() - 60'000'000));  // old
-    CHECK_FALSE(d.core.on_primary_gossip("m1", 3, now() + 60'000'000));
-    int before = d.hosts[1].probes;
-    CHECK(d.core.on_primary_gossip("m1", 3, now()));
-    REQUIRE(d.loop.until([&] { return d.hosts[1].probes > before; }));
+    pooler.core.on_primary([&](const EndpointInfo& m, routing::Time) { reported.push_back(m.uid); });
+    auto now = [&] { return pooler.clock.to_unix(pooler.clock.now()); };
+    CHECK_FALSE(pooler.core.on_primary_gossip("nobody", 3, now()));
+    CHECK_FALSE(pooler.core.on_primary_gossip("m1", 4, now()));               // of another group
+    CHECK_FALSE(pooler.core.on_primary_gossip("m1", 3, now() - 60'000'000));  // old
+    CHECK_FALSE(pooler.core.on_primary_gossip("m1", 3, now() + 60'000'000));
+    int before = pooler.hosts[1].probes;
+    CHECK(pooler.core.on_primary_gossip("m1", 3, now()));
+    REQUIRE(pooler.loop.until([&] { return pooler.hosts[1].probes > before; }));
     CHECK(reported.empty());  // it has no evidence of its own
     // The first primary that it sees itself is no change, the next one is.
-    d.hosts[0].primary = false;
-    d.hosts[1].primary = true;
-    before = d.hosts[1].probes;
-    CHECK(d.core.on_primary_gossip("m1", 3, now()));
-    REQUIRE(d.loop.until([&] { return d.hosts[1].probes > before; }));
+    pooler.hosts[0].primary = false;
+    pooler.hosts[1].primary = true;
+    before = pooler.hosts[1].probes;
+    CHECK(pooler.core.on_primary_gossip("m1", 3, now()));
+    REQUIRE(pooler.loop.until([&] { return pooler.hosts[1].probes > before; }));
     std::this_thread::sleep_for(5ms);  // a report has milliseconds, and the next is to be newer
-    d.loop.settle();
-    d.hosts[1].primary = false;
-    d.hosts[2].primary = true;
-    before = d.hosts[2].probes;
-    CHECK(d.core.on_primary_gossip("m2", 3, now()));
-    REQUIRE(d.loop.until([&] { return !reported.empty(); }));
+    pooler.loop.settle();
+    pooler.hosts[1].primary = false;
+    pooler.hosts[2].primary = true;
+    before = pooler.hosts[2].probes;
+    CHECK(pooler.core.on_primary_gossip("m2", 3, now()));
+    REQUIRE(pooler.loop.until([&] { return !reported.empty(); }));
     CHECK(reported == std::vector<std::string>{"m2"});
 }
 
--- a/tests/adapters/whole_path_test.cpp
+++ b/tests/adapters/whole_path_test.cpp
@@ -19,15 +19,15 @@
     for (auto& item : body["items"]) names.push_back(item["name"]);
 }
 template <typename D>
-std::vector<std::string> all_names(const D& d) {
+std::vector<std::string> all_names(const D& pooler) {
     std::vector<std::string> names;
-    for (auto& [name, content] : d.hosts[0].rows) names.push_back(name);
+    for (auto& [name, content] : pooler.hosts[0].rows) names.push_back(name);
     return names;
 }
 
 TEST_CASE_TEMPLATE("a walk sees every row once, with hosts of either wire", D, RestDeployment, PgDeployment) {
-    D d;
-    Client client(d.loop, d.rest.local());
+    D pooler;
+    Client client(pooler.loop, pooler.rest.local());
     std::vector<std::string> names;
     for (std::string target = kPage + "&limit=5"; !target.empty();) {
         auto r = client.get(target);
@@ -36,67 +36,69 @@
         collect(client, names);
         target = next_of(r);
     }
-    CHECK(names == all_names(d));
-    CHECK(d.hosts[0].queries == 0);  // bounded reads stay off the primary
+    CHECK(names == all_names(pooler));
+    CHECK(pooler.hosts[0].queries == 0);  // bounded reads stay off the primary
     CHECK(client.get("/v1/clusters/3/kv/r105?class=own-order&session=s1").status == 200);
     CHECK(client.body == "value5");
 }
 
 TEST_CASE_TEMPLATE("a replica drained in the middle of a walk", D, RestDeployment, PgDeployment) {
     for (std::size_t drained : {1, 2}) {
-        D d;
-        Client client(d.loop, d.rest.local());
+        D pooler;
+        Client client(pooler.loop, pooler.rest.local());
         std::vector<std::string> names;
         int pages = 0, before = 0;
         for (std::string target = kPage + "&limit=3"; !target.empty(); ++pages) {
             if (pages == 3) {
-                before = d.hosts[drained].queries;
-                d.core.list(EndpointListKind::changes, {d.endpoint(drained, EndpointState::draining)});
+                before = pooler.hosts[drained].queries;
+                pooler.core.list(EndpointListKind::changes,
+                                 {pooler.endpoint(drained, EndpointState::draining)});
             }
             auto r = client.get(target);
             REQUIRE(r.status == 200);
             collect(client, names);
             target = next_of(r);
         }
-        CHECK(names == all_names(d));
-        CHECK(d.hosts[drained].queries == before);  // nothing new to it from the moment of the change
+        CHECK(names == all_names(pooler));
+        CHECK(pooler.hosts[drained].queries == before);  // nothing new to it from the moment of the change
         CHECK(pages > 3);
     }
 }
 
 TEST_CASE_TEMPLATE("a client that abandons page three", D, RestDeployment, PgDeployment) {
-    D d;
+    D pooler;
     std::string target = kPage + "&limit=3";
     {
-        Client client(d.loop, d.rest.local());
+        Client client(pooler.loop, pooler.rest.local());
         for (int page = 0; page < 2; ++page) target = next_of(client.get(target));
-        d.hosts[1].silent = d.hosts[2].silent = true;
-        int before = d.replica_queries();
+        pooler.hosts[1].silent = pooler.hosts[2].silent = true;
+        int before = pooler.replica_queries();
         client.send(http::write_request("GET", target, "test", {}));
-        REQUIRE(d.loop.until([&] { return d.replica_queries() == before + 1; }));
+        REQUIRE(pooler.loop.until([&] { return pooler.replica_queries() == before + 1; }));
     }
-    int sent = d.replica_queries() + d.hosts[0].queries;
-    REQUIRE(d.loop.until([&] { return d.hosts[1].abandoned + d.hosts[2].abandoned == 1 && d.core.idle(); }));
-    d.loop.settle();
-    CHECK(d.replica_queries() + d.hosts[0].queries == sent);
-    CHECK(d.rest.connections() == 0);
+    int sent = pooler.replica_queries() + pooler.hosts[0].queries;
+    REQUIRE(pooler.loop.until(
+        [&] { return pooler.hosts[1].abandoned + pooler.hosts[2].abandoned == 1 && pooler.core.idle(); }));
+    pooler.loop.settle();
+    CHECK(pooler.replica_queries() + pooler.hosts[0].queries == sent);
+    CHECK(pooler.rest.connections() == 0);
 }
 
 TEST_CASE_TEMPLATE("a lagging replica: every page is fresh enough or rejected", D, RestDeployment,
                    PgDeployment) {
     for (bool checks : {true, false}) {
-        D d;
-        Client client(d.loop, d.rest.local());
+        D pooler;
+        Client client(pooler.loop, pooler.rest.local());
         REQUIRE(client.get(kPage).status == 200);
-        d.hosts[1].checks = d.hosts[2].checks = checks;
-        d.hosts[1].lag_ms = 60000;
+        pooler.hosts[1].checks = pooler.hosts[2].checks = checks;
+        pooler.hosts[1].lag_ms = 60000;
         int served = 0, refused = 0;
         for (int i = 0; i < 20; ++i) {
-            if (i == 10) d.hosts[2].lag_ms = 60000;  // from here on none is fresh enough
+            if (i == 10) pooler.hosts[2].lag_ms = 60000;  // from here on none is fresh enough
             auto r = client.get(kPage + "&wait_ms=700");
             if (r.status == 200) {
                 ++served;
-                std::int64_t age = d.clock.to_unix(d.clock.now()) / 1000 -
+                std::int64_t age = pooler.clock.to_unix(pooler.clock.now()) / 1000 -
                                    std::stoll(std::string(*r.field("data-position")));
                 CHECK(age < 60000);
                 CHECK(i < 10);
@@ -107,25 +109,25 @@
         }
         CHECK(served >= 1);
         CHECK(refused >= 10);
-        CHECK(d.hosts[0].queries == 0);  // rejected, never spilled to the primary
+        CHECK(pooler.hosts[0].queries == 0);  // rejected, never spilled to the primary
     }
 }
 
 TEST_CASE("a bound is 50 ms longer on sockets, a session's token is not") {
     for (auto [lag, status] : {std::pair{3040, 200}, {3390, 503}}) {
-        PgDeployment d;
-        d.hosts[1].checks = d.hosts[2].checks = false;
-        d.hosts[1].lag_ms = d.hosts[2].lag_ms = lag;
-        Client client(d.loop, d.rest.local());
+        PgDeployment pooler;
+        pooler.hosts[1].checks = pooler.hosts[2].checks = false;
+        pooler.hosts[1].lag_ms = pooler.hosts[2].lag_ms = lag;
+        Client client(pooler.loop, pooler.rest.local());
         CHECK(client.get(kPage).status == status);
-        CHECK(d.replica_queries() > 0);
+        CHECK(pooler.replica_queries() > 0);
     }
 }
 
 TEST_CASE("what was written through a pooler is seen by its session's pages, or they go to the primary") {
-    RestDeployment d;
-    d.hosts[1].lag_ms = d.hosts[2].lag_ms = 2500;
-    Client writer(d.loop, d.pg.local());
+    RestDeployment pooler;
+    pooler.hosts[1].lag_ms = pooler.hosts[2].lag_ms = 2500;
+    Client writer(pooler.loop, pooler.pg.local());
     writer.send(pg::Writer()
                     .startup("u", "d")
                     .query("/* id=1,c=scan-write,t=a,d=3000,k=k1,cluster=3 */ INSERT INTO kv (name, content) "
@@ -134,16 +136,16 @@
     CHECK(writer.reply() == "RZ");
     CHECK(writer.reply() == "TDCZ");
     CHECK(writer.value == "hi");
-    CHECK(d.hosts[0].asked.at(0) == "PUT /v1/clusters/3/kv/abc");
-    Client reader(d.loop, d.rest.local());
+    CHECK(pooler.hosts[0].asked.at(0) == "PUT /v1/clusters/3/kv/abc");
+    Client reader(pooler.loop, pooler.rest.local());
     REQUIRE(reader.get("/v1/clusters/3/kv/abc?class=own-order&session=abc").status == 200);
     CHECK(reader.body == "hi");
-    CHECK(d.hosts[0].queries == 2);
+    CHECK(pooler.hosts[0].queries == 2);
 }
 
 TEST_CASE("an old client of the PostgreSQL wire reaches a REST host") {
-    RestDeployment d;
-    Client client(d.loop, d.pg.local());
+    RestDeployment pooler;
+    Client client(pooler.loop, pooler.pg.local());
     client.send(pg::Writer().startup("u", "d").take());
     CHECK(client.reply() == "RZ");
     client.send(
@@ -163,15 +165,15 @@
 }
 
 TEST_CASE_TEMPLATE("rejections, failures and deadlines have their status", D, RestDeployment, PgDeployment) {
-    D d;
-    Client client(d.loop, d.rest.local());
+    D pooler;
+    Client client(pooler.loop, pooler.rest.local());
     REQUIRE(client.get(kPage).status == 200);
-    for (Host& h : d.hosts) h.silent = true;
+    for (Host& h : pooler.hosts) h.silent = true;
     auto r = client.get(kPage + "&wait_ms=300");
     CHECK(r.status == 504);
     CHECK(r.field("content-type") == "application/problem+json");
     CHECK(json::parse(client.body)["status"] == 504);
-    for (Host& h : d.hosts) h.silent = false, h.rejecting = true;
+    for (Host& h : pooler.hosts) h.silent = false, h.rejecting = true;
     r = client.get(kPage + "&wait_ms=1500");
     CHECK((r.status == 503 || r.status == 504));
     CHECK(r.field("retry-after"));
@@ -180,19 +182,19 @@
 }
 
 TEST_CASE("a write that may have run and can't be retried is failed, not rejected") {
-    PgDeployment d;
-    Client client(d.loop, d.pg.local());
+    PgDeployment pooler;
+    Client client(pooler.loop, pooler.pg.local());
     client.send(pg::Writer().startup("u", "d").take());
     client.reply();
-    d.hosts[0].silent = true;
+    pooler.hosts[0].silent = true;
     client.send(pg::Writer()
                     .query("/* id=1,c=scan-write,t=a,d=400,k=1,cluster=3 */ INSERT INTO kv (name, content) "
                            "VALUES ('a', '\\x00') RETURNING content")
                     .take());
     CHECK(client.reply() == "EZ");
     CHECK(client.code == "57014");
-    CHECK(d.hosts[0].queries == 1);  // passed on once, as it stood but for `d`
-    std::string asked = d.hosts[0].asked.at(0);
+    CHECK(pooler.hosts[0].queries == 1);  // passed on once, as it stood but for `d`
+    std::string asked = pooler.hosts[0].asked.at(0);
     CHECK(asked.find("/* id=1,c=scan-write,t=a,d=") == 0);
     CHECK(asked.find(
               ",k=1,cluster=3 */ INSERT INTO kv (name, content) VALUES ('a', '\\x00') RETURNING content") !=
@@ -200,15 +202,15 @@
 }
 
 TEST_CASE("a write whose connection is not established is rejected while its client has time left") {
-    PgDeployment d;
+    PgDeployment pooler;
     std::vector<boost::asio::ip::tcp::socket> mute;
-    transport::Listener listener(d.loop.io, loopback(),
+    transport::Listener listener(pooler.loop.io, loopback(),
                                  [&](auto socket) { mute.push_back(std::move(socket)); });
     listener.start();
-    auto primary = d.endpoint(0, EndpointState::ready);
+    auto primary = pooler.endpoint(0, EndpointState::ready);
     primary.address = text(listener.local());
-    d.core.list(EndpointListKind::changes, {primary});
-    Client client(d.loop, d.pg.local());
+    pooler.core.list(EndpointListKind::changes, {primary});
+    Client client(pooler.loop, pooler.pg.local());
     client.send(pg::Writer()
                     .startup("u", "d")
                     .query("/* id=1,c=scan-write,t=a,d=2000,k=1,cluster=3 */ INSERT INTO kv (name, content) "
@@ -222,53 +224,53 @@
 
 TEST_CASE_TEMPLATE("hosts that leave the list are forgotten; one that returns serves", D, RestDeployment,
                    PgDeployment) {
-    D d;
-    Client client(d.loop, d.rest.local());
+    D pooler;
+    Client client(pooler.loop, pooler.rest.local());
     for (int day = 0; day < 4; ++day) {
         CHECK(client.get(kPage).status == 200);
-        auto one = d.endpoint(1, EndpointState::gone), two = d.endpoint(2, EndpointState::ready);
-        if (day == 2) d.hosts[2].silent = true;
+        auto one = pooler.endpoint(1, EndpointState::gone), two = pooler.endpoint(2, EndpointState::ready);
+        if (day == 2) pooler.hosts[2].silent = true;
         if (day == 2) client.send(http::write_request("GET", kPage + "&wait_ms=900", "test", {}));
-        int out = d.hosts[2].queries + d.hosts[1].queries;
-        if (day == 2) REQUIRE(d.loop.until([&] { return d.replica_queries() >= out; }));
+        int out = pooler.hosts[2].queries + pooler.hosts[1].queries;
+        if (day == 2) REQUIRE(pooler.loop.until([&] { return pooler.replica_queries() >= out; }));
         if (day % 2)
-            d.core.list(EndpointListKind::full, {d.endpoint(0, EndpointState::ready), two});
+            pooler.core.list(EndpointListKind::full, {pooler.endpoint(0, EndpointState::ready), two});
         else
-            d.core.list(EndpointListKind::changes, {one});
-        REQUIRE(d.loop.until([&] { return d.core.members() == 2; }));
+            pooler.core.list(EndpointListKind::changes, {one});
+        REQUIRE(pooler.loop.until([&] { return pooler.core.members() == 2; }));
         if (day == 2) client.response();
-        d.hosts[2].silent = false;
+        pooler.hosts[2].silent = false;
         two.uid = "new" + std::to_string(day);  // a new machine, then the old one again
-        d.core.list(EndpointListKind::changes, {two, d.endpoint(1, EndpointState::ready)});
-        d.core.list(EndpointListKind::changes, {d.endpoint(2, EndpointState::gone)});
-        int before = d.hosts[1].queries;
-        REQUIRE(d.loop.until([&] {
+        pooler.core.list(EndpointListKind::changes, {two, pooler.endpoint(1, EndpointState::ready)});
+        pooler.core.list(EndpointListKind::changes, {pooler.endpoint(2, EndpointState::gone)});
+        int before = pooler.hosts[1].queries;
+        REQUIRE(pooler.loop.until([&] {
             CHECK(client.get(kPage).status == 200);
-            return d.hosts[1].queries > before && d.core.members() == 3;
+            return pooler.hosts[1].queries > before && pooler.core.members() == 3;
         }));
         two.state = EndpointState::gone;
-        d.core.list(EndpointListKind::changes, {two, d.endpoint(2, EndpointState::ready)});
-        REQUIRE(d.loop.until([&] { return d.core.members() == 3; }));
+        pooler.core.list(EndpointListKind::changes, {two, pooler.endpoint(2, EndpointState::ready)});
+        REQUIRE(pooler.loop.until([&] { return pooler.core.members() == 3; }));
     }
 }
 
 TEST_CASE("memory for requests is released when they end") {
-    PgDeployment d;
-    CHECK(!d.core.has_capacity(std::size_t(64 << 20) + 1));
-    Client client(d.loop, d.rest.local());
+    PgDeployment pooler;
+    CHECK(!pooler.core.has_capacity(std::size_t(64 << 20) + 1));
+    Client client(pooler.loop, pooler.rest.local());
     for (int i = 0; i < 5; ++i) CHECK(client.get(kPage).status == 200);
-    REQUIRE(d.loop.until([&] { return d.core.idle(); }));
-    CHECK(d.core.has_capacity(64 << 20));
+    REQUIRE(pooler.loop.until([&] { return pooler.core.idle(); }));
+    CHECK(pooler.core.has_capacity(64 << 20));
 }
 
 TEST_CASE("values of some MiB reach many clients at once, complete") {
-    PgDeployment d;
+    PgDeployment pooler;
     std::string value(3 << 20, 'x');
     for (std::size_t i = 0; i < value.size(); i += 4099) value[i] = char(i / 4099);
-    for (Host& host : d.hosts) host.rows["big"] = value;
+    for (Host& host : pooler.hosts) host.rows["big"] = value;
     std::vector<std::unique_ptr<Client>> clients;
     for (int i = 0; i < 6; ++i) {
-        clients.push_back(std::make_unique<Client>(d.loop, d.pg.local()));
+        clients.push_back(std::make_unique<Client>(pooler.loop, pooler.pg.local()));
         clients.back()->send(pg::Writer().startup("u", "d").take());
         clients.back()->reply();
         clients.back()->send(
@@ -281,19 +283,19 @@
         CHECK(client->reply() == "TDCZ");
         CHECK(client->value == value);
     }
-    REQUIRE(d.loop.until([&] { return d.core.idle(); }));
-    CHECK(d.hosts[0].queries == 0);
-    CHECK(d.replica_queries() == 6);  // none was retried
+    REQUIRE(pooler.loop.until([&] { return pooler.core.idle(); }));
+    CHECK(pooler.hosts[0].queries == 0);
+    CHECK(pooler.replica_queries() == 6);  // none was retried
 }
 
 TEST_CASE_TEMPLATE("values of some MiB are written, slowly and in pieces, whatever wire the hosts speak", D,
                    RestDeployment, PgDeployment) {
-    D d;
+    D pooler;
     Dice dice(6);
     for (std::size_t size : {100u, 70000u, 200000u, 1000000u, 4u << 20}) {
         std::string value(size, 'x');
         for (std::size_t i = 0; i < size; i += 97) value[i] = char(dice.below(256));
-        Client client(d.loop, d.pg.local());
+        Client client(pooler.loop, pooler.pg.local());
         client.send(pg::Writer().startup("u", "d").take());
         client.reply();
         std::string bytes = pg::Writer()
@@ -306,26 +308,26 @@
             std::size_t count = std::min(bytes.size(), 1 + dice.below(dice.below(2) ? 300 : 2000000));
             client.send(bytes.substr(0, count));
             bytes.erase(0, count);
-            d.loop.io.restart();
-            d.loop.io.poll();
+            pooler.loop.io.restart();
+            pooler.loop.io.poll();
         }
         CHECK(client.reply() == "TDCZ");
-        CHECK(d.hosts[0].rows["big"] == value);
+        CHECK(pooler.hosts[0].rows["big"] == value);
     }
-    CHECK(d.hosts[0].queries == 5);
+    CHECK(pooler.hosts[0].queries == 5);
 }
 
 TEST_CASE("few connections to hosts: all requests are answered all the same") {
-    PgDeployment d(3);
+    PgDeployment pooler(3);
     std::vector<std::unique_ptr<Client>> clients;
     for (int i = 0; i < 30; ++i) {
-        clients.push_back(std::make_unique<Client>(d.loop, d.rest.local()));
+        clients.push_back(std::make_unique<Client>(pooler.loop, pooler.rest.local()));
         clients.back()->send(http::write_request("GET", kPage, "test", {}));
     }
     int served = 0;
     for (auto& client : clients) served += client->response().status == 200;
     CHECK(served >= 10);
-    CHECK(d.core.links() <= 3);
+    CHECK(pooler.core.links() <= 3);
 }
 
 }  // namespace
