--- a/tests/adapters/client_departure_test.cpp
+++ b/tests/adapters/client_departure_test.cpp
@@ -82,7 +82,7 @@
         members.push_back(pooler.endpoint(i, EndpointState::ready));
         members.back().address = text(late.local_endpoint());
     }
-    pooler.core.list(EndpointListKind::full, members);
+    pooler.core.apply_endpoint_list(EndpointListKind::full, members);
     RawClient client(pooler.loop, pooler.pg.local());
     client.send(startup() + pg::Writer()
                                 .query("/* id=2,c=scan-write,k=5,d=4000,cluster=3 */ INSERT INTO kv (name, "
--- a/tests/adapters/limited_admission_test.cpp
+++ b/tests/adapters/limited_admission_test.cpp
@@ -10,7 +10,7 @@
     void served(const routing::Answer&) override { ++answers; }
     void ended(const routing::FinalError& error) override {
         ++answers;
-        rejected = error.kind == routing::FinalError::Kind::refused;
+        rejected = error.kind == routing::FinalError::Kind::rejected;
     }
     int answers = 0;
     bool rejected = false;
--- a/tests/adapters/open_statements_test.cpp
+++ b/tests/adapters/open_statements_test.cpp
@@ -166,12 +166,12 @@
 TEST_CASE("the classes of a statements file are checked against the settings, its bounds tighten theirs") {
     program::Config config;
     config.settings = settings();
-    config.settings.classes[0].bound = 3s;
+    config.settings.classes[0].staleness_bound = 3s;
     config.classes = classes();
     auto load = [&](const char* text) -> std::string {
         try {
-            program::take_statements(program::parse_statement_config(text, "f"), "f", config);
-        } catch (const program::StatementConfigError& e) {
+            program::set_statements(program::parse_statement_config(text, "f"), "f", config);
+        } catch (const program::ConfigError& e) {
             return e.what();
         }
         return "";
@@ -184,9 +184,9 @@
     CHECK(load("[[class]]\nname = \"own-order\"\nbound = \"1s\"\n").find("bounded reads") !=
           std::string::npos);
     CHECK(load("[[class]]\nname = \"stock-view\"\nbound = \"5s\"\n") == "");
-    CHECK(config.settings.classes[0].bound == 3s);
+    CHECK(config.settings.classes[0].staleness_bound == 3s);
     CHECK(load("[[class]]\nname = \"stock-view\"\nbound = \"2s\"\n") == "");
-    CHECK(config.settings.classes[0].bound == 2s);
+    CHECK(config.settings.classes[0].staleness_bound == 2s);
     config.members = program::Wire::rest;
     CHECK(load("[statements]\nopen = true\n").find("members that speak REST") != std::string::npos);
 }
--- a/tests/adapters/peer_link_test.cpp
+++ b/tests/adapters/peer_link_test.cpp
@@ -123,8 +123,8 @@
 TEST_CASE(
     "a peer link sends each change twice, the newest of a group only, and goes on when nobody receives") {
     PeerLinkRig rig;
-    rig.link->tell({3, 1, "old"});
-    rig.link->tell({3, 2, "new"});
+    rig.link->announce({3, 1, "old"});
+    rig.link->announce({3, 2, "new"});
     std::vector<peer::Message> messages;
     auto more = [&] {
         char buffer[300];
@@ -139,7 +139,7 @@
     CHECK(messages[1].number > messages[0].number);
     rig.other.close();
     std::uint64_t before = rig.link->counts().sent + rig.link->counts().dropped;
-    rig.link->tell({3, 3, "newer"});
+    rig.link->announce({3, 3, "newer"});
     REQUIRE(
         rig.loop.until([&] { return rig.link->counts().sent + rig.link->counts().dropped >= before + 2; }));
 }
@@ -178,20 +178,20 @@
                 end = R"(,"settings":{"allowed":{"peerMessages":true}}})";
     auto config = program::parse_platform_config(start + R"("peers":["127.0.0.1:8","127.0.0.1:9"])" + end);
     CHECK(config.peers.size() == 1);
-    program::take_peers(program::parse_peer_config("[peers]\ncluster = \"a\"", "f"), "f", config);
+    program::set_peers(program::parse_peer_config("[peers]\ncluster = \"a\"", "f"), "f", config);
     CHECK(config.peering->cluster == "a");
     auto named = program::parse_platform_config(start + R"("peers":{"n1":"127.0.0.1:8","n2":17})" + end);
     CHECK(named.peers.size() == 1);
     auto expect_rejected = [&](const std::string& text) {
         auto bad = program::parse_platform_config(text);
-        CHECK_THROWS_AS(program::take_peers({"a"}, "f", bad), program::ConfigError);
+        CHECK_THROWS_AS(program::set_peers({"a"}, "f", bad), program::ConfigError);
     };
     expect_rejected(start + R"("peers":[])" + end);
     expect_rejected(start + R"("peers":"127.0.0.1:8")" + end);
     expect_rejected(start + R"("peers":["127.0.0.1:8"],"settings":{}})");
-    CHECK_THROWS_AS(program::parse_peer_config("[peers]\nclustre = \"a\"", "f"), program::FileError);
+    CHECK_THROWS_AS(program::parse_peer_config("[peers]\nclustre = \"a\"", "f"), program::ConfigError);
     CHECK_THROWS_AS(program::parse_peer_config("[peers]\ncluster = \"a\"\nagain = \"0ms\"", "f"),
-                    program::FileError);
+                    program::ConfigError);
 }
 
 }  // namespace
--- a/tests/adapters/pg_front_test.cpp
+++ b/tests/adapters/pg_front_test.cpp
@@ -204,7 +204,7 @@
             .take());
     CHECK(client.reply() == "TDCZ");
     CHECK(rig.admission.last.session == 255u);
-    CHECK(rig.admission.last.repeat);
+    CHECK(rig.admission.last.is_retry);
     CHECK(rig.admission.last.client_timeout.count() == 0);
 }
 
--- a/tests/adapters/scripted_front.hpp
+++ b/tests/adapters/scripted_front.hpp
@@ -42,7 +42,7 @@
             case 's':
                 return responder->served(answer);
             case 'r':
-                return responder->ended({routing::FinalError::Kind::refused, false, 250ms});
+                return responder->ended({routing::FinalError::Kind::rejected, false, 250ms});
             case 'd':
                 return responder->ended({routing::FinalError::Kind::failed, true, {}});
             default:
--- a/tests/adapters/session_consistency_test.cpp
+++ b/tests/adapters/session_consistency_test.cpp
@@ -59,7 +59,7 @@
     without_checks.probes = false;
     without_checks.staleness_check = policy::StalenessCheck::none;
     routing::Core core(driver, clock, without_checks, 3, {}, backend, logger);
-    core.list(policy::EndpointListKind::full, primary_and_replica());
+    core.apply_endpoint_list(policy::EndpointListKind::full, primary_and_replica());
     auto send = [&](const char* id, std::uint32_t request_class, routing::Responder& responder) {
         core.accept(session_request(id, request_class), responder);
         core.run_batch();
--- a/tests/adapters/watch_fleet_test.cpp
+++ b/tests/adapters/watch_fleet_test.cpp
@@ -115,8 +115,8 @@
 TEST_CASE(
     "a change is known within 6 s: a pooler's timings add up to less, a fleet at a discovery of fixed "
     "capacity") {
-    CHECK(WatchSchedule::Timing{}.told_within() < 5s);
-    for (std::size_t n = 1; n <= 1000; ++n) CHECK(WatchSchedule::shared(n).told_within() <= 5400ms);
+    CHECK(WatchSchedule::Timing{}.max_propagation() < 5s);
+    for (std::size_t n = 1; n <= 1000; ++n) CHECK(WatchSchedule::shared(n).max_propagation() <= 5400ms);
     enum class Before { nothing, unanswered_watches, resets, down, unresponsive };
     for (bool shared : {true, false})
         for (std::size_t n : {3, 30, 300})
@@ -142,7 +142,7 @@
                     CAPTURE(n);
                     CAPTURE(int(before));
                     CHECK(delay < 6s);
-                    CHECK(delay <= fleet.poolers[0].watch.timing().told_within() + 1500ms);
+                    CHECK(delay <= fleet.poolers[0].watch.timing().max_propagation() + 1500ms);
                 }
             }
 }
--- a/tests/adapters/whole_path_test.cpp
+++ b/tests/adapters/whole_path_test.cpp
@@ -51,8 +51,8 @@
         for (std::string target = kPage + "&limit=3"; !target.empty(); ++pages) {
             if (pages == 3) {
                 before = pooler.hosts[drained].queries;
-                pooler.core.list(EndpointListKind::changes,
-                                 {pooler.endpoint(drained, EndpointState::draining)});
+                pooler.core.apply_endpoint_list(EndpointListKind::changes,
+                                                {pooler.endpoint(drained, EndpointState::draining)});
             }
             auto r = client.get(target);
             REQUIRE(r.status == 200);
@@ -209,7 +209,7 @@
     listener.start();
     auto primary = pooler.endpoint(0, EndpointState::ready);
     primary.address = text(listener.local());
-    pooler.core.list(EndpointListKind::changes, {primary});
+    pooler.core.apply_endpoint_list(EndpointListKind::changes, {primary});
     Client client(pooler.loop, pooler.pg.local());
     client.send(pg::Writer()
                     .startup("u", "d")
@@ -234,22 +234,25 @@
         int out = pooler.hosts[2].queries + pooler.hosts[1].queries;
         if (day == 2) REQUIRE(pooler.loop.until([&] { return pooler.replica_queries() >= out; }));
         if (day % 2)
-            pooler.core.list(EndpointListKind::full, {pooler.endpoint(0, EndpointState::ready), two});
+            pooler.core.apply_endpoint_list(EndpointListKind::full,
+                                            {pooler.endpoint(0, EndpointState::ready), two});
         else
-            pooler.core.list(EndpointListKind::changes, {one});
+            pooler.core.apply_endpoint_list(EndpointListKind::changes, {one});
         REQUIRE(pooler.loop.until([&] { return pooler.core.members() == 2; }));
         if (day == 2) client.response();
         pooler.hosts[2].silent = false;
         two.uid = "new" + std::to_string(day);  // a new machine, then the old one again
-        pooler.core.list(EndpointListKind::changes, {two, pooler.endpoint(1, EndpointState::ready)});
-        pooler.core.list(EndpointListKind::changes, {pooler.endpoint(2, EndpointState::gone)});
+        pooler.core.apply_endpoint_list(EndpointListKind::changes,
+                                        {two, pooler.endpoint(1, EndpointState::ready)});
+        pooler.core.apply_endpoint_list(EndpointListKind::changes, {pooler.endpoint(2, EndpointState::gone)});
         int before = pooler.hosts[1].queries;
         REQUIRE(pooler.loop.until([&] {
             CHECK(client.get(kPage).status == 200);
             return pooler.hosts[1].queries > before && pooler.core.members() == 3;
         }));
         two.state = EndpointState::gone;
-        pooler.core.list(EndpointListKind::changes, {two, pooler.endpoint(2, EndpointState::ready)});
+        pooler.core.apply_endpoint_list(EndpointListKind::changes,
+                                        {two, pooler.endpoint(2, EndpointState::ready)});
         REQUIRE(pooler.loop.until([&] { return pooler.core.members() == 3; }));
     }
 }
--- a/tests/statement/statement_analyzer_test.cpp
+++ b/tests/statement/statement_analyzer_test.cpp
@@ -19,16 +19,16 @@
     CHECK_FALSE(scanner.scan(deep));
     CHECK(scanner.flaw() == Flaw::too_long);
     StatementAnalyzer analyzer({}, {});
-    CHECK(analyzer.judge(deep, {}).route != Route::replica);
+    CHECK(analyzer.analyze(deep, {}).route != Route::replica);
     std::string nested = "SELECT ";
     for (int i = 0; i < 1500; ++i) nested += "abs(";
-    CHECK(analyzer.judge(nested + "nextval('s')" + std::string(1500, ')'), {}).route != Route::replica);
+    CHECK(analyzer.analyze(nested + "nextval('s')" + std::string(1500, ')'), {}).route != Route::replica);
 }
 
 TEST_CASE("kinds of literal share a shape, not a classification: none can be cached for another") {
     StatementAnalyzer analyzer({}, {});
-    CHECK(analyzer.judge("SELECT x::char('a') FROM t", {}).kind == Kind::invalid);
-    CHECK(analyzer.judge("SELECT x::char(10) FROM t", {}).kind == Kind::read);
+    CHECK(analyzer.analyze("SELECT x::char('a') FROM t", {}).kind == Kind::invalid);
+    CHECK(analyzer.analyze("SELECT x::char(10) FROM t", {}).kind == Kind::read);
     CHECK(shape("SELECT x::char('a') FROM t") == shape("SELECT x::char(10) FROM t"));
 }
 
@@ -58,7 +58,7 @@
         const std::size_t route_end = line.find('\t', kind_end + 1);
         const std::string sql = unescape(line.substr(route_end + 1));
         for (int round = 0; round < 2; ++round) {  // parsed, then cached
-            const StatementProfile& profile = analyzer.judge(sql, {});
+            const StatementProfile& profile = analyzer.analyze(sql, {});
             CHECK_MESSAGE(name(profile.kind) == line.substr(0, kind_end), sql);
             CHECK_MESSAGE(name(profile.route) == line.substr(kind_end + 1, route_end - kind_end - 1), sql);
         }
@@ -72,13 +72,13 @@
     StatementAnalyzer::Time now{std::chrono::seconds(100)};
     int read = 0;
     for (int i = 0; i < 100; ++i) {
-        const StatementProfile& profile = analyzer.judge("SELECT c" + std::to_string(i) + " FROM t", now);
+        const StatementProfile& profile = analyzer.analyze("SELECT c" + std::to_string(i) + " FROM t", now);
         read += profile.kind == Kind::read;
         if (profile.kind != Kind::read) CHECK(profile.route == Route::refuse);
     }
     CHECK(read == 10);
-    CHECK(analyzer.judge("SELECT c0 FROM t", now).kind == Kind::read);
-    CHECK(analyzer.judge("SELECT c99 FROM t", now + std::chrono::seconds(1)).kind == Kind::read);
+    CHECK(analyzer.analyze("SELECT c0 FROM t", now).kind == Kind::read);
+    CHECK(analyzer.analyze("SELECT c99 FROM t", now + std::chrono::seconds(1)).kind == Kind::read);
 }
 
 TEST_CASE("ten thousand shapes of the usual length fit into 8 MiB") {
@@ -86,10 +86,10 @@
     for (int round = 0; round < 2; ++round)
         for (int i = 0; i < 10000; ++i) {
             std::string n = std::to_string(i);
-            analyzer.judge("SELECT a.c" + n +
-                               ", b.total FROM orders a JOIN bags b ON a.id = b.id WHERE a.hotel = 'h" + n +
-                               "' AND b.at > '2026-01-01' ORDER BY b.at LIMIT 10",
-                           {});
+            analyzer.analyze("SELECT a.c" + n +
+                                 ", b.total FROM orders a JOIN bags b ON a.id = b.id WHERE a.hotel = 'h" + n +
+                                 "' AND b.at > '2026-01-01' ORDER BY b.at LIMIT 10",
+                             {});
         }
     CHECK(analyzer.cache().size() >= 9900);
     CHECK(analyzer.cache().bytes() <= (8 << 20) + 4096);
--- a/tests/statement/statement_config_test.cpp
+++ b/tests/statement/statement_config_test.cpp
@@ -36,7 +36,7 @@
 )",
                                                   "t.toml");
     StatementAnalyzer analyzer(std::move(config.rules), config.judge);
-    auto profile_of = [&](const char* sql) { return analyzer.judge(sql, {}); };
+    auto profile_of = [&](const char* sql) { return analyzer.analyze(sql, {}); };
     CHECK(profile_of("SELECT app.peek(1)").route == Route::replica);
     CHECK(profile_of("SELECT peek(1)").route == Route::primary);  // the search path may find another
     CHECK(profile_of("SELECT app.burn(1)").kind == Kind::write);
@@ -60,7 +60,7 @@
     auto error = [](const char* text) -> std::string {
         try {
             program::parse_statement_config(text, "f.toml");
-        } catch (const program::StatementConfigError& e) {
+        } catch (const program::ConfigError& e) {
             return e.what();
         }
         return "";
--- a/tests/statement/statement_properties_test.cpp
+++ b/tests/statement/statement_properties_test.cpp
@@ -67,7 +67,7 @@
 TEST_CASE("any bytes at all are classified, and only a plain read may go to a replica") {
     CHECK(rc::check([](const std::string& bytes) {
         StatementAnalyzer analyzer({}, {});
-        const StatementProfile& profile = analyzer.judge(bytes, {});
+        const StatementProfile& profile = analyzer.analyze(bytes, {});
         RC_ASSERT(profile.route != Route::replica || profile.kind == Kind::read);
     }));
     CHECK(rc::check([](std::uint64_t seed) {
@@ -81,7 +81,7 @@
         for (int i = 0; i < 12; ++i)
             sql += std::string(pieces[random() % std::size(pieces)]) + (random() % 2 ? " " : "");
         StatementAnalyzer analyzer({}, {});
-        const StatementProfile& profile = analyzer.judge(sql, {});
+        const StatementProfile& profile = analyzer.analyze(sql, {});
         RC_ASSERT(profile.route != Route::replica || profile.kind == Kind::read);
     }));
 }
--- a/tests/support/deployment.hpp
+++ b/tests/support/deployment.hpp
@@ -45,7 +45,7 @@
         }
         std::vector<EndpointInfo> members;
         for (std::size_t i = 0; i < 3; ++i) members.push_back(endpoint(i, EndpointState::ready));
-        core.list(EndpointListKind::full, members);
+        core.apply_endpoint_list(EndpointListKind::full, members);
         loop.batch = [this] { core.run_batch(); };
         rest.start();
         pg.start();
--- a/tests/support/settings.hpp
+++ b/tests/support/settings.hpp
@@ -13,12 +13,12 @@
 inline policy::Settings settings() {
     policy::Settings settings;
     settings.fleet_size = 1;
-    settings.probes = true;
+    settings.health_checks = true;
     settings.cancels = true;
     settings.retry_after = true;
-    settings.attempts = 10;
+    settings.max_attempts = 10;
     settings.max_retry_after = 1s;
-    settings.tokens = policy::TokenSource::remembered;
+    settings.token_source = policy::TokenSource::remembered;
     settings.staleness_check = policy::StalenessCheck::wait;
     for (auto [consistency, idempotency] :
          {std::pair{policy::Consistency::bounded, policy::Idempotency::idempotent},
