--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -24,9 +24,9 @@
     for (int step = 0; step < 20000; ++step) {
         if (dice.below(2)) {
             std::size_t count = dice.below(dice.below(20) ? 300 : 40000);
-            auto room = buffer.prepare(count);
-            REQUIRE(room.size >= count);
-            for (std::size_t i = 0; i < count; ++i) model += room.data[i] = next++;
+            auto space = buffer.prepare(count);
+            REQUIRE(space.size >= count);
+            for (std::size_t i = 0; i < count; ++i) model += space.data[i] = next++;
             buffer.commit(count);
         } else {
             std::size_t count = dice.below(600) + (dice.below(10) ? 0 : 30000);
@@ -39,7 +39,7 @@
     CHECK(buffer.capacity() <= 16384);  // a large block is given back
 }
 
-TEST_CASE("pg: messages come out as they went in, however they are cut") {
+TEST_CASE("pg: messages are read as they were written, however they are split") {
     std::string all = pg::Writer()
                           .query("SELECT 1")
                           .empty_query()
@@ -62,7 +62,7 @@
     CHECK(types == "QICE");
 }
 
-TEST_CASE("pg: lengths are bounded and damage is no crash") {
+TEST_CASE("pg: lengths are bounded and damaged messages do not crash") {
     pg::Message m;
     std::size_t length = 0;
     CHECK(pg::next_message(std::string("Q\0\0\0\3", 5), 100, m, length) == pg::Next::malformed);
@@ -90,7 +90,7 @@
     }
 }
 
-TEST_CASE("pg: the comment's fields, one statement, and what is passed on") {
+TEST_CASE("pg: the comment's fields, one statement, and what is forwarded") {
     std::string sql =
         "/* id=9b,c=basket, t=acme,d=480,cluster=2 */ SELECT content FROM kv WHERE name = 'a;''b'";
     auto s = pg::read_statement(sql);
@@ -105,8 +105,8 @@
     std::string changed = pg::with_deadline(sql, s, "7");
     CHECK(changed ==
           "/* id=9b,c=basket, t=acme,d=7,cluster=2 */ SELECT content FROM kv WHERE name = 'a;''b'");
-    std::string has_no_comment_fields = "/* id=1 */ X";
-    CHECK(pg::with_deadline(has_no_comment_fields, pg::read_statement(has_no_comment_fields), "7") ==
+    std::string without_deadline = "/* id=1 */ X";
+    CHECK(pg::with_deadline(without_deadline, pg::read_statement(without_deadline), "7") ==
           "/* id=1,d=7 */ X");
     CHECK(pg::read_statement("/* a=1 */ SELECT 1; SELECT 2").several);
     CHECK(!pg::read_statement("/* a=1 */ SELECT 1 ; ").several);
