--- a/src/program/platform_config.cpp
+++ b/src/program/platform_config.cpp
@@ -122,8 +122,8 @@
 void read_settings(const json& root, Config& config) {
     const json settings = root.value(keys::kSettings, json::object());
     check_settings(settings);
-    simulator::Line line("SETTINGS" + flatten_settings(settings));
-    config.settings = simulator::read_settings(line);
+    std::string flat = "SETTINGS" + flatten_settings(settings);
+    config.settings = simulator::read_settings(simulator::Line(flat));  // a line keeps views into its text
     if (settings.contains(keys::kZones))
         for (const json& zone : settings[keys::kZones]) config.zones.push_back(zone.get<std::string>());
     read_permissions(settings, config);
--- a/src/simulator/frame.hpp
+++ b/src/simulator/frame.hpp
@@ -24,6 +24,8 @@
   public:
     /// Throws Malformed where a part is not name=value.
     explicit Line(std::string_view text);
+    explicit Line(const char* text) : Line(std::string_view(text)) {}
+    explicit Line(std::string&& text) = delete;  // would be gone before its views
 
     std::string_view name() const { return name_; }
     /// A field's value; nothing where it is absent.
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -7,6 +7,7 @@
 #include <cstdio>
 #include <cstdlib>
 #include <fstream>
+#include <type_traits>
 
 using namespace indigovane::policy;
 using namespace indigovane::simulator;
@@ -49,6 +50,10 @@
 
 }  // namespace
 
+// A line keeps views into its text: a temporary string would be gone before they are read.
+static_assert(!std::is_constructible_v<Line, std::string>);
+static_assert(std::is_constructible_v<Line, const std::string&>);
+
 TEST(Frame, FieldsInAnyOrderAndBadOnesNamed) {
     Line line("ORDER txn=7 proxy=3");
     EXPECT_EQ(line.name(), "ORDER");
