--- a/src/adapters/session.hpp
+++ b/src/adapters/session.hpp
@@ -36,17 +36,17 @@
     // Before begin().
     virtual void restore(char, std::string_view) { has_begun_ = true; }
     bool between_requests();      // nothing is owed to this client, and nothing of it is unread
-    void retire();                // closes if that is so and the door wants it
+    void retire();                // closes if that is so and the listener wants it
     void give_way() { leave(); }  // between requests
     void close() { end_with(routing::RequestAdmission::Departure::closed_here); }  // at once
-    // The door's notes on it.
+    // What its listener notes of it.
     std::uint64_t used = 0;                      // when it last had a request, or came, as a count
     std::chrono::steady_clock::time_point came;  // and the time that it came
     bool served = false;                         // it has had a request
-    std::size_t granted = 0;                     // bytes that the door lets it keep beyond the usual
-    void try_again();                            // the door may have room for what it waits for
+    std::size_t granted = 0;                     // bytes that its listener lets it keep beyond the usual
+    void try_again();                            // the listener may have capacity for what it waits for
     std::size_t memory_bytes() const;            // bytes that it keeps in memory, unread and unwritten
-    std::size_t counted = 0;                     // and those that the door knows of
+    std::size_t counted = 0;                     // and those that the listener knows of
 
   protected:
     // Takes one message from the buffer; false: more must come, or the session is asked() or over.
--- a/src/statement/statement_analyzer.hpp
+++ b/src/statement/statement_analyzer.hpp
@@ -1,4 +1,4 @@
-// The package's front door: a statement in, its judgement out. Scans, looks it up, and parses it on a miss.
+// Entry point of the module: a statement in, its profile out. Scans, looks it up, and parses it on a miss.
 #pragma once
 
 #include <chrono>
