--- a/bench/added_bench.cpp
+++ b/bench/added_bench.cpp
@@ -19,7 +19,8 @@
 Figures run(bool open, bool limited, const std::string& sql) {
     auto c = program::parse_statement_config(
         "[statements]\nopen = true\ngroup = 3\nread_class = \"stock-view\"\n", "bench");
-    adapters::Statements statements(std::move(c.rules), c.judge, {open, c.group, c.read_class, "", ""});
+    adapters::Statements statements(std::move(c.rules), c.analyzer_options,
+                                    {open, c.group, c.read_class, "", ""});
     limits::Settings limits;
     limits.enabled = true;
     limits.shares = {{"vilaine", 0.59}, {"rance", 0.41}};
--- a/src/program/client_diversion.cpp
+++ b/src/program/client_diversion.cpp
@@ -34,7 +34,8 @@
 void ClientDiversion::end() {
     timer_.cancel();
     for (auto& front : services_.fronts) front->welcome();
-    services_.phases.enter(services_.discovery_client->told() ? Phase::serving : Phase::reloading);
+    services_.phases.enter(services_.discovery_client->has_complete_list() ? Phase::serving
+                                                                           : Phase::reloading);
 }
 
 }  // namespace indigovane::program
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -49,7 +49,7 @@
     check_default_class(config, statements.write_class, "write_class", true, path);
     if (statements.open && config.members == Wire::rest)
         throw ConfigError(path, "open: members that speak REST can't be sent open statements");
-    statements.judge.seed = config.seed ^ kStatementSeedMask;
+    statements.analyzer_options.seed = config.seed ^ kStatementSeedMask;
     statements.limits.retry_after = config.settings.retry_after.value_or(false);
     if (auto longest = config.settings.max_retry_after)
         statements.limits.max_retry_after =
--- a/src/program/lifecycle.cpp
+++ b/src/program/lifecycle.cpp
@@ -64,7 +64,7 @@
 
 void Lifecycle::advance_phase() {
     if (services_.phases.is(Phase::inheriting) && may_serve()) serve();
-    if (services_.phases.is(Phase::reloading) && services_.discovery_client->told())
+    if (services_.phases.is(Phase::reloading) && services_.discovery_client->has_complete_list())
         services_.phases.enter(Phase::serving);
     shutdown_.advance();
 }
@@ -72,7 +72,8 @@
 // A successor announces itself only with all that it needs: listeners, sessions' commits, endpoint list.
 bool Lifecycle::may_serve() const {
     if (services_.process_handover->inheriting()) return false;
-    return services_.discovery_client->told() || services_.clock.now() >= services_.started + kListTimeout;
+    return services_.discovery_client->has_complete_list() ||
+           services_.clock.now() >= services_.started + kListTimeout;
 }
 
 void Lifecycle::serve() {
--- a/src/program/reload.cpp
+++ b/src/program/reload.cpp
@@ -100,7 +100,7 @@
         services.log.log(Level::error, "reload", error.what(), {{"kept", "the old configuration"}});
         return;
     }
-    if (services.phases.is(Phase::serving) && !services.discovery_client->told())
+    if (services.phases.is(Phase::serving) && !services.discovery_client->has_complete_list())
         services.phases.enter(Phase::reloading);
 }
 
--- a/src/program/shapes_command.cpp
+++ b/src/program/shapes_command.cpp
@@ -95,8 +95,8 @@
             "shapes classify [--rules FILE] [--null], or shapes explain [--rules FILE] STATEMENT");
     StatementConfig config;
     if (values.count("rules")) config = read_statement_config(values["rules"].as<std::string>());
-    config.judge.parses_per_second = kUnlimitedParses;
-    StatementAnalyzer analyzer(std::move(config.rules), config.judge);
+    config.analyzer_options.parses_per_second = kUnlimitedParses;
+    StatementAnalyzer analyzer(std::move(config.rules), config.analyzer_options);
     return explains ? explain(analyzer, operands[1], out)
                     : classify(analyzer, values.count("null") > 0, in, out);
 }
--- a/src/program/startup.cpp
+++ b/src/program/startup.cpp
@@ -25,8 +25,8 @@
 void create_statements(Services& services) {
     const auto& config = services.config.statements;
     if (!config) return;
-    services.statements =
-        std::make_unique<adapters::Statements>(config->rules, config->judge, statement_options(*config));
+    services.statements = std::make_unique<adapters::Statements>(config->rules, config->analyzer_options,
+                                                                 statement_options(*config));
     if (config->limits.enabled)
         services.limited_admission = std::make_unique<adapters::LimitedAdmission>(
             services.io, services.clock, config->limits, *services.core);
--- a/src/program/statement_rules.cpp
+++ b/src/program/statement_rules.cpp
@@ -117,11 +117,11 @@
     read_route(table, "unparsed", config.rules.policy.unparsed);
     read_route(table, "session", config.rules.policy.session);
     read_route(table, "transaction", config.rules.policy.transaction);
-    table.read_size("cache", config.judge.cache, R"(a size like "8MiB", from 64KiB to 1GiB)", 64 * kKiB,
-                    kGiB);
-    table.read_size("longest_parsed", config.judge.longest_parsed,
+    table.read_size("cache", config.analyzer_options.cache, R"(a size like "8MiB", from 64KiB to 1GiB)",
+                    64 * kKiB, kGiB);
+    table.read_size("longest_parsed", config.analyzer_options.longest_parsed,
                     R"(a size like "16KiB", from 256B to 1MiB)", 256, kMiB);
-    table.read_whole_number<double>("parses_per_second", config.judge.parses_per_second, 1, 1e6);
+    table.read_whole_number<double>("parses_per_second", config.analyzer_options.parses_per_second, 1, 1e6);
     if (table.find("group")) {
         std::uint32_t group = 0;
         table.read_whole_number<std::uint32_t>("group", group, 0, 0xffffffffu);
--- a/src/program/statement_rules.hpp
+++ b/src/program/statement_rules.hpp
@@ -16,7 +16,7 @@
 struct StatementConfig {
     bool open = false;  // any single statement passes at the PostgreSQL front, not the known forms alone
     statement::Rules rules;
-    statement::StatementAnalyzer::Options judge;
+    statement::StatementAnalyzer::Options analyzer_options;
     limits::Settings limits;
     // Where a statement's comment says nothing. Class names are the platform's.
     std::optional<std::uint32_t> group;
--- a/src/routing/discovery_client.hpp
+++ b/src/routing/discovery_client.hpp
@@ -42,7 +42,7 @@
         list_observer_ = std::move(observer);
     }
     // Whether the address of now has sent its complete list.
-    bool told() const { return complete_list_received_; }
+    bool has_complete_list() const { return complete_list_received_; }
 
   private:
     void call();
@@ -50,7 +50,7 @@
     void disconnect();
     void set_timer(std::chrono::milliseconds after, void (DiscoveryClient::*then)());
     void cancel_timer();
-    void call_timed_out() { call_failed(WatchSchedule::Failure::silent, "no answer"); }
+    void call_timed_out() { call_failed(WatchSchedule::Failure::no_response, "no answer"); }
     void call_failed(WatchSchedule::Failure failure, const char* why);
     bool read(std::string_view in, bool at_end, std::size_t& length);
     void process(const protocol::http::Response& response);
--- a/src/routing/watch_schedule.cpp
+++ b/src/routing/watch_schedule.cpp
@@ -66,7 +66,7 @@
 WatchSchedule::Millis WatchSchedule::failed(Failure failure, double draw) {
     bool was_watching = std::exchange(watching_, false);
     if (was_watching) return timing_.retry;
-    if (failure == Failure::silent) return jittered(timing_.retry, draw);
+    if (failure == Failure::no_response) return jittered(timing_.retry, draw);
     if (backoff_.count() == 0) backoff_ = timing_.again;
     Millis pause = jittered(backoff_, draw);
     backoff_ = std::min(backoff_ * 2, timing_.retry_most);
--- a/src/routing/watch_schedule.hpp
+++ b/src/routing/watch_schedule.hpp
@@ -51,9 +51,9 @@
     // It was answered with the list of that revision.
     void answered(std::int64_t revision);
     enum class Failure {
-        silent,   // no answer
-        refused,  // discovery rejected the call
-        cut,      // the connection or its answer broke
+        no_response,  // nothing came in time
+        refused,      // discovery rejected the call
+        cut,          // the connection or its answer broke
     };
     // It failed. Returns how long to wait until the next one; `draw` lies in [0, 1].
     Millis failed(Failure failure, double draw);
--- a/tests/adapters/discovery_lists_test.cpp
+++ b/tests/adapters/discovery_lists_test.cpp
@@ -37,8 +37,8 @@
     catalog.follow();
     REQUIRE(requested(1));
     loop.settle();
-    CHECK(!catalog.told());  // more may follow
-    discovery.drop_all();    // a close: the list is complete
+    CHECK(!catalog.has_complete_list());  // more may follow
+    discovery.drop_all();                 // a close: the list is complete
     REQUIRE(requested(2));
     CHECK(state() == EndpointState::ready);
     CHECK(host.asked[1].substr(0, 24) == "/catalog/members?from=41");
--- a/tests/adapters/open_statements_test.cpp
+++ b/tests/adapters/open_statements_test.cpp
@@ -23,7 +23,9 @@
 
 adapters::Statements statements(const std::string& rules = kRules) {
     auto c = program::parse_statement_config(rules, "t.toml");
-    return {std::move(c.rules), c.judge, {c.open, c.group, c.read_class, c.primary_class, c.write_class}};
+    return {std::move(c.rules),
+            c.analyzer_options,
+            {c.open, c.group, c.read_class, c.primary_class, c.write_class}};
 }
 
 // One more class beside the usual ones: writes without a key, which run once or may have.
--- a/tests/adapters/watch_fleet_test.cpp
+++ b/tests/adapters/watch_fleet_test.cpp
@@ -76,7 +76,8 @@
             } else if (pooler.unanswered) {
                 if (now >= pooler.timeout_at) {
                     const bool rejected = std::exchange(pooler.queue_full, false);
-                    fail(pooler, rejected ? WatchSchedule::Failure::refused : WatchSchedule::Failure::silent);
+                    fail(pooler,
+                         rejected ? WatchSchedule::Failure::refused : WatchSchedule::Failure::no_response);
                 }
             } else if (now >= pooler.at && (pooler.revision < revision || now >= pooler.hold_until)) {
                 pooler.calling = false;
--- a/tests/program/services_test.cpp
+++ b/tests/program/services_test.cpp
@@ -49,7 +49,7 @@
     REQUIRE(requested(8));                       // silence is given up
     agent.drop_all();
     REQUIRE(requested(9));  // and so is a reset
-    CHECK(catalog.told());
+    CHECK(catalog.has_complete_list());
 }
 
 TEST_CASE(
@@ -79,7 +79,7 @@
         REQUIRE(loop.until([&] { return host.asked.size() >= 3; }));
         CHECK(host.asked[0] == "/catalog/members?from=41&hold_ms=2500");  // not the whole list
         CHECK(host.asked[2] == "/catalog/members?from=43&hold_ms=2500");  // a watch is taken up again at once
-        CHECK(catalog.told());
+        CHECK(catalog.has_complete_list());
         REQUIRE(loop.until([&] { return host.asked.size() >= 5; }));
         // Two waits of 40 and 80 ms, each half as long at least: a machine's slowness only adds to that.
         CHECK(std::chrono::steady_clock::now() - began >= 60ms);
@@ -117,7 +117,7 @@
                     std::size_t before = hosts[now = 1 - now].asked.size();
                     agents[now].replies.clear();
                     catalog.move_to(at[now]);
-                    CHECK(!catalog.told());
+                    CHECK(!catalog.has_complete_list());
                     if (dice.below(3) == 0) break;
                     REQUIRE(loop.until([&] { return hosts[now].asked.size() > before; }));
                     CHECK(hosts[now].asked[before] == "/catalog/members");
@@ -137,7 +137,7 @@
                                asked.back() == "/catalog/members?from=" + rev + "&hold_ms=2";
                     };
                     REQUIRE(loop.until(has_list));
-                    CHECK(catalog.told());
+                    CHECK(catalog.has_complete_list());
                     agents[now].replies.clear();
                     break;
                 }
--- a/tests/statement/statement_config_test.cpp
+++ b/tests/statement/statement_config_test.cpp
@@ -35,7 +35,7 @@
 kinds = ["read"]
 )",
                                                   "t.toml");
-    StatementAnalyzer analyzer(std::move(config.rules), config.judge);
+    StatementAnalyzer analyzer(std::move(config.rules), config.analyzer_options);
     auto profile_of = [&](const char* sql) { return analyzer.analyze(sql, {}); };
     CHECK(profile_of("SELECT app.peek(1)").route == Route::replica);
     CHECK(profile_of("SELECT peek(1)").route == Route::primary);  // the search path may find another
