--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -128,7 +128,7 @@
     {
         Recovered found;
         OpenOptions options;
-        options.carrier.amplification = 1e9;
+        options.log_worker.amplification = 1e9;
         std::unique_ptr<Environment> environment;
         std::string why;
         if (!open_folder(path, environment).ok()) std::abort();
--- a/src/adapters/link_base.hpp
+++ b/src/adapters/backend_connection_base.hpp
@@ -5,23 +5,23 @@
 
 #include "routing/interfaces.hpp"
 #include "transport/connection.hpp"
-#include "transport/endpoint.hpp"
 #include "transport/shortage.hpp"
+#include "transport/socket_address.hpp"
 
 namespace indigovane::adapters {
 
-class LinkBase : public routing::Link,
-                 protected transport::Connection::Handler,
-                 public std::enable_shared_from_this<LinkBase> {
+class BackendConnectionBase : public routing::BackendConnection,
+                              protected transport::Connection::Handler,
+                              public std::enable_shared_from_this<BackendConnectionBase> {
   public:
-    LinkBase(boost::asio::io_context& io, Owner& owner, std::size_t unread)
+    BackendConnectionBase(boost::asio::io_context& io, Owner& owner, std::size_t unread)
         : owner_(&owner), connection_(std::make_shared<transport::Connection>(io)) {
         connection_->limit_unread(unread);
     }
-    ~LinkBase() override { connection_->close(); }
+    ~BackendConnectionBase() override { connection_->close(); }
 
-    void connect(boost::asio::io_context& io, const std::string& endpoint, routing::Duration timeout) {
-        if (auto to = transport::read_endpoint(endpoint)) {
+    void connect(boost::asio::io_context& io, const std::string& address, routing::Duration timeout) {
+        if (auto to = transport::parse_socket_address(address)) {
             connection_->connect(*to, timeout, *this);
             return;
         }
@@ -61,7 +61,7 @@
         state_ = State::asked;
         connection_->write(std::move(bytes));
     }
-    void answer(routing::Result result) {
+    void answer(routing::AttemptResult result) {
         // What is left of a request that was answered early would be taken for a part of the next one.
         if (!connection_->all_written()) result.reusable = false;
         state_ = State::idle;
--- a/src/adapters/door.cpp
+++ b/src/adapters/client_listener.cpp
@@ -1,4 +1,4 @@
-#include "adapters/door.hpp"
+#include "adapters/client_listener.hpp"
 
 #include <unistd.h>
 
@@ -9,46 +9,46 @@
 
 namespace indigovane::adapters {
 
-Door::Door(boost::asio::io_context& io, const transport::ListenAt& at, std::size_t most)
+ClientListener::ClientListener(boost::asio::io_context& io, const transport::ListenAt& at, std::size_t most)
     : io_(io),
       listener_(io, at, [this](auto socket) { take(std::move(socket)); }),
       most_(most),
       sweeper_(io) {}
 
-Door::~Door() {
+ClientListener::~ClientListener() {
     for (const auto& [use, session] : sessions_) session->close();
 }
 
-void Door::start() {
+void ClientListener::start() {
     listener_.start();
 }
 
-std::string Door::address() const {
+std::string ClientListener::address() const {
     return local().address().to_string() + ":" + std::to_string(local().port());
 }
 
-void Door::stop_accepting() {
+void ClientListener::stop_accepting() {
     listener_.drain();
     listener_.close();
 }
 
-void Door::close_idle() {
+void ClientListener::close_idle() {
     retiring_ = true;
     sweep();
 }
 
-void Door::welcome() {
+void ClientListener::welcome() {
     retiring_ = refusing_ = false;
     sweeper_.cancel();
 }
 
 // A connection whose first request is on its way would be closed in its face otherwise.
-bool Door::retires(const Session& session) const {
+bool ClientListener::retires(const Session& session) const {
     constexpr auto time_to_ask = std::chrono::milliseconds(300);
     return retiring_ && (session.served || std::chrono::steady_clock::now() >= session.came + time_to_ask);
 }
 
-void Door::sweep() {
+void ClientListener::sweep() {
     constexpr auto every = std::chrono::milliseconds(20);
     std::vector<std::shared_ptr<Session>> all;
     for (const auto& [use, session] : sessions_) all.push_back(session);
@@ -59,40 +59,40 @@
     });
 }
 
-void Door::take(boost::asio::ip::tcp::socket socket) {
+void ClientListener::take(boost::asio::ip::tcp::socket socket) {
     take_in(open(), std::move(socket), {});
 }
 
 // Guards clients in an upgrade: a connection goes on in the other process as if nothing had happened, and no
 // request that is under way on it meets a closing.
-std::size_t Door::hand_over(const std::function<void(routing::ClientParcel)>& to) {
+std::size_t ClientListener::hand_over(const std::function<void(routing::ClientHandover)>& to) {
     std::vector<std::shared_ptr<Session>> all;
     for (const auto& [use, session] : sessions_) all.push_back(session);
     std::size_t handed = 0;
     for (const auto& session : all)
-        if (auto parcel = session->release()) {
+        if (auto handover = session->release()) {
             leave(session);
-            to(std::move(*parcel));
+            to(std::move(*handover));
             ++handed;
         }
     return handed;
 }
 
-void Door::take_over(routing::ClientParcel parcel) {
+void ClientListener::take_over(routing::ClientHandover handover) {
     auto session = open();
-    session->restore(parcel.state, parcel.note);
+    session->restore(handover.state, handover.note);
     transport::error_code ec;
     boost::asio::ip::tcp::socket socket(io_);
-    socket.assign(local().protocol(), parcel.socket, ec);
+    socket.assign(local().protocol(), handover.socket, ec);
     if (ec) {
-        ::close(parcel.socket);
+        ::close(handover.socket);
         return;
     }
-    take_in(std::move(session), std::move(socket), parcel.read);
+    take_in(std::move(session), std::move(socket), handover.read);
 }
 
-void Door::take_in(std::shared_ptr<Session> session, boost::asio::ip::tcp::socket socket,
-                   std::string_view read) {
+void ClientListener::take_in(std::shared_ptr<Session> session, boost::asio::ip::tcp::socket socket,
+                             std::string_view read) {
     session->used = ++uses_;
     session->came = std::chrono::steady_clock::now();
     sessions_.emplace(session->used, session);
@@ -100,7 +100,7 @@
     if (sessions_.size() >= most_) make_room(*session);
 }
 
-void Door::touch(Session& session) {
+void ClientListener::touch(Session& session) {
     auto node = sessions_.extract(session.used);
     if (node.empty()) return;
     node.key() = session.used = ++uses_;
@@ -119,7 +119,7 @@
 // that had time to ask and has not, so that clients which only connect displace each other; a newcomer last,
 // since its first request is on its way. Of its kind the one unused for longest. When every session is busy,
 // what comes waits in the kernel's queue.
-void Door::make_room(const Session& newcomer) {
+void ClientListener::make_room(const Session& newcomer) {
     constexpr auto time_to_ask = std::chrono::milliseconds(50);
     auto asking_since = std::chrono::steady_clock::now() - time_to_ask;
     auto kind = [&](const Session& s) { return s.served ? 1 : s.came <= asking_since ? 0 : 2; };
@@ -135,7 +135,7 @@
         listener_.pause();
 }
 
-bool Door::grant(Session& session, std::size_t bytes) {
+bool ClientListener::grant(Session& session, std::size_t bytes) {
     if (long_ + bytes > long_most_) {
         waiting_[&session] = session.weak_from_this();
         return false;
@@ -145,7 +145,7 @@
     return true;
 }
 
-void Door::take_back(Session& session) {
+void ClientListener::take_back(Session& session) {
     waiting_.erase(&session);
     if (session.granted == 0) return;
     long_ -= std::exchange(session.granted, 0);
@@ -155,7 +155,7 @@
     });
 }
 
-void Door::leave(const std::shared_ptr<Session>& session) {
+void ClientListener::leave(const std::shared_ptr<Session>& session) {
     take_back(*session);
     if (sessions_.erase(session->used) > 0) {
         bytes_ -= session->counted;
@@ -165,7 +165,7 @@
     if (sessions_.size() < most_) listener_.resume();
 }
 
-bool Door::crowded(Session& session) {
+bool ClientListener::crowded(Session& session) {
     constexpr std::size_t small = 16384;
     std::size_t held = session.held() - std::min(session.held(), session.granted);
     bytes_ += held - session.counted;
@@ -173,7 +173,7 @@
     return bytes_ > bytes_most_ && held > small;
 }
 
-void Door::linger(const std::shared_ptr<transport::Connection>& connection) {
+void ClientListener::linger(const std::shared_ptr<transport::Connection>& connection) {
     (retiring_ ? retired_ : lingering_).add(connection);
 }
 
--- a/src/adapters/door.hpp
+++ b/src/adapters/client_listener.hpp
@@ -10,27 +10,27 @@
 
 namespace indigovane::adapters {
 
-class Door : public routing::Front {
+class ClientListener : public routing::Front {
   public:
-    Door(boost::asio::io_context& io, const transport::ListenAt& at, std::size_t most);
+    ClientListener(boost::asio::io_context& io, const transport::ListenAt& at, std::size_t most);
     // So many sessions that have been served may stay open, busy or not. Beyond that the one between requests
     // for longest is closed: clients may hold only so many connections, too, and those that ask once and stay
     // would leave the others none.
     void limit_served(std::size_t most) { served_most_ = most; }
     // What clients leave unread or send unfinished may take so many bytes, all together.
     void limit_bytes(std::size_t bytes) { bytes_most_ = bytes; }
-    ~Door() override;
+    ~ClientListener() override;
     void start() override;
     void stop_accepting() override;
     void close_idle() override;
     void refuse_checks() override { refusing_ = true; }
     void welcome() override;
     int listening_socket() override { return listener_.socket(); }
-    std::size_t hand_over(const std::function<void(routing::ClientParcel)>& to) override;
-    void take_over(routing::ClientParcel parcel) override;
+    std::size_t hand_over(const std::function<void(routing::ClientHandover)>& to) override;
+    void take_over(routing::ClientHandover handover) override;
     std::size_t connections() const override { return sessions_.size(); }
     std::string address() const override;
-    transport::Endpoint local() const { return listener_.local(); }
+    transport::SocketAddress local() const { return listener_.local(); }
 
     void touch(Session& session);                         // it has had a request, or the answer to one
     void leave(const std::shared_ptr<Session>& session);  // the session is over
--- a/src/adapters/control_front.cpp
+++ b/src/adapters/control_front.cpp
@@ -19,7 +19,7 @@
 
     void begin(boost::asio::ip::tcp::socket socket) {
         connection_->adopt(std::move(socket), *this);
-        timer_.expires_after(front_.limits_.patience);
+        timer_.expires_after(front_.limits_.client_timeout);
         timer_.async_wait([weak = weak_from_this()](const transport::error_code& ec) {
             auto self = weak.lock();
             if (self && !ec) self->finish("-ERR no whole call has come");
@@ -66,8 +66,8 @@
     bool over_ = false, asked_ = false;
 };
 
-ControlFront::ControlFront(boost::asio::io_context& io, const transport::Endpoint& at, ControlLimits limits,
-                           Operations& operations, routing::Logger& logger)
+ControlFront::ControlFront(boost::asio::io_context& io, const transport::SocketAddress& at,
+                           ControlLimits limits, Operations& operations, routing::Logger& logger)
     : io_(io),
       limits_(limits),
       lingering_(limits.lingering),
--- a/src/adapters/control_front.hpp
+++ b/src/adapters/control_front.hpp
@@ -40,20 +40,20 @@
     std::size_t callers = 32;    // at once; beyond that the one waited for longest gives way
     std::size_t lingering = 16;  // connections that have their answer and are not closed by the caller yet
     std::size_t line = 256;      // bytes
-    std::chrono::milliseconds patience{5000};  // with a caller that has not sent its whole line
+    std::chrono::milliseconds client_timeout{5000};  // with a caller that has not sent its whole line
 
     std::size_t sockets() const { return callers + lingering + 1; }
 };
 
 class ControlFront {
   public:
-    ControlFront(boost::asio::io_context& io, const transport::Endpoint& at, ControlLimits limits,
+    ControlFront(boost::asio::io_context& io, const transport::SocketAddress& at, ControlLimits limits,
                  Operations& operations, routing::Logger& logger);
     ~ControlFront();
     void start() { listener_.start(); }
     void close();
     std::size_t callers() const { return callers_.size(); }
-    transport::Endpoint local() const { return listener_.local(); }
+    transport::SocketAddress local() const { return listener_.local(); }
 
   private:
     class Caller;
--- a/src/adapters/limited_intake.cpp
+++ b/src/adapters/limited_admission.cpp
@@ -1,4 +1,4 @@
-#include "adapters/limited_intake.hpp"
+#include "adapters/limited_admission.hpp"
 
 #include <boost/asio/post.hpp>
 
@@ -8,9 +8,9 @@
 
 using namespace routing;
 
-class LimitedIntake::Ticket : public Responder {
+class LimitedAdmission::Ticket : public Responder {
   public:
-    Ticket(LimitedIntake& owner, RequestId id, Item item, Responder& responder, Time deadline)
+    Ticket(LimitedAdmission& owner, RequestId id, ClientRequest item, Responder& responder, Time deadline)
         : owner_(owner), id_(id), item_(std::move(item)), responder_(&responder), deadline_(deadline) {}
 
     void served(const Answer& answer) override {
@@ -31,40 +31,40 @@
         owner_.end(id_, limits::End::failed, 0);
         to->broken();
     }
-    void ended(const Ending& ending) override {
+    void ended(const FinalError& ending) override {
         Responder* to = responder_;
-        auto how = ending.deadline                        ? limits::End::timed_out
-                   : ending.kind == Ending::Kind::refused ? limits::End::never_ran
-                                                          : limits::End::failed;
-        Ending copy = ending;
+        auto how = ending.deadline                            ? limits::End::timed_out
+                   : ending.kind == FinalError::Kind::refused ? limits::End::never_ran
+                                                              : limits::End::failed;
+        FinalError copy = ending;
         owner_.end(id_, how, 0);
         to->ended(copy);
     }
 
   private:
-    friend class LimitedIntake;
-    LimitedIntake& owner_;
+    friend class LimitedAdmission;
+    LimitedAdmission& owner_;
     RequestId id_, core_id_{};
-    Item item_;
+    ClientRequest item_;
     Responder* responder_;
     Time deadline_;
     std::size_t bytes_ = 0, passed_ = 0;
     bool held_ = false, in_core_ = false;
 };
 
-LimitedIntake::LimitedIntake(boost::asio::io_context& io, const Clock& clock,
-                             const limits::Settings& settings, Intake& core)
+LimitedAdmission::LimitedAdmission(boost::asio::io_context& io, const Clock& clock,
+                                   const limits::Settings& settings, RequestAdmission& core)
     : io_(io), clock_(clock), core_(core), limiter_(settings), timer_(io) {}
 
-LimitedIntake::~LimitedIntake() = default;
+LimitedAdmission::~LimitedAdmission() = default;
 
-limits::Time LimitedIntake::now() const {
+limits::Time LimitedAdmission::now() const {
     return limits::Time(clock_.now().time_since_epoch());
 }
 
-RequestId LimitedIntake::accept(Item item, Responder& responder) {
+RequestId LimitedAdmission::accept(ClientRequest item, Responder& responder) {
     RequestId id{next_++};
-    Time deadline = clock_.now() + item.patience;
+    Time deadline = clock_.now() + item.client_timeout;
     limits::Arrival arrival;
     arrival.id = std::uint64_t(id);
     arrival.group = std::uint32_t(item.group);
@@ -79,36 +79,36 @@
     auto ticket = std::make_unique<Ticket>(*this, id, std::move(item), responder, deadline);
     Ticket& t = *ticket;
     arrival.tenant = t.item_.tenant;
-    limits::Verdict verdict = limiter_.arrive(arrival, now());
+    limits::AdmissionDecision verdict = limiter_.arrive(arrival, now());
     tickets_.emplace(std::uint64_t(id), std::move(ticket));
-    if (verdict.word == limits::Word::go) {
+    if (verdict.word == limits::Admission::go) {
         forward(t);
     } else {
         t.held_ = true;
         t.bytes_ = t.item_.statement.size() + t.item_.name.size();
-        held_bytes_ += t.bytes_;
+        queued_bytes_ += t.bytes_;
         held_ids_.insert(t.item_.id);
-        if (verdict.word == limits::Word::refuse) refused_.push_back(verdict);
+        if (verdict.word == limits::Admission::refuse) refused_.push_back(verdict);
     }
     wake();
     return id;
 }
 
-void LimitedIntake::unhold(Ticket& t) {
+void LimitedAdmission::unhold(Ticket& t) {
     if (!std::exchange(t.held_, false)) return;
-    held_bytes_ -= t.bytes_;
+    queued_bytes_ -= t.bytes_;
     held_ids_.erase(t.item_.id);
 }
 
-void LimitedIntake::forward(Ticket& t) {
+void LimitedAdmission::forward(Ticket& t) {
     unhold(t);
     t.in_core_ = true;
     // What is left of its time; none left is the core's to say, as ever.
-    t.item_.patience = std::max(Duration::zero(), t.deadline_ - clock_.now());
+    t.item_.client_timeout = std::max(Duration::zero(), t.deadline_ - clock_.now());
     t.core_id_ = core_.accept(std::move(t.item_), t);
 }
 
-void LimitedIntake::end(RequestId id, limits::End how, std::size_t bytes) {
+void LimitedAdmission::end(RequestId id, limits::End how, std::size_t bytes) {
     limiter_.finish(std::uint64_t(id), how, bytes, now());
     if (auto it = tickets_.find(std::uint64_t(id)); it != tickets_.end()) {
         unhold(*it->second);
@@ -117,39 +117,39 @@
     wake();
 }
 
-void LimitedIntake::resume(RequestId id) {
+void LimitedAdmission::resume(RequestId id) {
     auto it = tickets_.find(std::uint64_t(id));
     if (it != tickets_.end() && it->second->in_core_) core_.resume(it->second->core_id_);
 }
 
-void LimitedIntake::withdraw(RequestId id, Departure departure) {
+void LimitedAdmission::withdraw(RequestId id, Departure departure) {
     auto it = tickets_.find(std::uint64_t(id));
     if (it == tickets_.end()) return;
     if (it->second->in_core_) core_.withdraw(it->second->core_id_, departure);
-    std::erase_if(refused_, [&](const limits::Verdict& v) { return v.id == std::uint64_t(id); });
+    std::erase_if(refused_, [&](const limits::AdmissionDecision& v) { return v.id == std::uint64_t(id); });
     end(id, limits::End::withdrawn, 0);
 }
 
-void LimitedIntake::refuse(const limits::Verdict& verdict) {
+void LimitedAdmission::refuse(const limits::AdmissionDecision& verdict) {
     auto it = tickets_.find(verdict.id);
     if (it == tickets_.end()) return;
     Responder* to = it->second->responder_;
     unhold(*it->second);
     tickets_.erase(it);
-    to->ended({Ending::Kind::refused, false, verdict.retry_after});
+    to->ended({FinalError::Kind::refused, false, verdict.retry_after});
 }
 
 // What its calls bring about may call back in here: those calls only mark that there is more to do.
-void LimitedIntake::pump() {
+void LimitedAdmission::dispatch_queued() {
     if (std::exchange(pumping_, true)) return;
-    std::vector<limits::Verdict> due;
+    std::vector<limits::AdmissionDecision> due;
     for (int round = 0; round < 64; ++round) {
         due.clear();
         due.swap(refused_);
         limiter_.release(now(), due);
         if (due.empty()) break;
-        for (const limits::Verdict& v : due) {
-            if (v.word == limits::Word::refuse) {
+        for (const limits::AdmissionDecision& v : due) {
+            if (v.word == limits::Admission::refuse) {
                 refuse(v);
             } else if (auto it = tickets_.find(v.id); it != tickets_.end()) {
                 forward(*it->second);
@@ -171,32 +171,32 @@
     timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](const boost::system::error_code& ec) {
         if (ec || alive.expired()) return;
         armed_.reset();
-        pump();
+        dispatch_queued();
     });
 }
 
-void LimitedIntake::wake() {
+void LimitedAdmission::wake() {
     if (std::exchange(woken_, true)) return;
     boost::asio::post(io_, [this, alive = std::weak_ptr<bool>(alive_)] {
         if (alive.expired()) return;
         woken_ = false;
-        pump();
+        dispatch_queued();
     });
 }
 
 // Guards what waits across a change of the settings: by its old number it would be taken for another class,
 // with another class's effect. What belongs to a class that is gone ends here; it never ran.
-void LimitedIntake::renumber(const std::vector<std::optional<ClassId>>& continues) {
+void LimitedAdmission::renumber(const std::vector<std::optional<ClassId>>& continues) {
     for (auto& [id, ticket] : tickets_) {
         if (!ticket->held_) continue;
-        ticket->item_.cls = renumbered(ticket->item_.cls, continues);
-        if (ticket->item_.cls == kNoClass)
-            refused_.push_back({id, limits::Word::refuse, limits::Cause::none, {}});
+        ticket->item_.request_class = renumbered(ticket->item_.request_class, continues);
+        if (ticket->item_.request_class == kNoClass)
+            refused_.push_back({id, limits::Admission::refuse, limits::Cause::none, {}});
     }
     wake();
 }
 
-void LimitedIntake::set(const limits::Settings& settings) {
+void LimitedAdmission::set(const limits::Settings& settings) {
     limiter_.set(settings);
     wake();
 }
--- a/src/adapters/limited_intake.hpp
+++ b/src/adapters/limited_admission.hpp
@@ -16,14 +16,14 @@
 
 namespace indigovane::adapters {
 
-class LimitedIntake : public routing::Intake {
+class LimitedAdmission : public routing::RequestAdmission {
   public:
-    LimitedIntake(boost::asio::io_context& io, const routing::Clock& clock, const limits::Settings& settings,
-                  routing::Intake& core);
-    ~LimitedIntake();
+    LimitedAdmission(boost::asio::io_context& io, const routing::Clock& clock,
+                     const limits::Settings& settings, routing::RequestAdmission& core);
+    ~LimitedAdmission();
 
-    routing::RequestId accept(routing::Item item, routing::Responder& responder) override;
-    bool has_room(std::size_t bytes) const override { return core_.has_room(bytes + held_bytes_); }
+    routing::RequestId accept(routing::ClientRequest item, routing::Responder& responder) override;
+    bool has_capacity(std::size_t bytes) const override { return core_.has_capacity(bytes + queued_bytes_); }
     bool is_open(const std::string& id) const override {
         return held_ids_.count(id) > 0 || core_.is_open(id);
     }
@@ -42,21 +42,22 @@
     void forward(Ticket& ticket);
     // The ticket is over: it leaves, and what its end makes room for goes on.
     void end(routing::RequestId id, limits::End how, std::size_t bytes);
-    void refuse(const limits::Verdict& verdict);
-    void pump();
+    void refuse(const limits::AdmissionDecision& verdict);
+    void dispatch_queued();
     void wake();  // pump() soon, from the loop
     void unhold(Ticket& ticket);
     limits::Time now() const;
 
     boost::asio::io_context& io_;
     const routing::Clock& clock_;
-    routing::Intake& core_;
+    routing::RequestAdmission& core_;
     limits::Limiter limiter_;
     boost::asio::steady_timer timer_;
     std::unordered_map<std::uint64_t, std::unique_ptr<Ticket>> tickets_;
     std::unordered_set<std::string> held_ids_;
-    std::vector<limits::Verdict> refused_;  // on arrival: answered from the loop, not from within accept()
-    std::size_t held_bytes_ = 0;
+    std::vector<limits::AdmissionDecision>
+        refused_;  // on arrival: answered from the loop, not from within accept()
+    std::size_t queued_bytes_ = 0;
     std::uint64_t next_ = 1;
     std::optional<limits::Time> armed_;
     bool woken_ = false, pumping_ = false;
--- a/src/adapters/peer_link.cpp
+++ b/src/adapters/peer_link.cpp
@@ -74,7 +74,7 @@
     peer::Message message{options_.cluster, options_.incarnation, 0, {}};
     auto now = std::chrono::steady_clock::now();
     for (auto it = news_.begin(); it != news_.end();) {
-        News& news = it->second;
+        StoreEvent& news = it->second;
         if (news.next <= now) {
             message.primaries.push_back(news.primary);
             news.next = now + options_.again;
--- a/src/adapters/peer_link.hpp
+++ b/src/adapters/peer_link.hpp
@@ -43,7 +43,7 @@
     void pump();
     void send();
 
-    struct News {
+    struct StoreEvent {
         protocol::peer::Primary primary;
         int times = 0;  // told
         std::chrono::steady_clock::time_point next;
@@ -61,7 +61,7 @@
     std::array<char, protocol::peer::kLargest + 1>
         buffer_{};  // one more: so that a longer one is seen as such
     boost::asio::ip::udp::endpoint from_;
-    std::map<std::uint32_t, News> news_;                     // by group
+    std::map<std::uint32_t, StoreEvent> news_;               // by group
     std::map<boost::asio::ip::udp::endpoint, Heard> heard_;  // by sender, of which there are as many as peers
     std::uint32_t number_ = 0;
     PeerCounts counts_;
--- a/src/adapters/pg_backend.cpp
+++ b/src/adapters/pg_backend.cpp
@@ -5,16 +5,16 @@
 #include <charconv>
 #include <cmath>
 
-#include "adapters/link_base.hpp"
+#include "adapters/backend_connection_base.hpp"
 #include "protocol/pg.hpp"
 
 namespace indigovane::adapters {
 
 namespace pg = protocol::pg;
 using namespace routing;
-using starlingpond::Execution;
-using starlingpond::Role;
-using starlingpond::Status;
+using policy::AttemptStatus;
+using policy::Execution;
+using policy::Role;
 
 namespace {
 
@@ -40,8 +40,8 @@
 
 // name=value pairs set apart by commas. Names that mean nothing here are skipped; a report that can't be read
 // as a whole tells nothing at all.
-void read_report(std::string_view text, Result& result) {
-    Result told;
+void read_report(std::string_view text, AttemptResult& result) {
+    AttemptResult told;
     while (!text.empty()) {
         std::size_t comma = text.find(',');
         std::string_view part = text.substr(0, comma);
@@ -60,33 +60,33 @@
             if (*value != 0 && *value != 1) return;
             told.report.primary = *value == 1;
         }
-        if (name == "inflight" || name == "concurrent") told.report.held = *value;
-        if (name == "queue" || name == "depth") told.report.waiting = *value;
-        if (name == "util" || name == "load_share") told.report.busy = *value;
+        if (name == "inflight" || name == "concurrent") told.report.in_flight = *value;
+        if (name == "queue" || name == "depth") told.report.queued = *value;
+        if (name == "util" || name == "load_share") told.report.cpu_utilization = *value;
     }
     result.report = told.report;
     result.report_position_unix_us = told.report_position_unix_us;
 }
 
-std::string statement_of(const Item& item) {
+std::string statement_of(const ClientRequest& item) {
     switch (item.verb) {
-        case Item::Verb::lookup:
+        case ClientRequest::Verb::lookup:
             return "SELECT content FROM kv WHERE name = " + pg::quote(item.name);
-        case Item::Verb::write:
+        case ClientRequest::Verb::write:
             return "INSERT INTO kv (name, content) VALUES (" + pg::quote(item.name) + ", " +
                    pg::quote(item.content.value_or("")) + ") RETURNING content";
-        case Item::Verb::page:
+        case ClientRequest::Verb::page:
             return "SELECT name, content FROM kv WHERE name > " + pg::quote(item.name) +
                    (item.prefix ? " AND starts_with(name, " + pg::quote(*item.prefix) + ")" : "") +
                    " ORDER BY name LIMIT " + std::to_string(item.limit);
-        case Item::Verb::other:
+        case ClientRequest::Verb::other:
             break;
     }
     return {};
 }
 
 // The fields of the comment for an item that came in by another wire.
-std::string comment_of(const Item& item, std::string_view remaining) {
+std::string comment_of(const ClientRequest& item, std::string_view remaining) {
     std::string out = "/* id=" + item.id + ",c=" + item.class_name;
     if (!item.tenant.empty()) out += ",t=" + item.tenant;
     out.append(",d=").append(remaining);
@@ -100,18 +100,18 @@
 // A member's answer has exactly one form for each query. Whatever differs from it is spoilt: a failed attempt
 // that may have run, which teaches nothing and ends the connection. Guards against passing on what was made
 // for no request or for another one, and against waiting for the end of what has none.
-class PgLink : public LinkBase {
+class PgLink : public BackendConnectionBase {
   public:
     PgLink(boost::asio::io_context& io, Owner& owner)
-        : LinkBase(io, owner, kRowLimit + kOtherLimit), timer_(io) {}
+        : BackendConnectionBase(io, owner, kRowLimit + kOtherLimit), timer_(io) {}
 
-    void submit(const Item& item, Duration remaining, std::optional<std::int64_t>) override {
+    void submit(const ClientRequest& item, Duration remaining, std::optional<std::int64_t>) override {
         auto left = std::max<std::int64_t>(1, remaining.count() / 1000);
         std::string text = std::to_string(left);
         verb_ = item.verb;
-        row_limit_ = verb_ == Item::Verb::page ? item.limit : 1;
-        in_pieces_ = item.in_pieces && verb_ != Item::Verb::page;
-        if (verb_ == Item::Verb::other && item.bare)
+        row_limit_ = verb_ == ClientRequest::Verb::page ? item.limit : 1;
+        in_pieces_ = item.in_pieces && verb_ != ClientRequest::Verb::page;
+        if (verb_ == ClientRequest::Verb::other && item.bare)
             query(pg::Writer().query(item.statement).take(), false);
         else if (item.statement.empty())
             query(pg::Writer().query(comment_of(item, text) + statement_of(item)).take(), false);
@@ -128,7 +128,7 @@
     enum class Part { authentication, greeting, columns, rows, ready };  // what comes next
 
     void query(std::string message, bool probing) {
-        result_ = Result{};
+        result_ = AttemptResult{};
         probing_ = probing;
         bytes_ = left_ = rows_ = 0;
         begun_ = paused_ = own_error_ = false;
@@ -151,27 +151,28 @@
                 if (owner_) in.consume(count);
                 continue;
             }
-            if (state_ == State::idle) return spoilt("bytes that belong to no request");
+            if (state_ == State::idle) return malformed("bytes that belong to no request");
             begun_ = true;
             pg::Message m;
             std::size_t length = 0;
             const char type = in.view()[0];
-            if (!may_come(type)) return spoilt("a message that does not belong here");
+            if (!may_come(type)) return malformed("a message that does not belong here");
             if (type == 'D' && in_pieces_ && is_long(in.view())) {
                 if (in.size() < 11) break;
-                if (const char* wrong = begin_long(in)) return spoilt(wrong);
+                if (const char* wrong = begin_long(in)) return malformed(wrong);
                 continue;
             }
             pg::Next next = pg::next_message(in.view(), type == 'D' ? kRowLimit : kOtherLimit, m, length);
             if (next == pg::Next::more) {
-                if (type == 'D' && !row_may_fit(in.view())) return spoilt("a row whose lengths do not fit");
+                if (type == 'D' && !row_may_fit(in.view()))
+                    return malformed("a row whose lengths do not fit");
                 break;
             }
-            if (next != pg::Next::message) return spoilt("a message too long or with no length");
+            if (next != pg::Next::message) return malformed("a message too long or with no length");
             const char* wrong = take(m);
             bool over = type == 'Z' || (type == 'E' && !result_.reusable);
             in.consume(length);
-            if (wrong) return spoilt(wrong);
+            if (wrong) return malformed(wrong);
             if (over) at_end(in.empty());
         }
         if (owner_ && state_ == State::asked && begun_ && !paused_) await_rest();
@@ -213,7 +214,7 @@
 
     // A row of one value tells its length twice: the two are compared before the value has come.
     bool row_may_fit(std::string_view in) const {
-        if (passes_on() || (verb_ == Item::Verb::page && !probing_)) return true;
+        if (passes_on() || (verb_ == ClientRequest::Verb::page && !probing_)) return true;
         return in.size() < 11 ||
                std::uint64_t(pg::read_u32(in.substr(1))) == std::uint64_t(pg::read_u32(in.substr(7))) + 10;
     }
@@ -224,22 +225,22 @@
             auto self = std::static_pointer_cast<PgLink>(weak.lock());
             if (self && !ec && self->owner_ && number == self->waits_ && self->state_ == State::asked &&
                 !self->paused_)
-                self->spoilt("an answer that does not end");
+                self->malformed("an answer that does not end");
         });
     }
 
-    void spoilt(const char* why) {
+    void malformed(const char* why) {
         ++waits_;
         if (state_ != State::asked) return end(broken());
-        Result result;
-        result.status = Status::error;
+        AttemptResult result;
+        result.status = AttemptStatus::error;
         result.evidence = result_.evidence;
         result.reusable = false;
-        result.spoilt = why;
+        result.malformed = why;
         answer(std::move(result));
     }
 
-    End broken() const override { return turned_away_ ? End::turned_away : LinkBase::broken(); }
+    End broken() const override { return turned_away_ ? End::rejected : BackendConnectionBase::broken(); }
 
     // A description of rows comes once the host has begun to execute, a row or a completion once it has
     // executed. No later message takes that back, a refusal neither.
@@ -296,7 +297,9 @@
     }
 
     // Of an open statement nothing is known but its messages' form: they go to the client as they are.
-    bool passes_on() const { return verb_ == Item::Verb::other && !probing_ && state_ == State::asked; }
+    bool passes_on() const {
+        return verb_ == ClientRequest::Verb::other && !probing_ && state_ == State::asked;
+    }
     const char* pass_on(const pg::Message& m) {
         bytes_ += m.body.size() + 5;
         if (bytes_ > kPageLimit) return "an answer too large";
@@ -325,12 +328,13 @@
             return "an error with no code";
         failed_ = true;
         if (e.code == pg::sqlstate::read_only || e.code == pg::sqlstate::snapshot_too_old)
-            result_.status = Status::miss;
+            result_.status = AttemptStatus::miss;
         else if (e.code == pg::sqlstate::too_many_connections || e.code == pg::sqlstate::cannot_connect_now)
-            result_.status = Status::full;
+            result_.status = AttemptStatus::rejected;
         else
-            result_.status = Status::error;
-        if (passes_on() && result_.status == Status::error && e.severity != "FATAL" && own_error(e.code)) {
+            result_.status = AttemptStatus::error;
+        if (passes_on() && result_.status == AttemptStatus::error && e.severity != "FATAL" &&
+            own_error(e.code)) {
             failed_ = false;
             own_error_ = true;
             part_ = Part::ready;
@@ -338,7 +342,7 @@
         }
         if (e.severity == "FATAL") {  // it answers the job, and the connection ends with it
             result_.reusable = false;
-            turned_away_ = state_ == State::starting && result_.status == Status::full;
+            turned_away_ = state_ == State::starting && result_.status == AttemptStatus::rejected;
         }
         part_ = Part::ready;
         return nullptr;
@@ -352,9 +356,9 @@
             column_count_ = columns->size();
             return pass_on({'T', body});
         }
-        bool page = verb_ == Item::Verb::page && !probing_;
+        bool page = verb_ == ClientRequest::Verb::page && !probing_;
         if (!columns || columns->size() != (page ? 2 : 1)) return "columns that do not fit";
-        bool known = !probing_ && verb_ != Item::Verb::other;
+        bool known = !probing_ && verb_ != ClientRequest::Verb::other;
         if (known && columns->back().name != "content") return "a column that was not asked for";
         result_.answer.column = columns->back().name;
         result_.answer.binary = columns->back().binary;
@@ -369,7 +373,7 @@
             ++rows_;
             return pass_on({'D', body});
         }
-        bool page = verb_ == Item::Verb::page && !probing_;
+        bool page = verb_ == ClientRequest::Verb::page && !probing_;
         if (!values || values->size() != (page ? 2 : 1)) return "a row that does not fit";
         if (!std::all_of(values->begin(), values->end(), [](auto& v) { return v.has_value(); }))
             return "a row without a value";
@@ -391,8 +395,8 @@
             return pass_on({'C', whole});
         }
         std::string rows = std::to_string(rows_);
-        bool known = !probing_ && verb_ != Item::Verb::other;
-        if (known && *tag != (verb_ == Item::Verb::write ? "INSERT 0 " : "SELECT ") + rows)
+        bool known = !probing_ && verb_ != ClientRequest::Verb::other;
+        if (known && *tag != (verb_ == ClientRequest::Verb::write ? "INSERT 0 " : "SELECT ") + rows)
             return "an end that does not fit its rows";
         result_.answer.tag = *tag;
         part_ = Part::ready;
@@ -408,9 +412,9 @@
                 came_up();
             return;
         }
-        bool page = verb_ == Item::Verb::page && !probing_;
+        bool page = verb_ == ClientRequest::Verb::page && !probing_;
         if (!std::exchange(failed_, false))
-            result_.status = page || passes_on() || rows_ == 1 ? Status::ok : Status::error;
+            result_.status = page || passes_on() || rows_ == 1 ? AttemptStatus::ok : AttemptStatus::error;
         // A statement that has failed has committed nothing: what stands behind its error is no commit.
         if (std::exchange(own_error_, false)) result_.position_unix_us.reset();
         // What stands behind an answer belongs to no request: the answer counts, the connection ends.
@@ -421,8 +425,8 @@
     boost::asio::steady_timer timer_;
     std::uint64_t waits_ = 0;  // a wait that this has passed is over
     Part part_ = Part::authentication;
-    Result result_;
-    Item::Verb verb_ = Item::Verb::other;
+    AttemptResult result_;
+    ClientRequest::Verb verb_ = ClientRequest::Verb::other;
     std::size_t row_limit_ = 1, rows_ = 0, bytes_ = 0;
     std::size_t left_ = 0;             // of a long value
     transport::Buffer* in_ = nullptr;  // the connection's
@@ -433,9 +437,10 @@
 
 }  // namespace
 
-std::shared_ptr<Link> PgBackend::open(const std::string& endpoint, Duration timeout, Link::Owner& owner) {
+std::shared_ptr<BackendConnection> PgBackend::open(const std::string& address, Duration timeout,
+                                                   BackendConnection::Owner& owner) {
     auto link = std::make_shared<PgLink>(io_, owner);
-    link->connect(io_, endpoint, timeout);
+    link->connect(io_, address, timeout);
     return link;
 }
 
--- a/src/adapters/pg_backend.hpp
+++ b/src/adapters/pg_backend.hpp
@@ -10,8 +10,8 @@
 class PgBackend : public routing::Backend {
   public:
     explicit PgBackend(boost::asio::io_context& io) : io_(io) {}
-    std::shared_ptr<routing::Link> open(const std::string& endpoint, routing::Duration timeout,
-                                        routing::Link::Owner& owner) override;
+    std::shared_ptr<routing::BackendConnection> open(const std::string& address, routing::Duration timeout,
+                                                     routing::BackendConnection::Owner& owner) override;
 
   private:
     boost::asio::io_context& io_;
--- a/src/adapters/pg_front.cpp
+++ b/src/adapters/pg_front.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "adapters/words.hpp"
+#include "adapters/text_values.hpp"
 #include "protocol/pg.hpp"
 
 namespace indigovane::adapters {
@@ -34,15 +34,17 @@
 
 class PgSession : public Session {
   public:
-    PgSession(boost::asio::io_context& io, PgFront& door, const Classes& classes, PgOptions options,
-              Intake& intake, Logger& logger, Statements* statements)
-        : Session(io, door, intake,
-                  {.unread = kUsualMessage + 8192, .patience = options.patience, .reading = options.reading}),
-          front_(door),
+    PgSession(boost::asio::io_context& io, PgFront& client_listener, const Classes& classes,
+              PgOptions options, RequestAdmission& admission, Logger& logger, Statements* statements)
+        : Session(io, client_listener, admission,
+                  {.unread = kUsualMessage + 8192,
+                   .client_timeout = options.client_timeout,
+                   .reading = options.reading}),
+          front_(client_listener),
           classes_(classes),
           logger_(logger),
           statements_(statements),
-          longest_(std::min(kMessageLimit, std::max(kUsualMessage, door.long_most() / 2))) {}
+          longest_(std::min(kMessageLimit, std::max(kUsualMessage, client_listener.long_most() / 2))) {}
 
   private:
     enum class Expects { startup, command, sync };
@@ -166,12 +168,12 @@
         if (statement.several) return reject({pg::sqlstate::syntax_error, "a query holds one statement"});
         if (statement.body.empty()) return empty();
         if (statement.fields.empty() && local(statement.body)) return;
-        Item item;
+        ClientRequest item;
         if (auto rejection = read_item(sql, statement, item)) return reject(*rejection);
         if (is_open(item.id))
             return reject({pg::sqlstate::invalid_parameter, "a request of this id is in hand"});
         // The item keeps the statement and what was read from it.
-        if (!has_room(sql.size() + std::min(sql.size(), kUsualMessage))) return too_much();
+        if (!has_capacity(sql.size() + std::min(sql.size(), kUsualMessage))) return too_much();
         ask(std::move(item), length_);
     }
 
@@ -206,7 +208,7 @@
     void open_query(std::string_view sql, pg::Statement& s) {
         // A comment that is not of our form is the client's own.
         if (!s.field("id") && !s.field("c") && !s.field("cluster")) s.fields.clear();
-        const statement::Judgement& j = statements_->judge(sql, now());
+        const statement::StatementProfile& j = statements_->judge(sql, now());
         if (statements_->judge().scanner().flaw() == statement::Flaw::empty) return empty();
         if (j.route == statement::Route::refuse) {
             using statement::Kind;
@@ -214,16 +216,16 @@
             return reject(
                 {known ? pg::sqlstate::feature_not_supported : pg::sqlstate::syntax_error, j.reason});
         }
-        Item item;
+        ClientRequest item;
         if (auto rejection = read_open(sql, s, j, item)) return reject(*rejection);
         if (is_open(item.id))
             return reject({pg::sqlstate::invalid_parameter, "a request of this id is in hand"});
-        if (!has_room(2 * sql.size())) return too_much();
+        if (!has_capacity(2 * sql.size())) return too_much();
         ask(std::move(item), length_);
     }
 
     std::optional<Rejection> read_open(std::string_view sql, const pg::Statement& s,
-                                       const statement::Judgement& j, Item& item) {
+                                       const statement::StatementProfile& j, ClientRequest& item) {
         auto invalid = [](std::string text) {
             return Rejection{pg::sqlstate::invalid_parameter, std::move(text)};
         };
@@ -236,28 +238,29 @@
             while (is_open(item.id));
         }
         std::string why;
-        const ClassInfo* cls = statements_->choose(classes_, s.field("c"), j, why);
-        if (!cls) return invalid(why);
+        const ClassInfo* request_class = statements_->choose(classes_, s.field("c"), j, why);
+        if (!request_class) return invalid(why);
         item.key = s.field("k").value_or("");
-        if (cls->keyed && item.key.empty() && j.kind != statement::Kind::read)
-            return invalid("class '" + cls->name + "' needs a key (k): its statements may be sent again");
+        if (request_class->keyed && item.key.empty() && j.kind != statement::Kind::read)
+            return invalid("class '" + request_class->name +
+                           "' needs a key (k): its statements may be sent again");
         auto group =
             s.field("cluster") ? whole<std::uint32_t>(*s.field("cluster")) : statements_->options().group;
         if (!group)
             return invalid(s.field("cluster") ? "the group (cluster) is no number"
                                               : "no group is named (cluster) or set (group)");
-        if (auto rejection = read_times(s, *cls, item)) return rejection;
-        item.verb = Item::Verb::other;
-        item.class_name = cls->name;
-        item.cls = cls->id;
+        if (auto rejection = read_times(s, *request_class, item)) return rejection;
+        item.verb = ClientRequest::Verb::other;
+        item.class_name = request_class->name;
+        item.request_class = request_class->id;
         item.group = GroupId{*group};
         item.tenant = s.field("t").value_or(user_);
         item.repeat = s.field("r") == "1";
         // Whoever names no session is one by its connection: its reads see its own writes.
-        if (cls->write || cls->session)
+        if (request_class->write || request_class->session)
             item.session = session_number(s.field("s").value_or(std::string_view(peer_name())));
-        item.commits = cls->write;
-        item.unreserved = j.kind == statement::Kind::read && !cls->session;
+        item.commits = request_class->write;
+        item.unreserved = j.kind == statement::Kind::read && !request_class->session;
         item.bare = s.fields.empty();
         item.shape_high = j.shape.high;
         item.shape_low = j.shape.low;
@@ -266,14 +269,15 @@
         return std::nullopt;
     }
 
-    static std::optional<Rejection> read_times(const pg::Statement& s, const ClassInfo& cls, Item& item) {
-        item.patience = cls.deadline;
+    static std::optional<Rejection> read_times(const pg::Statement& s, const ClassInfo& request_class,
+                                               ClientRequest& item) {
+        item.client_timeout = request_class.deadline;
         if (auto d = s.field("d")) {
             auto wait = whole<std::int64_t>(*d);
             // None left is no mistake: the request is refused like any that comes too late.
             if (!wait || *wait < 0 || *wait > 3'600'000)
                 return Rejection{pg::sqlstate::invalid_parameter, "the wait (d) is out of range"};
-            item.patience = std::min<Duration>(std::chrono::milliseconds(*wait), kPatienceMost);
+            item.client_timeout = std::min<Duration>(std::chrono::milliseconds(*wait), kPatienceMost);
         }
         if (auto after = s.field("after")) {
             auto position = whole<std::int64_t>(*after);
@@ -314,9 +318,10 @@
 
     // What no member could read, or would turn away, never reaches one: it may close on it, whatever else
     // waits there, and its errors would count against it.
-    static const char* misfit(const pg::Verb& verb, const ClassInfo& cls) {
+    static const char* misfit(const pg::Verb& verb, const ClassInfo& request_class) {
         if (verb.kind == pg::Verb::Kind::other) return "no statement of this form is served";
-        if (cls.write != (verb.kind == pg::Verb::Kind::write)) return "the statement does not fit its class";
+        if (request_class.write != (verb.kind == pg::Verb::Kind::write))
+            return "the statement does not fit its class";
         if (verb.name.size() > kNameLimit) return "the name is too long";
         if (verb.kind != pg::Verb::Kind::page && verb.name.empty()) return "the name is empty";
         if (verb.kind == pg::Verb::Kind::page && (verb.limit == 0 || verb.limit > kRowsLimit))
@@ -339,7 +344,7 @@
         return verb.content->size() > kValueLimit ? "the value is too long" : nullptr;
     }
 
-    std::optional<Rejection> read_item(std::string_view sql, const pg::Statement& s, Item& item) {
+    std::optional<Rejection> read_item(std::string_view sql, const pg::Statement& s, ClientRequest& item) {
         auto invalid = [](std::string text) {
             return Rejection{pg::sqlstate::invalid_parameter, std::move(text)};
         };
@@ -352,19 +357,19 @@
         if (!id || id->empty() || id->size() > 64 || !plain(*id))
             return invalid("the comment names no request (id)");
         if (!name) return invalid("the comment names no class (c)");
-        const ClassInfo* cls = classes_.find(*name);
-        if (!cls) return invalid("class '" + std::string(name->substr(0, 64)) + "' is unknown");
+        const ClassInfo* request_class = classes_.find(*name);
+        if (!request_class) return invalid("class '" + std::string(name->substr(0, 64)) + "' is unknown");
         if (!cluster) return invalid("the comment names no group (cluster)");
         auto group = whole<std::uint32_t>(*cluster);
         if (!group) return invalid("the group (cluster) is no number");
-        if (auto rejection = read_times(s, *cls, item)) return rejection;
+        if (auto rejection = read_times(s, *request_class, item)) return rejection;
         pg::Verb verb = pg::read_verb(s.body);
-        if (auto wrong = misfit(verb, *cls)) return Rejection{pg::sqlstate::syntax_error, wrong};
-        if (cls->keyed && s.field("k").value_or("").empty())
+        if (auto wrong = misfit(verb, *request_class)) return Rejection{pg::sqlstate::syntax_error, wrong};
+        if (request_class->keyed && s.field("k").value_or("").empty())
             return invalid("the comment names no key (k), which this class needs");
-        item.verb = verb.kind == pg::Verb::Kind::lookup  ? Item::Verb::lookup
-                    : verb.kind == pg::Verb::Kind::write ? Item::Verb::write
-                                                         : Item::Verb::page;
+        item.verb = verb.kind == pg::Verb::Kind::lookup  ? ClientRequest::Verb::lookup
+                    : verb.kind == pg::Verb::Kind::write ? ClientRequest::Verb::write
+                                                         : ClientRequest::Verb::page;
         item.name = std::move(verb.name);
         item.content = std::move(verb.content);
         item.prefix = std::move(verb.prefix);
@@ -372,11 +377,11 @@
         item.id = *id;
         item.tenant = s.field("t").value_or("");
         item.key = s.field("k").value_or("");
-        item.class_name = cls->name;
-        item.cls = cls->id;
+        item.class_name = request_class->name;
+        item.request_class = request_class->id;
         item.group = GroupId{*group};
         item.repeat = s.field("r") == "1";
-        if (cls->write || cls->session) item.session = session_number(item.name);
+        if (request_class->write || request_class->session) item.session = session_number(item.name);
         item.statement = sql;
         item.in_pieces = true;
         return std::nullopt;
@@ -398,7 +403,8 @@
     }
     bool piece(std::string_view bytes) override { return pass_on(std::string(bytes)); }
     void broken() override {
-        logger_.log(Level::warning, "broken", "a value broke off after its beginning had been passed on");
+        logger_.log(Level::warning, "response_aborted",
+                    "a value broke off after its beginning had been passed on");
         break_off();
     }
 
@@ -418,9 +424,9 @@
         answered(w.take());
     }
 
-    void ended(const Ending& ending) override {
+    void ended(const FinalError& ending) override {
         pg::Writer w;
-        if (ending.kind == Ending::Kind::refused) {
+        if (ending.kind == FinalError::Kind::refused) {
             std::string after;
             if (ending.retry_after) after = std::to_string(ending.retry_after->count() / 1000);
             w.error("ERROR", pg::sqlstate::too_many_connections, "no database host can take this now", after);
@@ -463,7 +469,7 @@
 }  // namespace
 
 std::shared_ptr<Session> PgFront::open() {
-    return std::make_shared<PgSession>(io_, *this, classes_, options_, intake_, logger_, statements_);
+    return std::make_shared<PgSession>(io_, *this, classes_, options_, admission_, logger_, statements_);
 }
 
 std::string PgFront::next_id() {
--- a/src/adapters/pg_front.hpp
+++ b/src/adapters/pg_front.hpp
@@ -2,26 +2,26 @@
 #pragma once
 
 #include "adapters/classes.hpp"
-#include "adapters/door.hpp"
+#include "adapters/client_listener.hpp"
 #include "adapters/statements.hpp"
 
 namespace indigovane::adapters {
 
 struct PgOptions {
-    std::chrono::milliseconds patience{2500};  // with a startup or a message that does not end
-    std::chrono::milliseconds reading{5000};   // with a long value that is not read
+    std::chrono::milliseconds client_timeout{2500};  // with a startup or a message that does not end
+    std::chrono::milliseconds reading{5000};         // with a long value that is not read
 };
 
-class PgFront : public Door {
+class PgFront : public ClientListener {
   public:
     PgFront(boost::asio::io_context& io, const transport::ListenAt& at, std::size_t most,
-            const Classes& classes, PgOptions options, routing::Intake& intake, routing::Logger& logger,
-            Statements* statements = nullptr)
-        : Door(io, at, most),
+            const Classes& classes, PgOptions options, routing::RequestAdmission& admission,
+            routing::Logger& logger, Statements* statements = nullptr)
+        : ClientListener(io, at, most),
           io_(io),
           classes_(classes),
           options_(options),
-          intake_(intake),
+          admission_(admission),
           logger_(logger),
           statements_(statements) {}
 
@@ -35,7 +35,7 @@
     boost::asio::io_context& io_;
     const Classes& classes_;
     PgOptions options_;
-    routing::Intake& intake_;
+    routing::RequestAdmission& admission_;
     routing::Logger& logger_;
     Statements* statements_;  // none: only the known forms are served
     std::uint64_t ids_ = 0;
--- a/src/adapters/rest_backend.cpp
+++ b/src/adapters/rest_backend.cpp
@@ -3,7 +3,7 @@
 #include <charconv>
 #include <nlohmann/json.hpp>
 
-#include "adapters/link_base.hpp"
+#include "adapters/backend_connection_base.hpp"
 #include "adapters/rest.hpp"
 #include "protocol/http.hpp"
 #include "protocol/pg.hpp"
@@ -13,8 +13,8 @@
 namespace http = protocol::http;
 using namespace routing;
 using nlohmann::json;
-using starlingpond::Role;
-using starlingpond::Status;
+using policy::AttemptStatus;
+using policy::Role;
 
 namespace {
 
@@ -31,18 +31,20 @@
 }
 
 // A long value stands in the statement alone.
-std::string content_of(const Item& item) {
+std::string content_of(const ClientRequest& item) {
     if (item.content || item.statement.empty()) return item.content.value_or("");
     return std::string(
         protocol::pg::read_verb(protocol::pg::read_statement(item.statement).body).long_content);
 }
 
-class RestLink : public LinkBase {
+class RestLink : public BackendConnectionBase {
   public:
     RestLink(boost::asio::io_context& io, Owner& owner, std::string host)
-        : LinkBase(io, owner, kLimits.head + kLimits.body * 2), parser_(kLimits), host_(std::move(host)) {}
+        : BackendConnectionBase(io, owner, kLimits.head + kLimits.body * 2),
+          parser_(kLimits),
+          host_(std::move(host)) {}
 
-    void submit(const Item& item, Duration remaining, std::optional<std::int64_t> needs) override {
+    void submit(const ClientRequest& item, Duration remaining, std::optional<std::int64_t> needs) override {
         verb_ = item.verb;
         probing_ = false;
         std::string wait = std::to_string(std::max<std::int64_t>(1, remaining.count() / 1000));
@@ -54,11 +56,11 @@
         if (needs) fields.push_back({"Min-Position", floor});
         std::string target = "/v1/clusters/" + std::to_string(std::uint32_t(item.group)) + "/kv";
         switch (verb_) {
-            case Item::Verb::lookup:
+            case ClientRequest::Verb::lookup:
                 ask(http::write_request("GET", target + "/" + http::percent_encode(item.name), host_,
                                         fields));
                 return;
-            case Item::Verb::write: {
+            case ClientRequest::Verb::write: {
                 fields.push_back({"Content-Type", "application/octet-stream"});
                 std::string body = rest::raw_content(content_of(item), false);
                 if (body.empty()) fields.push_back({"Content-Length", "0"});
@@ -66,20 +68,20 @@
                                         body));
                 return;
             }
-            case Item::Verb::page:
+            case ClientRequest::Verb::page:
                 target +=
                     "?after=" + http::percent_encode(item.name) + "&limit=" + std::to_string(item.limit);
                 if (item.prefix) target += "&prefix=" + http::percent_encode(*item.prefix);
                 ask(http::write_request("GET", target, host_, fields));
                 return;
-            case Item::Verb::other:
+            case ClientRequest::Verb::other:
                 break;
         }
         // A statement that has no form in this protocol. It never ran, and no other member knows it either.
         state_ = State::asked;
         boost::asio::post(connection_->executor(), [weak = weak_from_this()] {
             auto self = std::static_pointer_cast<RestLink>(weak.lock());
-            if (self && self->owner_ && self->state_ == State::asked) self->answer(Result{});
+            if (self && self->owner_ && self->state_ == State::asked) self->answer(AttemptResult{});
         });
     }
 
@@ -120,45 +122,47 @@
             in.consume(length);
             return true;
         }
-        Result result = probing_ ? read_health(response) : read_answer(response);
+        AttemptResult result = probing_ ? read_health(response) : read_answer(response);
         result.reusable = response.keep_alive && !at_end;
         in.consume(length);
         answer(std::move(result));
         return true;
     }
 
-    Result read_answer(const http::Response& r) {
-        Result result;
+    AttemptResult read_answer(const http::Response& r) {
+        AttemptResult result;
         if (auto role = r.field("member-role"))
             result.role = *role == "primary" ? Role::primary : Role::replica;
         if (auto position = read_position(r.field("data-position"))) {
             result.position_unix_us = *position * 1000;
             result.answer.position_unix_ms = position;
         }
-        result.status = Status::error;
+        result.status = AttemptStatus::error;
         if (r.status == 200 || r.status == 201) {
-            result.status = Status::ok;
-            if (verb_ == Item::Verb::page) {
+            result.status = AttemptStatus::ok;
+            if (verb_ == ClientRequest::Verb::page) {
                 auto rows = rest::read_rows(r.body);
-                if (!rows) result.status = Status::error;
+                if (!rows) result.status = AttemptStatus::error;
                 if (rows) result.answer.rows = std::move(*rows);
             } else {
                 result.answer.rows.push_back({{}, r.body});
-                if (verb_ == Item::Verb::write) result.answer.tag = "INSERT 0 1";
+                if (verb_ == ClientRequest::Verb::write) result.answer.tag = "INSERT 0 1";
             }
-        } else if (r.status == 404 && verb_ == Item::Verb::lookup) {
-            result.status = Status::ok;  // no such row: an answer like any other
+        } else if (r.status == 404 && verb_ == ClientRequest::Verb::lookup) {
+            result.status = AttemptStatus::ok;  // no such row: an answer like any other
         } else if (r.status == 412 || r.status == 421) {
-            result.status = Status::miss;
+            result.status = AttemptStatus::miss;
         } else if (r.status == 429 || r.status == 503) {
-            result.status = Status::full;
+            result.status = AttemptStatus::rejected;
         }
         return result;
     }
 
-    static Result read_health(const http::Response& r) {
-        Result result;
-        result.status = r.status == 200 ? Status::ok : r.status == 503 ? Status::full : Status::error;
+    static AttemptResult read_health(const http::Response& r) {
+        AttemptResult result;
+        result.status = r.status == 200   ? AttemptStatus::ok
+                        : r.status == 503 ? AttemptStatus::rejected
+                                          : AttemptStatus::error;
         json body = json::parse(r.body, nullptr, false);
         if (!body.is_object()) return result;
         auto number = [&](const char* name) -> std::optional<double> {
@@ -169,22 +173,23 @@
             result.report_position_unix_us = std::int64_t(*ms * 1000);
         if (body.contains("primary") && body["primary"].is_boolean())
             result.report.primary = body["primary"].get<bool>();
-        result.report.held = number("inflight");
+        result.report.in_flight = number("inflight");
         return result;
     }
 
     http::Parser parser_;
     std::string host_;
     transport::Buffer* in_ = nullptr;
-    Item::Verb verb_ = Item::Verb::other;
+    ClientRequest::Verb verb_ = ClientRequest::Verb::other;
     bool probing_ = false;
 };
 
 }  // namespace
 
-std::shared_ptr<Link> RestBackend::open(const std::string& endpoint, Duration timeout, Link::Owner& owner) {
-    auto link = std::make_shared<RestLink>(io_, owner, endpoint);
-    link->connect(io_, endpoint, timeout);
+std::shared_ptr<BackendConnection> RestBackend::open(const std::string& address, Duration timeout,
+                                                     BackendConnection::Owner& owner) {
+    auto link = std::make_shared<RestLink>(io_, owner, address);
+    link->connect(io_, address, timeout);
     return link;
 }
 
--- a/src/adapters/rest_front.cpp
+++ b/src/adapters/rest_front.cpp
@@ -4,7 +4,7 @@
 #include <nlohmann/json.hpp>
 
 #include "adapters/rest.hpp"
-#include "adapters/words.hpp"
+#include "adapters/text_values.hpp"
 #include "protocol/http.hpp"
 
 namespace indigovane::adapters {
@@ -25,9 +25,10 @@
 
 class RestSession : public Session {
   public:
-    RestSession(boost::asio::io_context& io, RestFront& front, Intake& intake)
-        : Session(io, front, intake,
-                  {.unread = kLimits.head + kLimits.body + 4096, .patience = front.options().half_request}),
+    RestSession(boost::asio::io_context& io, RestFront& front, RequestAdmission& admission)
+        : Session(
+              io, front, admission,
+              {.unread = kLimits.head + kLimits.body + 4096, .client_timeout = front.options().half_request}),
           front_(front),
           parser_(kLimits) {}
 
@@ -54,7 +55,7 @@
         keep_alive_ = request.keep_alive;
         head_only_ = request.method == "HEAD";
         page_ = false;
-        Item item;
+        ClientRequest item;
         auto problem = read(request, item);
         in.consume(length);
         if (problem) {
@@ -67,7 +68,7 @@
             respond(200, {{"Content-Type", "application/json"}}, json{{"status", "serving"}}.dump());
         } else if (is_open(item.id)) {
             reply({409, "id", "A request of this id is in hand", ""}, {});
-        } else if (!has_room(item.name.size())) {
+        } else if (!has_capacity(item.name.size())) {
             reply({503, "refused", "Too much is in hand", "trying again is harmless"},
                   {{"Retry-After", "1"}});
         } else {
@@ -79,7 +80,7 @@
     void on_impatient() override { hang_up({408, "half-request", "The request did not end in time", ""}); }
     void on_no_memory() override { hang_up({503, "memory", "Too much is unread or unfinished", ""}); }
 
-    std::optional<Problem> read(const http::Request& request, Item& item) {
+    std::optional<Problem> read(const http::Request& request, ClientRequest& item) {
         health_ = false;
         auto target = http::read_target(request.target);
         if (!target) return Problem{400, "malformed", "The target is malformed", ""};
@@ -94,7 +95,8 @@
         return read_query(request, *target, item);
     }
 
-    std::optional<Problem> read_query(const http::Request& request, const http::Target& target, Item& item) {
+    std::optional<Problem> read_query(const http::Request& request, const http::Target& target,
+                                      ClientRequest& item) {
         auto invalid = [](std::string detail) {
             return Problem{400, "parameter", "A parameter is invalid", std::move(detail)};
         };
@@ -114,31 +116,32 @@
         auto parameter = [&](std::string_view name) { return target.parameter(name).value_or(""); };
         auto group = whole<std::uint32_t>(target.segments[2]);
         if (!group) return Problem{404, "not-found", "There is no such cluster", ""};
-        const ClassInfo* cls = front_.classes().find(parameter("class"));
-        if (!cls) return invalid("'class' names no class of request");
-        if (cls->write) return invalid("'class' names a class of writes");
-        query_ = rest::Query{cls->name, std::string(parameter("session")), std::string(parameter("tenant")),
-                             std::string(parameter("prefix")), *group};
-        if (cls->session && query_.session.empty()) return invalid("this class of request needs a 'session'");
+        const ClassInfo* request_class = front_.classes().find(parameter("class"));
+        if (!request_class) return invalid("'class' names no class of request");
+        if (request_class->write) return invalid("'class' names a class of writes");
+        query_ = rest::Query{request_class->name, std::string(parameter("session")),
+                             std::string(parameter("tenant")), std::string(parameter("prefix")), *group};
+        if (request_class->session && query_.session.empty())
+            return invalid("this class of request needs a 'session'");
         if (!plain(query_.tenant)) return invalid("'tenant' is no name");
-        item.patience = cls->deadline;
+        item.client_timeout = request_class->deadline;
         if (auto wait = target.parameter("wait_ms")) {
             auto ms = whole<std::int64_t>(*wait);
             if (!ms || *ms <= 0 || *ms > 3'600'000) return invalid("'wait_ms' is out of range");
-            item.patience = std::min<Duration>(item.patience, std::chrono::milliseconds(*ms));
+            item.client_timeout = std::min<Duration>(item.client_timeout, std::chrono::milliseconds(*ms));
         }
-        item.cls = cls->id;
-        item.class_name = cls->name;
+        item.request_class = request_class->id;
+        item.class_name = request_class->name;
         item.group = GroupId{*group};
         item.tenant = query_.tenant;
-        if (cls->session) item.session = session_number(query_.session);
+        if (request_class->session) item.session = session_number(query_.session);
         auto id = request.field("request-id");
         if (id && (id->empty() || id->size() > 64 || !plain(*id)))
             return invalid("Request-Id must be 1 to 64 letters, digits or marks");
         item.id = id ? std::string(*id) : front_.next_id();
         while (!id && is_open(item.id)) item.id = front_.next_id();
         if (!page_) {
-            item.verb = Item::Verb::lookup;
+            item.verb = ClientRequest::Verb::lookup;
             item.name = target.segments[4];
             if (item.name.empty() || item.name.size() > kNameMost ||
                 item.name.find('\0') != std::string::npos)
@@ -153,7 +156,7 @@
                                std::to_string(front_.options().page_size_most));
             size_ = *size;
         }
-        item.verb = Item::Verb::page;
+        item.verb = ClientRequest::Verb::page;
         item.limit = size_ + 1;  // one more tells whether a next page exists
         if (query_.prefix.find('\0') != std::string::npos) return invalid("'prefix' is malformed");
         if (!query_.prefix.empty()) item.prefix = query_.prefix;
@@ -200,7 +203,7 @@
         return out + "&limit=" + std::to_string(size_) + "&cursor=" + cursor;
     }
 
-    void ended(const Ending& ending) override {
+    void ended(const FinalError& ending) override {
         std::string seconds;
         std::vector<http::Field> fields;
         if (ending.retry_after) {
@@ -210,7 +213,7 @@
         }
         if (ending.deadline)
             finish({504, "deadline", "No host answered in time", ""}, fields);
-        else if (ending.kind == Ending::Kind::refused)
+        else if (ending.kind == FinalError::Kind::refused)
             finish({503, "refused", "No host can take this now", "trying again is harmless"}, fields);
         else
             finish({502, "failed", "The host failed", ""}, fields);
@@ -276,7 +279,7 @@
 }
 
 std::shared_ptr<Session> RestFront::open() {
-    return std::make_shared<RestSession>(io_, *this, intake_);
+    return std::make_shared<RestSession>(io_, *this, admission_);
 }
 
 }  // namespace indigovane::adapters
--- a/src/adapters/rest_front.hpp
+++ b/src/adapters/rest_front.hpp
@@ -6,7 +6,7 @@
 #pragma once
 
 #include "adapters/classes.hpp"
-#include "adapters/door.hpp"
+#include "adapters/client_listener.hpp"
 
 namespace indigovane::adapters {
 
@@ -15,15 +15,16 @@
     std::chrono::milliseconds half_request{1500};  // for a first request to come, and for one to end
 };
 
-class RestFront : public Door {
+class RestFront : public ClientListener {
   public:
     RestFront(boost::asio::io_context& io, const transport::ListenAt& at, std::size_t most,
-              const Classes& classes, RestOptions options, routing::Intake& intake, routing::Logger& logger)
-        : Door(io, at, most),
+              const Classes& classes, RestOptions options, routing::RequestAdmission& admission,
+              routing::Logger& logger)
+        : ClientListener(io, at, most),
           io_(io),
           classes_(classes),
           options_(options),
-          intake_(intake),
+          admission_(admission),
           logger_(logger) {}
 
     const Classes& classes() const { return classes_; }
@@ -40,7 +41,7 @@
     boost::asio::io_context& io_;
     const Classes& classes_;
     RestOptions options_;
-    routing::Intake& intake_;
+    routing::RequestAdmission& admission_;
     routing::Logger& logger_;
     std::uint64_t ids_ = 0;
 };
--- a/src/adapters/session.cpp
+++ b/src/adapters/session.cpp
@@ -1,12 +1,13 @@
 #include "adapters/session.hpp"
 
-#include "adapters/door.hpp"
+#include "adapters/client_listener.hpp"
 
 namespace indigovane::adapters {
 
-Session::Session(boost::asio::io_context& io, Door& door, routing::Intake& intake, Limits limits)
-    : door_(door),
-      intake_(intake),
+Session::Session(boost::asio::io_context& io, ClientListener& client_listener,
+                 routing::RequestAdmission& admission, Limits limits)
+    : client_listener_(client_listener),
+      admission_(admission),
       limits_(limits),
       connection_(std::make_shared<transport::Connection>(io)),
       timer_(io) {
@@ -32,7 +33,7 @@
 }
 
 std::string Session::peer() const {
-    transport::Endpoint at = connection_->remote();
+    transport::SocketAddress at = connection_->remote();
     return at.address().to_string() + ":" + std::to_string(at.port());
 }
 
@@ -41,29 +42,29 @@
 }
 
 bool Session::retiring() const {
-    return door_.retires(*this);
+    return client_listener_.retires(*this);
 }
 
 bool Session::refusing() const {
-    return door_.refusing();
+    return client_listener_.refusing();
 }
 
-void Session::end_with(routing::Intake::Departure departure) {
-    if (state_ == State::asked) intake_.withdraw(request_, departure);
+void Session::end_with(routing::RequestAdmission::Departure departure) {
+    if (state_ == State::asked) admission_.withdraw(request_, departure);
     state_ = State::over;
     timer_.cancel();
     connection_->close();
 }
 
-std::optional<routing::ClientParcel> Session::release() {
+std::optional<routing::ClientHandover> Session::release() {
     constexpr std::size_t most = 16384;  // more stays here until it is whole
     if (state_ != State::between || connection_->unread().size() > most) return std::nullopt;
-    routing::ClientParcel parcel{-1, wire_state(), std::string(connection_->unread()), wire_note()};
-    parcel.socket = connection_->release();
-    if (parcel.socket < 0) return std::nullopt;
+    routing::ClientHandover handover{-1, wire_state(), std::string(connection_->unread()), wire_note()};
+    handover.socket = connection_->release();
+    if (handover.socket < 0) return std::nullopt;
     state_ = State::over;
     timer_.cancel();
-    return parcel;
+    return handover;
 }
 
 void Session::on_data(transport::Buffer& in) {
@@ -78,15 +79,15 @@
     progress_ = true;
     if (passing_on_) {
         watch();
-        return intake_.resume(request_);
+        return admission_.resume(request_);
     }
     work();
 }
 
 void Session::on_closed(const transport::error_code&) {
     auto self = shared_from_this();
-    end_with(routing::Intake::Departure::client_left);
-    door_.leave(self);
+    end_with(routing::RequestAdmission::Departure::client_left);
+    client_listener_.leave(self);
 }
 
 void Session::work() {
@@ -98,7 +99,7 @@
     working_ = false;
     // Not while an answer is owed: what is unread behind its request is bounded, and looked at again after
     // it.
-    bool crowded = state_ != State::over && door_.crowded(*this);
+    bool crowded = state_ != State::over && client_listener_.crowded(*this);
     if (crowded && state_ == State::between && connection_->unwritten() == 0) on_no_memory();
     if (state_ == State::over) return;
     watch();
@@ -114,7 +115,7 @@
 bool Session::expect(std::size_t length) {
     if (granted > 0) return true;
     // Once as it is read, once as it waits to be sent on.
-    if (!door_.grant(*this, 2 * length)) return false;
+    if (!client_listener_.grant(*this, 2 * length)) return false;
     expected_since_ = std::chrono::steady_clock::now();
     progress_ = true;
     in_->reserve(length + 4096);  // and what is read beyond it
@@ -124,15 +125,15 @@
 
 // Guards against answering a request that waited behind others when its client has given it up: its time
 // counts from its last byte, whenever its turn comes.
-void Session::ask(routing::Item item, std::size_t unread) {
+void Session::ask(routing::ClientRequest item, std::size_t unread) {
     auto now = std::chrono::steady_clock::now();
     auto waited =
         std::chrono::duration_cast<routing::Duration>(now - arrivals_.at(in_->consumed() + unread, now));
-    item.patience = std::max(routing::Duration::zero(), item.patience - waited);
-    door_.touch(*this);
+    item.client_timeout = std::max(routing::Duration::zero(), item.client_timeout - waited);
+    client_listener_.touch(*this);
     has_begun_ = progress_ = true;
     state_ = State::asked;
-    request_ = intake_.accept(std::move(item), *this);
+    request_ = admission_.accept(std::move(item), *this);
 }
 
 bool Session::pass_on(std::string bytes) {
@@ -148,7 +149,7 @@
     state_ = State::over;
     timer_.cancel();
     connection_->close();
-    door_.leave(self);
+    client_listener_.leave(self);
 }
 
 void Session::answered(std::string bytes) {
@@ -156,23 +157,24 @@
     passing_on_ = false;
     if (granted > 0) {
         connection_->limit_unread(limits_.unread);
-        door_.take_back(*this);
+        client_listener_.take_back(*this);
     }
     state_ = State::between;
     connection_->write(std::move(bytes));
     work();
-    if (state_ == State::between) door_.touch(*this);
+    if (state_ == State::between) client_listener_.touch(*this);
 }
 
 void Session::leave(transport::Connection::Crossing crossing) {
     if (state_ == State::over) return;
     auto self = shared_from_this();
-    if (state_ == State::asked) intake_.withdraw(request_, routing::Intake::Departure::closed_here);
+    if (state_ == State::asked)
+        admission_.withdraw(request_, routing::RequestAdmission::Departure::closed_here);
     state_ = State::over;
     timer_.cancel();
     connection_->close_after_writing(crossing);
-    door_.linger(connection_);
-    door_.leave(self);
+    client_listener_.linger(connection_);
+    client_listener_.leave(self);
 }
 
 // Guards against clients that hold a connection and its memory without ever being served: silent ones, those
@@ -188,7 +190,7 @@
     if (!waits) return;
     sent_ = connection_->sent();
     seen_ = in_ ? in_->size() : 0;
-    timer_.expires_after(passing_on_ ? limits_.reading : limits_.patience);
+    timer_.expires_after(passing_on_ ? limits_.reading : limits_.client_timeout);
     timer_.async_wait([weak = weak_from_this(), number = watches_](const transport::error_code& ec) {
         auto self = weak.lock();
         if (!self || ec || number != self->watches_ || (self->state_ != State::between && !self->passing_on_))
@@ -204,7 +206,7 @@
             return self->watch();
         }
         self->close();
-        self->door_.leave(self);
+        self->client_listener_.leave(self);
     });
 }
 
--- a/src/adapters/session.hpp
+++ b/src/adapters/session.hpp
@@ -10,7 +10,7 @@
 
 namespace indigovane::adapters {
 
-class Door;
+class ClientListener;
 
 class Session : public std::enable_shared_from_this<Session>,
                 private transport::Connection::Handler,
@@ -21,23 +21,24 @@
         std::size_t unwritten = 1 << 18;  // a client that reads nothing is asked nothing more beyond this
         // Patience with a client that is in the middle of something: a first request that does not come, one
         // that does not end, an answer that is not read.
-        std::chrono::milliseconds patience{2500};
+        std::chrono::milliseconds client_timeout{2500};
         // With one that reads a long value: so long without reading anything of it.
         std::chrono::milliseconds reading{5000};
         std::size_t pieces = 32768;  // of a long value, unwritten: at this no more is taken in
     };
 
-    Session(boost::asio::io_context& io, Door& door, routing::Intake& intake, Limits limits);
+    Session(boost::asio::io_context& io, ClientListener& client_listener,
+            routing::RequestAdmission& admission, Limits limits);
     virtual ~Session();
 
     void begin(boost::asio::ip::tcp::socket socket, std::string_view read = {});
-    std::optional<routing::ClientParcel> release();  // the session is over then; nothing: not now
+    std::optional<routing::ClientHandover> release();  // the session is over then; nothing: not now
     // Before begin().
     virtual void restore(char, std::string_view) { has_begun_ = true; }
     bool between_requests();      // nothing is owed to this client, and nothing of it is unread
     void retire();                // closes if that is so and the door wants it
     void give_way() { leave(); }  // between requests
-    void close() { end_with(routing::Intake::Departure::closed_here); }  // at once
+    void close() { end_with(routing::RequestAdmission::Departure::closed_here); }  // at once
     // The door's notes on it.
     std::uint64_t used = 0;                      // when it last had a request, or came, as a count
     std::chrono::steady_clock::time_point came;  // and the time that it came
@@ -62,13 +63,13 @@
     bool expect(std::size_t length);
     static constexpr auto kLongest = std::chrono::seconds(30);  // for one that is under way all the time
     // One request; served() or ended() follows. `unread`: of its message, bytes that are in the buffer yet.
-    void ask(routing::Item item, std::size_t unread = 0);
-    bool has_room(std::size_t bytes) const { return intake_.has_room(bytes); }
+    void ask(routing::ClientRequest item, std::size_t unread = 0);
+    bool has_capacity(std::size_t bytes) const { return admission_.has_capacity(bytes); }
     void answered(std::string bytes);
     bool pass_on(std::string bytes);  // part of the answer; false: resume() follows, when there is room
     void break_off();                 // the answer can't be finished: the client is to see that
     void write(std::string bytes) { connection_->write(std::move(bytes)); }
-    bool is_open(const std::string& id) const { return intake_.is_open(id); }
+    bool is_open(const std::string& id) const { return admission_.is_open(id); }
     // What is written still goes out, and the connection is half-closed.
     void leave(transport::Connection::Crossing crossing = transport::Connection::Crossing::unread);
     // Of this client's connection: the same in the process that it is handed over to.
@@ -85,12 +86,12 @@
     void on_written() override;
     void on_closed(const transport::error_code& ec) override;
     bool present() override { return !connection_->hung_up(); }
-    void end_with(routing::Intake::Departure departure);
+    void end_with(routing::RequestAdmission::Departure departure);
     void work();
     void watch();
 
-    Door& door_;
-    routing::Intake& intake_;
+    ClientListener& client_listener_;
+    routing::RequestAdmission& admission_;
     Limits limits_;
     std::shared_ptr<transport::Connection> connection_;
     boost::asio::steady_timer timer_;
--- a/src/adapters/statements.cpp
+++ b/src/adapters/statements.cpp
@@ -8,31 +8,32 @@
 constexpr std::size_t kKnown = 2048, kKnownText = 160;
 }
 
-Statements::Statements(Rules rules, Judge::Options judge, StatementOptions options)
-    : judge_(std::move(rules), judge), options_(std::move(options)) {}
+Statements::Statements(Rules rules, StatementAnalyzer::Options judge, StatementOptions options)
+    : analyzer_(std::move(rules), judge), options_(std::move(options)) {}
 
 void Statements::set(Rules rules, StatementOptions options) {
-    judge_.set_rules(std::move(rules));
+    analyzer_.set_rules(std::move(rules));
     options_ = std::move(options);
     known_.clear();
     order_.clear();
 }
 
-const Judgement& Statements::judge(std::string_view sql, routing::Time now) {
-    const Judgement& j = judge_.judge(sql, Judge::Time(now.time_since_epoch()));
-    if (judge_.counts().parsed != parsed_) {
-        parsed_ = judge_.counts().parsed;
-        remember(j, judge_.scanner().text());
+const StatementProfile& Statements::judge(std::string_view sql, routing::Time now) {
+    const StatementProfile& j = analyzer_.judge(sql, StatementAnalyzer::Time(now.time_since_epoch()));
+    if (analyzer_.counts().parsed != parsed_) {
+        parsed_ = analyzer_.counts().parsed;
+        remember(j, analyzer_.scanner().text());
     }
     return j;
 }
 
-void Statements::remember(const Judgement& j, std::string_view canonical) {
+void Statements::remember(const StatementProfile& j, std::string_view canonical) {
     auto [it, fresh] = known_.try_emplace(j.shape);
     if (!fresh) return;
     it->second.text = printable(canonical, kKnownText);
     it->second.kind = j.kind;
-    if (j.cls >= 0) it->second.cls = judge_.rules().classes()[std::size_t(j.cls)].name;
+    if (j.request_class >= 0)
+        it->second.request_class = analyzer_.rules().classes()[std::size_t(j.request_class)].name;
     order_.push_front(j.shape);
     if (order_.size() > kKnown) {
         known_.erase(order_.back());
@@ -46,37 +47,38 @@
 }
 
 const ClassInfo* Statements::choose(const Classes& classes, std::optional<std::string_view> named,
-                                    const Judgement& j, std::string& why) const {
-    const ClassInfo* cls = nullptr;
-    std::string ruled = j.cls >= 0 ? judge_.rules().classes()[std::size_t(j.cls)].name : std::string();
+                                    const StatementProfile& j, std::string& why) const {
+    const ClassInfo* request_class = nullptr;
+    std::string ruled =
+        j.request_class >= 0 ? analyzer_.rules().classes()[std::size_t(j.request_class)].name : std::string();
     if (named) {
-        cls = classes.find(*named);
-        if (!cls) {
+        request_class = classes.find(*named);
+        if (!request_class) {
             why = "class '" + std::string(named->substr(0, 64)) + "' is unknown";
             return nullptr;
         }
     } else {
-        if (!ruled.empty()) cls = classes.find(ruled);
-        if (!cls && j.route == Route::replica) cls = classes.find(options_.read_class);
+        if (!ruled.empty()) request_class = classes.find(ruled);
+        if (!request_class && j.route == Route::replica) request_class = classes.find(options_.read_class);
     }
     if (j.route == Route::replica) {
-        if (!cls) why = "the statement has no class: none is named (c), ruled or set (read_class)";
-        return cls;
+        if (!request_class) why = "the statement has no class: none is named (c), ruled or set (read_class)";
+        return request_class;
     }
     // It must reach the primary. Only a class of writes does that for certain.
-    if (cls && cls->write) return cls;
+    if (request_class && request_class->write) return request_class;
     const std::string& fallback = j.kind == Kind::read && !options_.primary_class.empty()
                                       ? options_.primary_class
                                       : options_.write_class;
     const ClassInfo* safe = classes.find(fallback);
     if (safe && safe->write) return safe;
     why = std::string("it must go to the primary (") + j.reason + "), and " +
-          (cls ? "class '" + cls->name + "' does not" : "it has no class that does");
+          (request_class ? "class '" + request_class->name + "' does not" : "it has no class that does");
     return nullptr;
 }
 
-Shape fixed_shape(routing::Item::Verb verb) {
-    using Verb = routing::Item::Verb;
+Shape fixed_shape(routing::ClientRequest::Verb verb) {
+    using Verb = routing::ClientRequest::Verb;
     auto shape = [](const char* sql) {
         Scanner s;
         s.scan(sql);
--- a/src/adapters/statements.hpp
+++ b/src/adapters/statements.hpp
@@ -9,7 +9,7 @@
 
 #include "adapters/classes.hpp"
 #include "routing/types.hpp"
-#include "statement/judge.hpp"
+#include "statement/statement_analyzer.hpp"
 
 namespace indigovane::adapters {
 
@@ -21,29 +21,29 @@
 
 class Statements {
   public:
-    Statements(statement::Rules rules, statement::Judge::Options judge, StatementOptions options);
+    Statements(statement::Rules rules, statement::StatementAnalyzer::Options judge, StatementOptions options);
     void set(statement::Rules rules, StatementOptions options);
 
     bool open() const { return options_.open; }
     const StatementOptions& options() const { return options_; }
-    const statement::Judgement& judge(std::string_view sql, routing::Time now);
-    const statement::Judge& judge() const { return judge_; }
+    const statement::StatementProfile& judge(std::string_view sql, routing::Time now);
+    const statement::StatementAnalyzer& judge() const { return analyzer_; }
 
     // The class in which a statement is served: the named one, else the rule's, else the kind's. A class
     // whose reads go to replicas is never the answer for what must not; `why` then says what is missing.
     const ClassInfo* choose(const Classes& classes, std::optional<std::string_view> named,
-                            const statement::Judgement& j, std::string& why) const;
+                            const statement::StatementProfile& j, std::string& why) const;
 
     struct Known {
-        std::string text, cls;
+        std::string text, request_class;
         statement::Kind kind{};
     };
     const Known* known(const statement::Shape& shape) const;  // of the last few thousand
 
   private:
-    void remember(const statement::Judgement& j, std::string_view canonical);
+    void remember(const statement::StatementProfile& j, std::string_view canonical);
 
-    statement::Judge judge_;
+    statement::StatementAnalyzer analyzer_;
     StatementOptions options_;
     std::unordered_map<statement::Shape, Known, statement::ShapeHash> known_;
     std::list<statement::Shape> order_;  // the newest first
@@ -51,6 +51,6 @@
 };
 
 // The shape under which a known form's costs are kept, whatever wire it came by.
-statement::Shape fixed_shape(routing::Item::Verb verb);
+statement::Shape fixed_shape(routing::ClientRequest::Verb verb);
 
 }  // namespace indigovane::adapters
--- a/src/adapters/syslog_sink.cpp
+++ b/src/adapters/syslog_sink.cpp
@@ -6,7 +6,7 @@
 
 namespace syslog = protocol::syslog;
 
-SyslogSink::SyslogSink(boost::asio::io_context& io, const transport::Endpoint& collector,
+SyslogSink::SyslogSink(boost::asio::io_context& io, const transport::SocketAddress& collector,
                        std::chrono::milliseconds retry)
     : io_(io), collector_(collector), retry_(retry), timer_(io) {
     connect();
--- a/src/adapters/syslog_sink.hpp
+++ b/src/adapters/syslog_sink.hpp
@@ -13,7 +13,7 @@
 class SyslogSink : private transport::Connection::Handler {
   public:
     static constexpr std::size_t kQueued = 1000;  // lines
-    SyslogSink(boost::asio::io_context& io, const transport::Endpoint& collector,
+    SyslogSink(boost::asio::io_context& io, const transport::SocketAddress& collector,
                std::chrono::milliseconds retry = std::chrono::milliseconds(1000));
     ~SyslogSink();
 
@@ -29,7 +29,7 @@
     void on_closed(const transport::error_code& ec) override;
 
     boost::asio::io_context& io_;
-    transport::Endpoint collector_;
+    transport::SocketAddress collector_;
     std::chrono::milliseconds retry_;
     boost::asio::steady_timer timer_;
     std::shared_ptr<transport::Connection> connection_;
--- a/src/lab/auditor.hpp
+++ b/src/lab/auditor.hpp
@@ -16,8 +16,8 @@
     struct Limits {
         Duration drain = std::chrono::milliseconds(2050);  // 2 s, and what time limits on sockets are longer
         Duration bound = std::chrono::milliseconds(3050);  // of bounded reads
-        double cold_from = 0.2, fall_multiple = 2.5;
-        Duration ramp = std::chrono::seconds(17), fall_window = std::chrono::seconds(2);
+        double slow_start_share = 0.2, overload_multiple = 2.5;
+        Duration ramp = std::chrono::seconds(17), overload_window = std::chrono::seconds(2);
     };
     explicit Auditor(Limits limits) : limits_(limits) {}
 
--- a/src/lab/council.hpp
+++ b/src/lab/quorum_simulation.hpp
@@ -10,11 +10,11 @@
 #include "lab/random.hpp"
 #include "lab/timeline.hpp"
 #include "ownership/fence.hpp"
-#include "ownership/steward.hpp"
+#include "ownership/lease_node.hpp"
 
 namespace indigovane::lab {
 
-struct CouncilOptions {
+struct QuorumOptions {
     unsigned nodes = 10, voters = 5, duties = 20;
     ownership::Settings settings;
     double seconds = 60;
@@ -29,7 +29,7 @@
     std::uint64_t seed = 1;
 };
 
-struct CouncilSummary {
+struct QuorumSummary {
     std::vector<double> vacant_s;       // each time that a duty lost its owner; sorted
     std::uint64_t owners = 0;           // turns to owner
     std::uint64_t false_takeovers = 0;  // of these, while the one before was well and had not given it back
@@ -40,6 +40,6 @@
     std::string text() const;
 };
 
-CouncilSummary run(const CouncilOptions& options);
+QuorumSummary run(const QuorumOptions& options);
 
 }  // namespace indigovane::lab
--- a/src/limits/cost_model.cpp
+++ b/src/limits/cost_model.cpp
@@ -8,7 +8,7 @@
 
 }  // namespace
 
-const char* name(Standing standing) {
+const char* name(ShapeState standing) {
     static constexpr const char* names[] = {"trial", "known", "costly", "quarantined"};
     return names[std::size_t(standing)];
 }
@@ -78,13 +78,13 @@
                   mean > settings_.costlier * double(s.baseline_us) &&
                   mean >= double(settings_.costlier_from.count());
     if (s.level > 0)
-        v.standing = Standing::quarantined;
+        v.standing = ShapeState::quarantined;
     else if (s.seen < settings_.trial_outcomes)
-        v.standing = Standing::trial;
+        v.standing = ShapeState::trial;
     else if (mean >= double(settings_.costly.count()) || turned)
-        v.standing = Standing::costly;
+        v.standing = ShapeState::costly;
     else
-        v.standing = Standing::known;
+        v.standing = ShapeState::known;
     return v;
 }
 
--- a/src/limits/cost_model.hpp
+++ b/src/limits/cost_model.hpp
@@ -10,13 +10,13 @@
 
 namespace indigovane::limits {
 
-enum class Standing : std::uint8_t {
+enum class ShapeState : std::uint8_t {
     trial,        // too few outcomes are known
     known,        // costs what it did
     costly,       // may have a part of the work in flight only
     quarantined,  // times out while others are answered: one probe at a time
 };
-const char* name(Standing standing);
+const char* name(ShapeState standing);
 
 // A group's outcomes of late. Guards against blaming shapes for what befalls all of them: a primary that is
 // gone, hosts that are overrun.
@@ -46,7 +46,7 @@
     void set(const Settings& settings) { settings_ = settings; }
 
     struct View {
-        Standing standing = Standing::trial;
+        ShapeState standing = ShapeState::trial;
         Duration mean{}, median{}, tail{};  // tail: the 95th percentile
         double outcomes = 0;                // decayed
         unsigned timeouts = 0;              // in a row
--- a/src/limits/limiter.cpp
+++ b/src/limits/limiter.cpp
@@ -71,13 +71,13 @@
 // How many of a shape may be in flight in a group; 0: no cap.
 unsigned Limiter::cap(const CostModel::View& view) const {
     switch (view.standing) {
-        case Standing::known:
+        case ShapeState::known:
             return 0;
-        case Standing::trial:
+        case ShapeState::trial:
             return settings_.trial;
-        case Standing::quarantined:
+        case ShapeState::quarantined:
             return 1;
-        case Standing::costly:
+        case ShapeState::costly:
             break;
     }
     // By its tail: a shape that is cheap for most literals is held back by what it does with the others.
@@ -100,32 +100,32 @@
     return Duration(std::int64_t(work / std::max(1e-9, rate * part)));
 }
 
-Verdict Limiter::refusal(const Entry& e, Cause cause, Time now) const {
-    Verdict v{e.arrival.id, Word::refuse, cause, std::nullopt};
+AdmissionDecision Limiter::refusal(const Entry& e, Cause cause, Time now) const {
+    AdmissionDecision v{e.arrival.id, Admission::refuse, cause, std::nullopt};
     if (!settings_.retry_after) return v;
     Duration after = drain_time(*e.group, *e.flow) + Duration(std::int64_t(e.group->mean_us));
     if (cause == Cause::quarantined) {
         auto view = costs_.view(e.arrival.shape, e.arrival.estimate, e.group->pulse, now);
         after = std::max(kLeastRetry, view.probe_at - now);
     }
-    v.retry_after = std::clamp(after, kLeastRetry, std::max(kLeastRetry, settings_.longest_retry_after));
+    v.retry_after = std::clamp(after, kLeastRetry, std::max(kLeastRetry, settings_.max_retry_after));
     return v;
 }
 
 // One that waits is refused and forgotten.
-Verdict Limiter::give_up(Entry& e, Cause cause, Time now) {
+AdmissionDecision Limiter::give_up(Entry& e, Cause cause, Time now) {
     take_out(e);
     return refuse(e, cause, now);
 }
 
-Verdict Limiter::refuse(Entry& e, Cause cause, Time now) {
-    Verdict v = refusal(e, cause, now);
+AdmissionDecision Limiter::refuse(Entry& e, Cause cause, Time now) {
+    AdmissionDecision v = refusal(e, cause, now);
     ++counts_.refused;
     entries_.erase(v.id);
     return v;
 }
 
-Verdict Limiter::arrive(const Arrival& arrival, Time now) {
+AdmissionDecision Limiter::arrive(const Arrival& arrival, Time now) {
     auto& held = entries_[arrival.id];
     held = std::make_unique<Entry>();
     Entry& e = *held;
@@ -138,7 +138,7 @@
     e.flow = &f;
     e.since = now;
     auto view = costs_.view(arrival.shape, arrival.estimate, g.pulse, now);
-    if (view.standing == Standing::quarantined) {
+    if (view.standing == ShapeState::quarantined) {
         auto running = running_.find({g.number, arrival.shape});
         bool free = running == running_.end() || running->second == 0;
         if (now < view.probe_at || !free) return refuse(e, Cause::quarantined, now);
@@ -159,15 +159,15 @@
     e.place = lane.waiting.insert(lane.waiting.end(), &e);
     f.waiting_work += e.charge;
     ++f.waiting, ++g.waiting, ++waiting_;
-    std::vector<Verdict> went;
+    std::vector<AdmissionDecision> went;
     bool alone = g.waiting == 1;
-    pump(g, now, went);
+    dispatch_queued(g, now, went);
     bool goes = !e.waits;
     if (!alone && (went.size() > 1 || (went.size() == 1 && !goes)))
         g.due = true;  // the others are told by release(), which comes at once
-    for (const Verdict& v : went)
-        if (v.id != arrival.id) told_.push_back(v);
-    if (goes) return {arrival.id, Word::go, Cause::none, std::nullopt};
+    for (const AdmissionDecision& v : went)
+        if (v.id != arrival.id) pending_decisions_.push_back(v);
+    if (goes) return {arrival.id, Admission::go, Cause::none, std::nullopt};
 
     // Whoever is within its part of the queue gets its place: the one furthest beyond its own gives way.
     if (g.waiting > settings_.queue) displace(g, f, now);
@@ -185,7 +185,7 @@
     expiry_.emplace(std::pair(e.expires, arrival.id), &e);
     ++counts_.waited;
     if (capped(e, now)) ++counts_.capped;
-    return {arrival.id, Word::wait, Cause::none, std::nullopt};
+    return {arrival.id, Admission::wait, Cause::none, std::nullopt};
 }
 
 // Guards a laundry that wakes against a queue that others have filled: theirs is more than their part.
@@ -199,7 +199,7 @@
     for (Lane& lane : most->lanes) {
         if (lane.waiting.empty()) continue;
         Entry& last = *lane.waiting.back();
-        told_.push_back(give_up(last, Cause::share_full, now));
+        pending_decisions_.push_back(give_up(last, Cause::share_full, now));
         return;
     }
 }
@@ -232,7 +232,7 @@
 
 // Whoever is due, in order of virtual time. One that does not fit is waited for: smaller ones behind it do
 // not pass, or it would never go.
-void Limiter::pump(Group& g, Time now, std::vector<Verdict>& out) {
+void Limiter::dispatch_queued(Group& g, Time now, std::vector<AdmissionDecision>& out) {
     bool full = false, plain_blocked = false;
     std::vector<Flow*> flows;
     while (!full && g.waiting > 0) {
@@ -248,7 +248,7 @@
         }
         if (!next) return;
         start(*next, now);
-        out.push_back({next->arrival.id, Word::go, Cause::none, std::nullopt});
+        out.push_back({next->arrival.id, Admission::go, Cause::none, std::nullopt});
     }
 }
 
@@ -321,9 +321,9 @@
     });
 }
 
-void Limiter::release(Time now, std::vector<Verdict>& out) {
-    out.insert(out.end(), told_.begin(), told_.end());
-    told_.clear();
+void Limiter::release(Time now, std::vector<AdmissionDecision>& out) {
+    out.insert(out.end(), pending_decisions_.begin(), pending_decisions_.end());
+    pending_decisions_.clear();
     while (!expiry_.empty() && expiry_.begin()->first.first <= now) {
         Entry& e = *expiry_.begin()->second;
         e.group->due = true;
@@ -338,15 +338,15 @@
                 for (Entry* e : lane.waiting)
                     if (!e->probe &&
                         costs_.view(e->arrival.shape, e->arrival.estimate, g->pulse, now).standing ==
-                            Standing::quarantined)
+                            ShapeState::quarantined)
                         lost.push_back(e);
         for (Entry* e : lost) out.push_back(give_up(*e, Cause::quarantined, now));
-        pump(*g, now, out);
+        dispatch_queued(*g, now, out);
     }
 }
 
 std::optional<Time> Limiter::next() const {
-    if (!told_.empty()) return Time::min();
+    if (!pending_decisions_.empty()) return Time::min();
     for (const auto& [number, g] : groups_)
         if (g->due && g->waiting > 0) return Time::min();
     if (expiry_.empty()) return std::nullopt;
--- a/src/limits/limiter.hpp
+++ b/src/limits/limiter.hpp
@@ -29,13 +29,13 @@
     Time deadline{};
 };
 
-enum class Word : std::uint8_t { go, wait, refuse };
+enum class Admission : std::uint8_t { go, wait, refuse };
 enum class Cause : std::uint8_t { none, queue_full, share_full, too_late, waited, quarantined };
 const char* name(Cause cause);
 
-struct Verdict {
+struct AdmissionDecision {
     std::uint64_t id = 0;
-    Word word = Word::go;
+    Admission word = Admission::go;
     Cause cause = Cause::none;
     std::optional<Duration> retry_after;
 };
@@ -46,11 +46,11 @@
     ~Limiter();
 
     // The verdict on this one. Others that may go now are told by release().
-    Verdict arrive(const Arrival& arrival, Time now);
+    AdmissionDecision arrive(const Arrival& arrival, Time now);
     // One in flight has ended, or one that waits has left. Unknown ids change nothing.
     void finish(std::uint64_t id, End end, std::uint64_t bytes, Time now);
     // Appends the verdicts that have become due: go or refuse, never wait.
-    void release(Time now, std::vector<Verdict>& out);
+    void release(Time now, std::vector<AdmissionDecision>& out);
     std::optional<Time> next() const;  // release() is due by then, if nothing else happens
     // What is in flight and waits goes on under the new settings; costs are kept.
     void set(const Settings& settings);
@@ -132,13 +132,13 @@
     unsigned cap(const CostModel::View& view) const;
     bool capped(const Entry& e, Time now) const;
     void displace(Group& g, const Flow& newcomer, Time now);
-    void pump(Group& g, Time now, std::vector<Verdict>& out);
+    void dispatch_queued(Group& g, Time now, std::vector<AdmissionDecision>& out);
     Entry* choose(Group& g, Flow& f, bool plain_blocked, bool& full, bool& plain_full, Time now);
     void start(Entry& e, Time now);
     void take_out(Entry& e);
-    Verdict refusal(const Entry& e, Cause cause, Time now) const;
-    Verdict give_up(Entry& e, Cause cause, Time now);
-    Verdict refuse(Entry& e, Cause cause, Time now);  // one that is in no lane
+    AdmissionDecision refusal(const Entry& e, Cause cause, Time now) const;
+    AdmissionDecision give_up(Entry& e, Cause cause, Time now);
+    AdmissionDecision refuse(Entry& e, Cause cause, Time now);  // one that is in no lane
     Duration drain_time(const Group& g, const Flow& f) const;
     void sweep(Group& g);
 
@@ -150,7 +150,7 @@
     std::unordered_map<std::uint64_t, std::unique_ptr<Entry>> entries_;
     std::unordered_map<InFlight, unsigned, InFlightHash> running_;
     std::map<std::pair<Time, std::uint64_t>, Entry*> expiry_;
-    std::vector<Verdict> told_;  // that release() owes
+    std::vector<AdmissionDecision> pending_decisions_;  // that release() owes
     std::size_t waiting_ = 0;
     Counts counts_;
 };
--- a/src/limits/types.hpp
+++ b/src/limits/types.hpp
@@ -46,7 +46,7 @@
     Duration quarantine = std::chrono::seconds(1), quarantine_most = std::chrono::seconds(30);
 
     bool retry_after = true;
-    Duration longest_retry_after = std::chrono::seconds(2);
+    Duration max_retry_after = std::chrono::seconds(2);
 };
 
 // How a request ended.
--- a/src/ownership/claims.cpp
+++ b/src/ownership/claims.cpp
@@ -9,13 +9,13 @@
 constexpr std::size_t kRoundsKept = 4;  // an answer to an older one says nothing of use
 }  // namespace
 
-const char* name(Standing s) {
+const char* name(ClaimState s) {
     switch (s) {
-        case Standing::waiting:
+        case ClaimState::waiting:
             return "waiting";
-        case Standing::asking:
+        case ClaimState::requesting:
             return "asking";
-        case Standing::owner:
+        case ClaimState::owner:
             return "owner";
     }
     return "";
@@ -26,10 +26,10 @@
     return std::max(Duration::zero(), Duration(std::int64_t(double(lease.count()) * share)) - margin);
 }
 
-Claims::Claims(const Party& self, const Settings& settings, std::function<double()> draw)
+Claims::Claims(const Participant& self, const Settings& settings, std::function<double()> draw)
     : self_(self), set_(settings), draw_(std::move(draw)) {}
 
-void Claims::turn(DutyId duty, Claim& c, Standing to, const char* why, Out& out) {
+void Claims::turn(DutyId duty, Claim& c, ClaimState to, const char* why, ClaimOutput& out) {
     out.turns.push_back({duty, c.standing, to, c.term, why});
     c.standing = to;
 }
@@ -39,8 +39,8 @@
 void Claims::wait(Claim& c, Time now, Duration least) {
     Duration own = set_.step * c.rank + Duration(std::int64_t(double(set_.step.count()) * 0.5 * draw_()));
     Duration more = Duration::zero();
-    if (c.tries > 0) {
-        Duration most = std::min(set_.back_off_most, set_.step * (1 << std::min(c.tries, 10u)));
+    if (c.attempts > 0) {
+        Duration most = std::min(set_.back_off_most, set_.step * (1 << std::min(c.attempts, 10u)));
         more = Duration(std::int64_t(double(most.count()) * draw_()));
     }
     c.due = now + std::max(Duration::zero(), least) + own + more;
@@ -51,15 +51,15 @@
     Claim& c = it->second;
     if (!first && c.rank == rank) return;
     c.rank = rank;
-    if (c.standing != Standing::waiting) return;
+    if (c.standing != ClaimState::waiting) return;
     if (first || c.due <= now) wait(c, now, Duration::zero());
 }
 
-void Claims::stop(DutyId duty, Claim& c, Time now, Duration least, const char* why, Out& out) {
-    if (c.standing != Standing::waiting) {
+void Claims::stop(DutyId duty, Claim& c, Time now, Duration least, const char* why, ClaimOutput& out) {
+    if (c.standing != ClaimState::waiting) {
         // In this term nothing is done any more: the voters need not wait for it to lapse.
-        out.messages.push_back(Release{duty, c.term, self_, c.standing == Standing::owner});
-        turn(duty, c, Standing::waiting, why, out);
+        out.messages.push_back(LeaseRelease{duty, c.term, self_, c.standing == ClaimState::owner});
+        turn(duty, c, ClaimState::waiting, why, out);
     }
     c.rounds.clear();
     c.denied.clear();
@@ -67,8 +67,8 @@
     wait(c, now, least);
 }
 
-Out Claims::leave(DutyId duty, Time now) {
-    Out out;
+ClaimOutput Claims::leave(DutyId duty, Time now) {
+    ClaimOutput out;
     auto it = claims_.find(duty);
     if (it == claims_.end()) return out;
     stop(duty, it->second, now, Duration::zero(), "stands for it no more", out);
@@ -76,32 +76,32 @@
     return out;
 }
 
-Out Claims::move(DutyId duty, Time now) {
-    Out out;
+ClaimOutput Claims::move(DutyId duty, Time now) {
+    ClaimOutput out;
     auto it = claims_.find(duty);
     if (it == claims_.end() || !may_act(duty, now)) return out;
     stop(duty, it->second, now, set_.lease, "given to another", out);
     return out;
 }
 
-void Claims::ask(DutyId duty, Claim& c, Time now, Out& out) {
+void Claims::ask(DutyId duty, Claim& c, Time now, ClaimOutput& out) {
     c.round = ++round_;
     c.rounds[c.round] = {now, {}};
     while (c.rounds.size() > kRoundsKept) c.rounds.erase(c.rounds.begin());
-    out.messages.push_back(Ask{duty, c.term, self_, c.round});
+    out.messages.push_back(LeaseRequest{duty, c.term, self_, c.round});
 }
 
-Out Claims::answer(const Answer& a, Time now) {
-    Out out;
+ClaimOutput Claims::answer(const LeaseReply& a, Time now) {
+    ClaimOutput out;
     auto it = claims_.find(a.duty);
     if (it == claims_.end() || a.to != self_) return out;
     Claim& c = it->second;
     c.highest = std::max(c.highest, a.highest);
     bool votes = std::find(set_.voters.begin(), set_.voters.end(), a.from) != set_.voters.end();
-    if (!votes || c.standing == Standing::waiting || a.term != c.term) return out;
+    if (!votes || c.standing == ClaimState::waiting || a.term != c.term) return out;
     if (!a.granted) {
         // An owner goes on to the end of what it has: a voter that has just started denies all.
-        if (c.standing == Standing::owner) return out;
+        if (c.standing == ClaimState::owner) return out;
         // Once too many have denied it for a majority of the others, it waits until enough of them may grant
         // it: there is an owner, and nothing was wrong with the vote.
         c.denied[a.from] = now + std::min(a.left, set_.lease);
@@ -123,19 +123,20 @@
     Time until = asked + set_.own();
     if (until <= now) return out;
     c.until = std::max(c.until, until);
-    c.tries = 0;
+    c.attempts = 0;
     c.due = std::min(c.until, std::max(now, asked + set_.own() / kRenewals));
-    if (c.standing == Standing::asking) turn(a.duty, c, Standing::owner, "a majority has granted it", out);
+    if (c.standing == ClaimState::requesting)
+        turn(a.duty, c, ClaimState::owner, "a majority has granted it", out);
     return out;
 }
 
-Out Claims::refused(DutyId duty, Term highest, Time now) {
-    Out out;
+ClaimOutput Claims::refused(DutyId duty, Term highest, Time now) {
+    ClaimOutput out;
     auto it = claims_.find(duty);
     if (it == claims_.end()) return out;
     Claim& c = it->second;
     c.highest = std::max(c.highest, highest);
-    if (c.standing != Standing::waiting && highest >= c.term)
+    if (c.standing != ClaimState::waiting && highest >= c.term)
         stop(duty, c, now, Duration::zero(), "a newer term has acted", out);
     return out;
 }
@@ -145,7 +146,7 @@
     if (it == claims_.end() || term < it->second.highest) return;
     Claim& c = it->second;
     c.highest = term;
-    if (c.standing == Standing::waiting) wait(c, now, set_.lease);
+    if (c.standing == ClaimState::waiting) wait(c, now, set_.lease);
 }
 
 void Claims::released(DutyId duty, Term term, Time now) {
@@ -153,30 +154,30 @@
     if (it == claims_.end() || term < it->second.highest) return;
     Claim& c = it->second;
     c.highest = term;
-    if (c.standing == Standing::waiting && c.due > now) wait(c, now, Duration::zero());
+    if (c.standing == ClaimState::waiting && c.due > now) wait(c, now, Duration::zero());
 }
 
-Out Claims::tick(Time now) {
-    Out out;
+ClaimOutput Claims::tick(Time now) {
+    ClaimOutput out;
     for (auto& [duty, c] : claims_) {
-        if (c.standing == Standing::owner && now >= c.until) {
+        if (c.standing == ClaimState::owner && now >= c.until) {
             stop(duty, c, now, Duration::zero(), "its lease is over", out);
             continue;
         }
         if (now < c.due) continue;
-        if (c.standing == Standing::waiting) {
+        if (c.standing == ClaimState::waiting) {
             c.term = c.highest = c.highest + 1;
             c.until = {};
-            turn(duty, c, Standing::asking, "its turn", out);
+            turn(duty, c, ClaimState::requesting, "its turn", out);
             ask(duty, c, now, out);
-            c.due = now + set_.patience;
-        } else if (c.standing == Standing::asking) {
-            ++c.tries;
+            c.due = now + set_.reply_timeout;
+        } else if (c.standing == ClaimState::requesting) {
+            ++c.attempts;
             stop(duty, c, now, Duration::zero(), "no majority has granted it", out);
         } else {
             // Again as soon as that goes unanswered: a lease has room for several that get lost.
             ask(duty, c, now, out);
-            c.due = std::min(c.until, now + std::min(set_.patience, set_.own() / kRenewals));
+            c.due = std::min(c.until, now + std::min(set_.reply_timeout, set_.own() / kRenewals));
         }
     }
     return out;
@@ -185,7 +186,7 @@
 std::optional<Time> Claims::next() const {
     std::optional<Time> next;
     for (const auto& [duty, c] : claims_) {
-        Time at = c.standing == Standing::owner ? std::min(c.due, c.until) : c.due;
+        Time at = c.standing == ClaimState::owner ? std::min(c.due, c.until) : c.due;
         next = next ? std::min(*next, at) : at;
     }
     return next;
@@ -193,7 +194,7 @@
 
 std::optional<Term> Claims::may_act(DutyId duty, Time now) const {
     auto it = claims_.find(duty);
-    if (it == claims_.end() || it->second.standing != Standing::owner) return std::nullopt;
+    if (it == claims_.end() || it->second.standing != ClaimState::owner) return std::nullopt;
     // Without this look an owner acts until its next tick, however long that was ago.
     if (set_.check_before_act && now >= it->second.until) return std::nullopt;
     return it->second.term;
--- a/src/ownership/fence.hpp
+++ b/src/ownership/fence.hpp
@@ -10,7 +10,7 @@
 
 struct Seen {
     Term term = 0;
-    Party owner{};
+    Participant owner{};
     auto operator<=>(const Seen&) const = default;
 };
 
@@ -20,7 +20,7 @@
 
     // Whether an act of this owner in this term counts. The same term from another party does not: voters
     // that have all lost their memory can give a term out again, and whoever acted first in it keeps it.
-    bool accept(DutyId duty, Term term, const Party& owner) {
+    bool accept(DutyId duty, Term term, const Participant& owner) {
         if (term == 0 || (seen_.size() >= kMostDuties && !seen_.count(duty))) return false;
         Seen& seen = seen_[duty];
         if (enabled_ && (term < seen.term || (term == seen.term && owner != seen.owner))) return false;
--- a/src/ownership/steward.cpp
+++ b/src/ownership/lease_node.cpp
@@ -1,11 +1,11 @@
-#include "ownership/steward.hpp"
+#include "ownership/lease_node.hpp"
 
 #include <algorithm>
 
 namespace indigovane::ownership {
 
-Steward::Steward(const Party& self, const Settings& settings, const std::vector<Promise>& kept,
-                 std::function<double()> draw, Time started, std::size_t candidates)
+LeaseNode::LeaseNode(const Participant& self, const Settings& settings, const std::vector<Promise>& kept,
+                     std::function<double()> draw, Time started, std::size_t candidates)
     : self_(self),
       set_(settings),
       claims_(self, settings, std::move(draw)),
@@ -13,8 +13,8 @@
       votes_(std::find(settings.voters.begin(), settings.voters.end(), self.node) != settings.voters.end()),
       candidates_(candidates) {}
 
-Work Steward::duties(const std::vector<DutyId>& duties, Time now) {
-    Work work;
+NodeOutput LeaseNode::duties(const std::vector<DutyId>& duties, Time now) {
+    NodeOutput work;
     std::set<DutyId> all(duties.begin(), duties.end());
     for (DutyId gone : duties_)
         if (!all.count(gone)) take(claims_.leave(gone, now), work);
@@ -23,8 +23,8 @@
     return work;
 }
 
-Work Steward::members(std::vector<NodeId> alive, Time now) {
-    Work work;
+NodeOutput LeaseNode::members(std::vector<NodeId> alive, Time now) {
+    NodeOutput work;
     std::sort(alive.begin(), alive.end());
     if (alive == alive_) return work;
     alive_ = std::move(alive);
@@ -32,7 +32,7 @@
     return work;
 }
 
-void Steward::place(DutyId duty, Time now, Work& work) {
+void LeaseNode::place(DutyId duty, Time now, NodeOutput& work) {
     auto first = candidates(duty, alive_, candidates_);
     auto me = std::find(first.begin(), first.end(), self_.node);
     if (me != first.end())
@@ -43,19 +43,19 @@
 
 // To all voters, itself among them if it is one: that way its own vote, too, counts only once it is kept.
 // What is released is told to those that stand for it as well, so that they need not wait for a lapse.
-void Steward::take(const Out& out, Work& work) {
+void LeaseNode::take(const ClaimOutput& out, NodeOutput& work) {
     work.turns.insert(work.turns.end(), out.turns.begin(), out.turns.end());
     for (const Message& m : out.messages) {
         std::vector<NodeId> to = set_.voters;
-        if (auto* release = std::get_if<Release>(&m); release && release->owned)
+        if (auto* release = std::get_if<LeaseRelease>(&m); release && release->owned)
             for (NodeId n : candidates(release->duty, alive_, candidates_))
                 if (std::find(to.begin(), to.end(), n) == to.end()) to.push_back(n);
         for (NodeId n : to) std::visit([&](const auto& what) { work.send.push_back({n, what}); }, m);
     }
 }
 
-Work Steward::receive(const Ask& ask, Time now) {
-    Work work;
+NodeOutput LeaseNode::receive(const LeaseRequest& ask, Time now) {
+    NodeOutput work;
     if (!votes_) return work;
     Voter::Reply reply = voter_.ask(ask, now);
     if (reply.keep) work.keep.push_back(*reply.keep);
@@ -63,40 +63,40 @@
     return work;
 }
 
-Work Steward::receive(const Answer& answer, Time now) {
-    Work work;
+NodeOutput LeaseNode::receive(const LeaseReply& answer, Time now) {
+    NodeOutput work;
     take(claims_.answer(answer, now), work);
     return work;
 }
 
-Work Steward::receive(const Release& release, Time now) {
-    Work work;
+NodeOutput LeaseNode::receive(const LeaseRelease& release, Time now) {
+    NodeOutput work;
     if (auto keep = votes_ ? voter_.release(release) : std::nullopt) work.keep.push_back(*keep);
     if (release.owned) claims_.released(release.duty, release.term, now);
     return work;
 }
 
-Work Steward::refused(DutyId duty, Term highest, Time now) {
-    Work work;
+NodeOutput LeaseNode::refused(DutyId duty, Term highest, Time now) {
+    NodeOutput work;
     take(claims_.refused(duty, highest, now), work);
     return work;
 }
 
-Work Steward::move(DutyId duty, Time now) {
-    Work work;
+NodeOutput LeaseNode::move(DutyId duty, Time now) {
+    NodeOutput work;
     take(claims_.move(duty, now), work);
     return work;
 }
 
-Work Steward::leave(Time now) {
-    Work work;
+NodeOutput LeaseNode::leave(Time now) {
+    NodeOutput work;
     for (DutyId duty : duties_) take(claims_.leave(duty, now), work);
     duties_.clear();
     return work;
 }
 
-Work Steward::tick(Time now) {
-    Work work;
+NodeOutput LeaseNode::tick(Time now) {
+    NodeOutput work;
     take(claims_.tick(now), work);
     return work;
 }
--- a/src/ownership/steward.hpp
+++ b/src/ownership/lease_node.hpp
@@ -10,36 +10,36 @@
 
 namespace indigovane::ownership {
 
-struct Send {
+struct OutgoingMessage {
     NodeId to{};
-    std::variant<Ask, Answer, Release> message;
+    std::variant<LeaseRequest, LeaseReply, LeaseRelease> message;
 };
-struct Work {
+struct NodeOutput {
     // In this order: what is in `keep` is on disk before any of `send` leaves.
     std::vector<Promise> keep;
-    std::vector<Send> send;
-    std::vector<Turn> turns;
+    std::vector<OutgoingMessage> send;
+    std::vector<ClaimTransition> turns;
 };
 
-class Steward {
+class LeaseNode {
   public:
     // `kept`: the promises that the store holds. `candidates`: so many stand for each duty at a time.
-    Steward(const Party& self, const Settings& settings, const std::vector<Promise>& kept,
-            std::function<double()> draw, Time started, std::size_t candidates = 3);
+    LeaseNode(const Participant& self, const Settings& settings, const std::vector<Promise>& kept,
+              std::function<double()> draw, Time started, std::size_t candidates = 3);
 
     // All duties there are, and who is thought to be alive: from then on it stands for those that it is among
     // the first for. What it owns it keeps while it lives, whoever comes: nothing is taken away in peace.
-    Work duties(const std::vector<DutyId>& duties, Time now);
-    Work members(std::vector<NodeId> alive, Time now);
+    NodeOutput duties(const std::vector<DutyId>& duties, Time now);
+    NodeOutput members(std::vector<NodeId> alive, Time now);
 
-    Work receive(const Ask& ask, Time now);
-    Work receive(const Answer& answer, Time now);
-    Work receive(const Release& release, Time now);
+    NodeOutput receive(const LeaseRequest& ask, Time now);
+    NodeOutput receive(const LeaseReply& answer, Time now);
+    NodeOutput receive(const LeaseRelease& release, Time now);
     void heard(DutyId duty, Term term, Time now) { claims_.heard(duty, term, now); }
-    Work refused(DutyId duty, Term highest, Time now);
-    Work move(DutyId duty, Time now);
-    Work leave(Time now);  // at the end: all that it owns is given back
-    Work tick(Time now);
+    NodeOutput refused(DutyId duty, Term highest, Time now);
+    NodeOutput move(DutyId duty, Time now);
+    NodeOutput leave(Time now);  // at the end: all that it owns is given back
+    NodeOutput tick(Time now);
     std::optional<Time> next() const { return claims_.next(); }
 
     std::optional<Term> may_act(DutyId duty, Time now) const { return claims_.may_act(duty, now); }
@@ -48,10 +48,10 @@
     bool votes() const { return votes_; }
 
   private:
-    void place(DutyId duty, Time now, Work& work);
-    void take(const Out& out, Work& work);
+    void place(DutyId duty, Time now, NodeOutput& work);
+    void take(const ClaimOutput& out, NodeOutput& work);
 
-    Party self_;
+    Participant self_;
     Settings set_;
     Claims claims_;
     Voter voter_;
--- a/src/ownership/types.hpp
+++ b/src/ownership/types.hpp
@@ -26,23 +26,23 @@
 
 // One life of a node: two processes of it may be there at once (an upgrade), and what was sent to an earlier
 // one must not be taken for an answer to this. `life`: random, drawn at the start.
-struct Party {
+struct Participant {
     NodeId node{};
-    std::uint64_t life = 0;
-    auto operator<=>(const Party&) const = default;
+    std::uint64_t incarnation = 0;
+    auto operator<=>(const Participant&) const = default;
 };
 
 // A duty's name is its kind and what it is about: "probe/host-7", "list", "return/zone-b".
 DutyId duty_id(std::string_view name);
 
 struct Settings {
-    std::vector<NodeId> voters;             // 1, 3 or 5 of the configured poolers, the same everywhere
-    Duration lease = seconds(3);            // by the voters' clocks
-    double drift = 0.01;                    // the rate of any steady clock is off by at most this share
-    Duration margin = milliseconds(0);      // an owner stops so much sooner still
-    Duration patience = milliseconds(400);  // with voters that have not answered
-    Duration step = milliseconds(150);      // a candidate of rank r waits r steps longer than the first
-    Duration back_off_most = seconds(5);    // after votes that were split
+    std::vector<NodeId> voters;                  // 1, 3 or 5 of the configured poolers, the same everywhere
+    Duration lease = seconds(3);                 // by the voters' clocks
+    double drift = 0.01;                         // the rate of any steady clock is off by at most this share
+    Duration margin = milliseconds(0);           // an owner stops so much sooner still
+    Duration reply_timeout = milliseconds(400);  // with voters that have not answered
+    Duration step = milliseconds(150);           // a candidate of rank r waits r steps longer than the first
+    Duration back_off_most = seconds(5);         // after votes that were split
     // Each can be switched off, to show in tests that it is needed.
     bool heed_drift = true, sit_out = true, keep_votes = true, fence = true, check_before_act = true;
 
@@ -53,31 +53,31 @@
 };
 
 // A candidate's or an owner's to each voter. In the term that it owns: a renewal.
-struct Ask {
+struct LeaseRequest {
     DutyId duty{};
     Term term = 0;
-    Party from{};
+    Participant from{};
     std::uint32_t round = 0;  // the answer tells it again: a late one counts for the time it was asked at
-    auto operator<=>(const Ask&) const = default;
+    auto operator<=>(const LeaseRequest&) const = default;
 };
-struct Answer {
+struct LeaseReply {
     DutyId duty{};
     Term term = 0;  // as asked for
     NodeId from{};
-    Party to{};
+    Participant to{};
     std::uint32_t round = 0;
     bool granted = false;
     Term highest = 0;  // that the voter knows of
     Duration left{};   // not granted: for so long at least it will not be, by the voter's clock
-    auto operator<=>(const Answer&) const = default;
+    auto operator<=>(const LeaseReply&) const = default;
 };
 // An owner's that has stopped, or a candidate's that gives up: nothing is done in this term any more.
-struct Release {
+struct LeaseRelease {
     DutyId duty{};
     Term term = 0;
-    Party from{};
+    Participant from{};
     bool owned = false;  // those that stand for it need not wait; else nothing has changed for them
-    auto operator<=>(const Release&) const = default;
+    auto operator<=>(const LeaseRelease&) const = default;
 };
 
 }  // namespace indigovane::ownership
--- a/src/ownership/voter.hpp
+++ b/src/ownership/voter.hpp
@@ -13,7 +13,7 @@
 struct Promise {
     DutyId duty{};
     Term term = 0;
-    Party holder{};
+    Participant holder{};
     bool released = false;  // nothing is granted in this term any more
     bool operator==(const Promise&) const = default;
 };
@@ -28,24 +28,24 @@
 
     struct Reply {
         std::optional<Promise> keep;  // on disk before the answer leaves; where there is no disk: at once
-        Answer answer;
+        LeaseReply answer;
     };
-    Reply ask(const Ask& ask, Time now);
+    Reply ask(const LeaseRequest& ask, Time now);
     // What is to be kept, if anything; nothing waits for it. A release that gets lost costs a lease's wait.
-    std::optional<Promise> release(const Release& release);
+    std::optional<Promise> release(const LeaseRelease& release);
 
     bool sits_out(Time now) const { return now < awake_; }
-    struct Held {
+    struct Grant {
         Promise promise;
         Time until{};
     };
-    const std::map<DutyId, Held>& held() const { return held_; }
+    const std::map<DutyId, Grant>& held() const { return grants_; }
 
   private:
     NodeId self_;
     Settings set_;
     Time awake_;
-    std::map<DutyId, Held> held_;
+    std::map<DutyId, Grant> grants_;
 };
 
 }  // namespace indigovane::ownership
