--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -12,7 +12,8 @@
 
 /// Of a request's time: rejected later, it leaves its client no time to come again.
 constexpr double kQueueShare = 0.45;
-/// Enough for an inquiry at a replica or two: else a class of slow answers would be rejected on arrival.
+/// Enough for an on-demand check of a replica or two: else a class of slow answers would be rejected on
+/// arrival.
 constexpr Duration kLeastQueueTime = milliseconds(50);
 /// Usual answer times that a queued read keeps in hand.
 constexpr double kAnswerTimesInHand = 4;
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -1,10 +1,10 @@
-// Admission control and load shedding: which requests are taken in, how long they may be queued, and in which
-// order they are dispatched.
+// Admission control and load shedding: which requests are taken in, how long they may be queued, and in
+// which order they are dispatched.
 //
-// A request that can't earn anything any more is rejected on arrival. A queued read waits while it can still
-// be served within its latency objective, with some answer times in hand; what only a primary can serve waits
-// for about half of its client's time (the gap of a primary change lasts seconds), so that its client has
-// time left to come again.
+// A request that can't earn anything any more is rejected on arrival. A queued read waits while it can
+// still be served within its latency objective, with some answer times in hand; what only a primary can
+// serve waits for about half of its client's time (the gap of a primary change lasts seconds), so that its
+// client has time left to come again.
 //
 // Source: docs/design.md, "Holding and refusing". Settings read: Settings::retry_after, max_retry_after.
 #pragma once
--- a/src/policy/client_timeouts.hpp
+++ b/src/policy/client_timeouts.hpp
@@ -1,7 +1,7 @@
 // Estimates how much of its deadline a client has used up before the attempt that has just arrived.
 //
-// A client that retries by itself tells only how long it will wait this time. Most of a class's requests come
-// with one usual timeout; any other timeout is taken for what is left of the client's deadline. Where
+// A client that retries by itself tells only how long it will wait this time. Most of a class's requests
+// come with one usual timeout; any other timeout is taken for what is left of the client's deadline. Where
 // timeouts vary from client to client none is usual, and nothing counts as elapsed; nor for a first request
 // where clients mark their retries. Without this, work would go into retries whose latency objective has
 // passed.
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -1,11 +1,12 @@
 // The concurrency limit: how many requests this pooler has in flight at one endpoint.
 //
 // The window follows how answers compare with the class's latency objective, whatever slows them: it grows
-// while they take little of it and shrinks, by a factor, when they take much. A replica's window follows its
-// replication lag as well: it applies the log with what its reads leave of its cores, and answers as fast as
-// ever while it falls behind. Beside idle cores a lag says that the log stands still for another reason (its
-// primary is gone, a link is cut), and changes nothing. It guards against a queue whose every answer is late;
-// where answers are slow for a reason that less work doesn't mend, the window is small without use.
+// while they take little of it and shrinks, by a factor, when they take much. A replica's window follows
+// its replication lag as well: it applies the log with what its reads leave of its cores, and answers as
+// fast as ever while it falls behind. Beside idle cores a lag says that the log stands still for another
+// reason (its primary is gone, a link is cut), and changes nothing. It guards against a queue whose every
+// answer is late; where answers are slow for a reason that less work doesn't mend, the window is small
+// without use.
 //
 // Units: requests; ratios are shares of the latency objective, or of the strictest staleness bound.
 // Source: docs/design.md, "Holding and refusing". Settings read: none; the callers hand in objective and
--- a/src/policy/endpoint_list_poll.hpp
+++ b/src/policy/endpoint_list_poll.hpp
@@ -1,7 +1,7 @@
 // When the endpoint list is requested, where it has to be polled.
 //
-// The first requests of a fleet that starts at once are spread over time; one that failed is made again after
-// a backoff that doubles, with jitter. Settings read: Settings::fleet_size.
+// The first requests of a fleet that starts at once are spread over time; one that failed is made again
+// after a backoff that doubles, with jitter. Settings read: Settings::fleet_size.
 #pragma once
 
 #include "policy/events.hpp"
--- a/src/policy/engine.hpp
+++ b/src/policy/engine.hpp
@@ -1,19 +1,17 @@
 // The engine behind RoutingPolicy: it takes each event, asks the modules in order, and appends the actions.
 //
-// It holds the state that several modules share (endpoint table, open requests, session tokens, random draws)
-// and decides nothing that a module could decide by itself. The order of a request's life:
+// It holds the state that several modules share (endpoint table, open requests, session tokens, random
+// draws) and decides nothing that a module could decide by itself. The order of a request's life:
 //  1. on arrival: admission (worth admitting?), then its group's queue;
 //  2. dispatch of the queue: retry policy (may it go?), replica selection, which asks outlier ejection and
-//  rejection
-//     backoff, replication state, round trips, concurrency limit and slow start; else admission (how long
-//     queued?);
-//  3. on an attempt's end: what it tells of the endpoint, session tokens, retry policy, then the queue again
-//  or the
-//     final answer.
+//     rejection backoff, replication state, round trips, concurrency limit and slow start; else admission
+//     (how long queued?);
+//  3. on an attempt's end: what it tells of the endpoint, session tokens, retry policy, then the queue
+//     again or the final answer.
 // Maintenance, every 20 ms while a group is in use: unresponsive endpoints, health checks, dispatch.
 //
-// Files: engine.cpp (events), engine_observations.cpp (what events tell of endpoints), engine_requests.cpp (a
-// request's way), engine_maintenance.cpp.
+// Files: engine.cpp (events), engine_observations.cpp (what events tell of endpoints), engine_requests.cpp
+// (a request's way), engine_maintenance.cpp.
 #pragma once
 
 #include <cstdint>
@@ -73,7 +71,7 @@
     void dispatch_queued(ReplicaGroup& group);
     void dispatch(ReplicaGroup& group, Request& request);
     Selection select_endpoint(const ReplicaGroup& group, const Request& request);
-    void inquire_position(Request& request, Endpoint& endpoint);
+    void start_on_demand_check(Request& request, Endpoint& endpoint);
     void send(Request& request, Endpoint& endpoint);
     void complete_attempt(ReplicaGroup& group, Request& request, const AttemptOutcome& outcome);
     void remember_write(const Request& request, const AttemptOutcome& outcome);
--- a/src/policy/engine_requests.cpp
+++ b/src/policy/engine_requests.cpp
@@ -29,7 +29,7 @@
     if (!may_retry(request, now_)) return conclude(request);
     Selection selection = select_endpoint(group, request);
     if (selection.kind == Selection::Kind::send) return send(request, *selection.endpoint);
-    if (selection.kind == Selection::Kind::inquire) inquire_position(request, *selection.endpoint);
+    if (selection.kind == Selection::Kind::check_health) start_on_demand_check(request, *selection.endpoint);
     if (selection.kind == Selection::Kind::reject) return conclude(request);
     Time give_up_at = queue_deadline(request);
     if (now_ >= give_up_at) return conclude(request);
@@ -45,10 +45,10 @@
         .select();
 }
 
-void Engine::inquire_position(Request& request, Endpoint& endpoint) {
-    request.inquiry.endpoint = &endpoint;
-    request.inquiry.sent = now_;
-    ++request.inquiry.count;
+void Engine::start_on_demand_check(Request& request, Endpoint& endpoint) {
+    request.on_demand_check.endpoint = &endpoint;
+    request.on_demand_check.sent = now_;
+    ++request.on_demand_check.count;
     check_health(endpoint, HealthCheckPurpose::on_demand);
 }
 
--- a/src/policy/health_check_budget.hpp
+++ b/src/policy/health_check_budget.hpp
@@ -2,8 +2,8 @@
 //
 // Each request earns a part of a check, at the price in the settings; a check spends one credit, and a few
 // can be saved up. So checks don't grow with poolers times endpoints, or with the time that reads wait.
-// Checks that queued reads need (`on_demand`) have a budget of their own. Where checks cost nothing there is
-// no limit.
+// Checks that queued reads need (`on_demand`) have a budget of their own. Where checks cost nothing there
+// is no limit.
 //
 // Source: docs/large-fleet.md. Settings read: Settings::health_check_price.
 #pragma once
--- a/src/policy/health_check_schedule.hpp
+++ b/src/policy/health_check_schedule.hpp
@@ -1,16 +1,17 @@
 // When an endpoint's health is checked.
 //
-// Each endpoint of a group in steady use is checked at a third of the strictest staleness bound and at least
-// each second; a primary, whose position nobody waits for, each second. A group with queued requests and no
-// usable primary is searched for one, at a pace that its traffic pays for. An unreachable endpoint gets its
-// trials as checks. What checks may cost is bounded in health_check_budget.hpp.
+// Each endpoint of a group in steady use is checked at a third of the strictest staleness bound and at
+// least each second; a primary, whose position nobody waits for, each second. A group with queued requests
+// and no usable primary is searched for one, at a pace that its traffic pays for. An unreachable endpoint
+// gets its trials as checks. What checks may cost is bounded in health_check_budget.hpp.
 //
 // Departure from the design, where checks have a price: the design's pace is for groups whose reads come at
 // least as fast as such checks would; any other is treated as at first use, so that a read that needs a
-// position inquires at one replica. And a group's first use checks the listed primary and a few others alone.
+// position has one replica checked. And a group's first use checks the listed primary and a few others
+// alone.
 //
-// Source: docs/design.md; docs/large-fleet.md. Settings read: Settings::health_check_price, and bound of the
-// classes.
+// Source: docs/design.md; docs/large-fleet.md. Settings read: Settings::health_check_price, and bound of
+// the classes.
 #pragma once
 
 #include <memory>
--- a/src/policy/outlier_ejection.hpp
+++ b/src/policy/outlier_ejection.hpp
@@ -3,8 +3,8 @@
 // An endpoint is ejected when it can't be reached, when more than half of its answers are errors or broken
 // connections, or when it has work and answers nothing at all. After a pause that doubles one request is a
 // trial; any answer (for an erring endpoint: a success) readmits it. An endpoint that can't be reached is
-// tried by health checks where they are allowed, which risks no request; a request that must not run twice is
-// a trial only late.
+// tried by health checks where they are allowed, which risks no request; a request that must not run twice
+// is a trial only late.
 //
 // The pause after a rejection is another matter: rejection_backoff.hpp.
 // Source: docs/design.md. Settings read: Settings::probes, by the caller of admits_trial.
--- a/src/policy/random.hpp
+++ b/src/policy/random.hpp
@@ -1,4 +1,5 @@
-// The module's one sequence of random draws. Every draw advances it, so their order is part of the behaviour.
+// The module's one sequence of random draws. Every draw advances it, so their order is part of the
+// behaviour.
 #pragma once
 
 #include <random>
--- a/src/policy/rejection_backoff.hpp
+++ b/src/policy/rejection_backoff.hpp
@@ -1,8 +1,8 @@
 // The pause that an endpoint gets after it turned work away.
 //
-// A rejecting endpoint gets no work for a pause that doubles with each rejection, with jitter so that poolers
-// don't come back in step, and halves with each success. Where only no connection came free in time the pause
-// is the shortest. Settings read: none.
+// A rejecting endpoint gets no work for a pause that doubles with each rejection, with jitter so that
+// poolers don't come back in step, and halves with each success. Where only no connection came free in time
+// the pause is the shortest. Settings read: none.
 #pragma once
 
 #include "policy/random.hpp"
--- a/src/policy/replica_selection.cpp
+++ b/src/policy/replica_selection.cpp
@@ -16,12 +16,12 @@
 constexpr Duration kLatencyWindow = milliseconds(15);
 /// Longest wait for a fresh pooler's first health checks.
 constexpr Duration kFirstUseWait = milliseconds(300);
-/// An inquiry that takes so many round trips longer is passed over...
-constexpr double kInquiryRoundTrips = 3;
+/// An on-demand check that takes so many round trips longer is passed over...
+constexpr double kCheckRoundTrips = 3;
 /// ...or this, if that is longer.
-constexpr Duration kLeastInquiryWait = milliseconds(5);
-/// Inquiries for a session read before it goes to the primary.
-constexpr int kSessionInquiries = 2;
+constexpr Duration kLeastCheckWait = milliseconds(5);
+/// On-demand checks for a session read before it goes to the primary.
+constexpr int kSessionReadChecks = 2;
 /// An endpoint that checks staleness hears of a commit this late.
 constexpr Duration kCommitUnheard = milliseconds(200);
 
@@ -108,8 +108,8 @@
         if (request_.attempts().empty() && !must_be_proven())
             if (Endpoint* endpoint = least_behind(std::move(hopeful)))
                 return {Selection::Kind::send, endpoint};
-    } else if (auto inquiry = inquire(std::move(hopeful))) {
-        return *inquiry;
+    } else if (auto check = request_check(std::move(hopeful))) {
+        return *check;
     }
     if (is(Consistency::session)) return select_primary();
     return {early || (may_change && bounded) ? Selection::Kind::wait : Selection::Kind::reject};
@@ -129,22 +129,22 @@
     return best;
 }
 
-std::optional<Selection> ReplicaSelector::inquire(std::vector<Endpoint*> hopeful) {
-    const PositionInquiry& inquiry = request_.inquiry;
+std::optional<Selection> ReplicaSelector::request_check(std::vector<Endpoint*> hopeful) {
+    const OnDemandCheck& check = request_.on_demand_check;
     if (!context_.settings.probes.value_or(false)) return std::nullopt;
-    if (!is(Consistency::bounded) && inquiry.count >= kSessionInquiries) return std::nullopt;
-    if (inquiry.endpoint && inquiry.endpoint->health_check.in_flight()) {
-        double round_trip_ms = to_milliseconds(inquiry.endpoint->round_trip.average());
+    if (!is(Consistency::bounded) && check.count >= kSessionReadChecks) return std::nullopt;
+    if (check.endpoint && check.endpoint->health_check.in_flight()) {
+        double round_trip_ms = to_milliseconds(check.endpoint->round_trip.average());
         Duration longest_wait =
-            std::max(kLeastInquiryWait, from_milliseconds(round_trip_ms * kInquiryRoundTrips));
-        if (context_.now < inquiry.sent + longest_wait) return Selection{Selection::Kind::wait};
+            std::max(kLeastCheckWait, from_milliseconds(round_trip_ms * kCheckRoundTrips));
+        if (context_.now < check.sent + longest_wait) return Selection{Selection::Kind::wait};
     }
     std::erase_if(hopeful, [&](const Endpoint* endpoint) {
         return endpoint->health_check.in_flight() ||
                context_.now < endpoint->replication.reported_at + context_.health_check_interval;
     });
     if (hopeful.empty()) return std::nullopt;
-    return Selection{Selection::Kind::inquire, hopeful[context_.random() % hopeful.size()]};
+    return Selection{Selection::Kind::check_health, hopeful[context_.random() % hopeful.size()]};
 }
 
 bool ReplicaSelector::admits(const Endpoint& endpoint) const {
--- a/src/policy/replica_selection.hpp
+++ b/src/policy/replica_selection.hpp
@@ -2,17 +2,16 @@
 //
 // Writes and fresh reads go to the primary. Others go to a replica, by the read preference's steps: mode
 // (replicas), tags (none by default), position, the 15 ms latency window around the nearest, then capacity,
-// then chance. When no replica is known to have the position, one that may have it is inquired at or, where
-// endpoints check positions themselves, simply tried; session reads go to the primary then.
+// then chance. When no replica is known to have the position, one that may have it has its health
+// checked or, where endpoints check positions themselves, is simply tried; session reads go to the primary
+// then.
 //
 // Departures from the design:
 //  * A session read for which no replica that has its position has capacity goes to the primary.
-//  * While some replicas are too far behind for bounded reads, they serve the any reads: else long reads hold
-//  up the
-//    log on one replica after another, until none is left for the rest.
-//  * Where all replicas are ejected for faults that may be everyone's (a slow network, a shared disk), those
-//  that
-//    can be reached stay in.
+//  * While some replicas are too far behind for bounded reads, they serve the any reads: else long reads
+//    hold up the log on one replica after another, until none is left for the rest.
+//  * Where all replicas are ejected for faults that may be everyone's (a slow network, a shared disk),
+//    those that can be reached stay in.
 //
 // Source: "Reading from MongoDB Replica Sets with PyMongo"; docs/design.md.
 // Settings read: Settings::probes, staleness_check, those of slow_start.hpp, and bound of the class.
@@ -31,10 +30,10 @@
 
 struct Selection {
     enum class Kind {
-        send,     ///< to the endpoint
-        inquire,  ///< check the endpoint's health, to learn its position, and wait
-        wait,     ///< nothing now; it may change
-        reject    ///< no replica will serve it in time
+        send,          ///< to the endpoint
+        check_health,  ///< check the endpoint's health, to learn its position, and wait
+        wait,          ///< nothing now; it may change
+        reject         ///< no replica will serve it in time
     };
     Kind kind = Kind::wait;
     Endpoint* endpoint = nullptr;
@@ -74,7 +73,7 @@
     Selection select_among_fit(std::vector<Endpoint*> fit);
     Selection select_without_fit(const std::vector<Endpoint*>& candidates);
     Endpoint* least_behind(std::vector<Endpoint*> hopeful);
-    std::optional<Selection> inquire(std::vector<Endpoint*> hopeful);
+    std::optional<Selection> request_check(std::vector<Endpoint*> hopeful);
 
     std::vector<Endpoint*> candidate_replicas() const;
     bool admits(const Endpoint& endpoint) const;
--- a/src/policy/replication_state.hpp
+++ b/src/policy/replication_state.hpp
@@ -1,7 +1,8 @@
 // What is known of an endpoint's replication: its log position, how old that knowledge is, and its role.
 //
-// Positions come with answers, health checks and load reports, and never go back. The newest claim of a role
-// counts: a primary's position is the time of its report, which orders the reports of several endpoints.
+// Positions come with answers, health checks and load reports, and never go back. The newest claim of a
+// role counts: a primary's position is the time of its report, which orders the reports of several
+// endpoints.
 //
 // Source: docs/design.md; the paper's bounded staleness. Settings read: none.
 #pragma once
--- a/src/policy/request_state.cpp
+++ b/src/policy/request_state.cpp
@@ -53,7 +53,7 @@
 
 bool RequestTable::refers_to(const Endpoint& endpoint) const {
     return std::ranges::any_of(requests_, [&](const auto& entry) {
-        return entry.second.inquiry.endpoint == &endpoint || entry.second.was_sent_to(endpoint);
+        return entry.second.on_demand_check.endpoint == &endpoint || entry.second.was_sent_to(endpoint);
     });
 }
 
--- a/src/policy/request_state.hpp
+++ b/src/policy/request_state.hpp
@@ -34,7 +34,7 @@
 };
 
 /// A health check that a queued read asked for, to learn an endpoint's position.
-struct PositionInquiry {
+struct OnDemandCheck {
     Endpoint* endpoint = nullptr;
     Time sent{};
     int count = 0;  ///< sent for this read so far
@@ -59,7 +59,7 @@
     Time arrived;
     Time deadline;           ///< at which the client gives up
     Time latency_objective;  ///< at which an answer is late; not after the deadline
-    PositionInquiry inquiry;
+    OnDemandCheck on_demand_check;
     std::optional<Time> timer;  ///< at which it is looked at again
 
     Phase phase() const { return phase_; }
--- a/src/policy/routing_policy.hpp
+++ b/src/policy/routing_policy.hpp
@@ -1,9 +1,9 @@
 // The decision module's interface: which endpoint gets which request, and when.
 //
 // A pooler feeds a RoutingPolicy what it observes (events) and carries out what the RoutingPolicy returns
-// (actions). The module does no I/O, starts no threads, keeps no globals and reads no clock: the time of each
-// event is handed in. Equal settings, seed and events give equal actions. One RoutingPolicy belongs to one
-// pooler; several of them share nothing.
+// (actions). The module does no I/O, starts no threads, keeps no globals and reads no clock: the time of
+// each event is handed in. Equal settings, seed and events give equal actions. One RoutingPolicy belongs to
+// one pooler; several of them share nothing.
 //
 // Contract
 //  * Events are handed in by order of arrival with a time that never goes back.
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -1,7 +1,7 @@
 // What the module is configured with: the request classes, and what the deployment allows.
 //
-// Every setting is optional; a missing one takes the meaning that can break no rule. Which that is stands at
-// make_request_class (request_class.hpp) for classes, and here for the rest.
+// Every setting is optional; a missing one takes the meaning that can break no rule. Which that is stands
+// at make_request_class (request_class.hpp) for classes, and here for the rest.
 #pragma once
 
 #include <cstdint>
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -1,9 +1,9 @@
 // Slow start: how much of its capacity an endpoint has that started a short while ago.
 //
 // A started endpoint (cold caches) can do a share of its work that grows linearly over the ramp; sent more
-// than a multiple of it for a while, it breaks down. Each pooler lets through that share of the requests that
-// would be the endpoint's own, by a random draw that a request keeps: all poolers together stay within the
-// limit without talking to one another, and a queued request passes once the share has grown to it
+// than a multiple of it for a while, it breaks down. Each pooler lets through that share of the requests
+// that would be the endpoint's own, by a random draw that a request keeps: all poolers together stay within
+// the limit without talking to one another, and a queued request passes once the share has grown to it
 // (endpoint_capacity.hpp).
 //
 // Settings read: Settings::slow_start_share, ramp, overload_multiple.
--- a/src/simulator/field_names.hpp
+++ b/src/simulator/field_names.hpp
@@ -1,7 +1,7 @@
 // The simulator's protocol's own names for messages, fields and values, and what the code calls them.
 //
-// This is the one place where its names stand; they never change, since they go over the wire. The code uses
-// the terms on the left (docs/glossary.md). Source: /work/given/docs, the simulator's protocol.
+// This is the one place where its names stand; they never change, since they go over the wire. The code
+// uses the terms on the left (docs/glossary.md). Source: /work/given/docs, the simulator's protocol.
 #pragma once
 
 #include <array>
