--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -11,21 +11,21 @@
 using std::chrono::milliseconds;
 
 /// Of a request's time: rejected later, it leaves its client no time to come again.
-constexpr double kQueueShare = 0.45;
+constexpr double kMaxQueueShare = 0.45;
 /// Enough for an on-demand check of a replica or two: else a class of slow answers would be rejected on
 /// arrival.
-constexpr Duration kLeastQueueTime = milliseconds(50);
+constexpr Duration kMinQueueTime = milliseconds(50);
 /// Usual answer times that a queued read keeps in hand.
-constexpr double kAnswerTimesInHand = 4;
+constexpr double kReservedAnswerTimes = 4;
 /// A read is to be on a connection after this part of what is left of its objective.
-constexpr int kStartsPerObjective = 4;
-constexpr Duration kLeastStartTime = milliseconds(25);
+constexpr int kStartPartsPerObjective = 4;
+constexpr Duration kMinStartTime = milliseconds(25);
 /// A replication lag or a primary change lasts longer.
 constexpr Duration kRetryAfter = milliseconds(250);
 
 Time latest_useful_dispatch(const Request& request) {
     return request.arrived +
-           from_milliseconds(to_milliseconds(request.deadline - request.arrived) * kQueueShare);
+           from_milliseconds(to_milliseconds(request.deadline - request.arrived) * kMaxQueueShare);
 }
 
 Duration usual_latency(const Request& request) {
@@ -54,16 +54,16 @@
 Time queue_deadline(const Request& request) {
     if (request.request_class->needs_primary())
         return std::min(request.answer_due() - usual_latency(request), latest_useful_dispatch(request));
-    Duration in_hand = from_milliseconds(request.request_class->usual_latency_ms * kAnswerTimesInHand);
-    return std::max(request.arrived + kLeastQueueTime, request.latency_objective - in_hand);
+    Duration in_hand = from_milliseconds(request.request_class->usual_latency_ms * kReservedAnswerTimes);
+    return std::max(request.arrived + kMinQueueTime, request.latency_objective - in_hand);
 }
 
 Time attempt_start_deadline(const Request& request, Time now) {
     Time start_by = std::min(latest_useful_dispatch(request), retry_deadline(request));
     // Others can serve a read within its objective: it does not wait out a connection that does not come up.
     if (!request.request_class->needs_primary()) {
-        Duration part = (request.latency_objective - now) / kStartsPerObjective;
-        start_by = std::min(start_by, now + std::max(kLeastStartTime, part));
+        Duration part = (request.latency_objective - now) / kStartPartsPerObjective;
+        start_by = std::min(start_by, now + std::max(kMinStartTime, part));
     }
     return start_by;
 }
--- a/src/policy/client_timeouts.cpp
+++ b/src/policy/client_timeouts.cpp
@@ -8,24 +8,24 @@
 using std::chrono::milliseconds;
 
 /// Timeouts this close are one: the way from client to pooler takes a part of them.
-constexpr Duration kJitter = milliseconds(15);
+constexpr Duration kTimeoutTolerance = milliseconds(15);
 /// A timeout that came this often among the retained ones is the usual one.
-constexpr int kUsualCount = 6;
+constexpr int kUsualTimeoutCount = 6;
 
-bool alike(Duration one, Duration other) {
-    return one < other + kJitter && other < one + kJitter;
+bool are_close(Duration one, Duration other) {
+    return one < other + kTimeoutTolerance && other < one + kTimeoutTolerance;
 }
 
 }  // namespace
 
 Duration ClientTimeouts::elapsed_before(const Arrival& arrival) {
-    recent_[recorded_ % kRetained] = arrival.client_timeout;
+    recent_[recorded_ % kRetainedTimeouts] = arrival.client_timeout;
     ++recorded_;
-    auto like_this = [&](Duration timeout) { return alike(timeout, arrival.client_timeout); };
-    auto end = recent_.begin() + std::ptrdiff_t(std::min(recorded_, kRetained));
-    if (std::count_if(recent_.begin(), end, like_this) >= kUsualCount) usual_ = arrival.client_timeout;
-    if (!usual_ || like_this(*usual_)) return Duration::zero();
-    if (arrival.retries_are_marked && !arrival.marked_as_retry) return Duration::zero();
+    auto is_close = [&](Duration timeout) { return are_close(timeout, arrival.client_timeout); };
+    auto end = recent_.begin() + std::ptrdiff_t(std::min(recorded_, kRetainedTimeouts));
+    if (std::count_if(recent_.begin(), end, is_close) >= kUsualTimeoutCount) usual_ = arrival.client_timeout;
+    if (!usual_ || is_close(*usual_)) return Duration::zero();
+    if (arrival.clients_mark_retries && !arrival.is_marked_as_retry) return Duration::zero();
     return std::max(Duration::zero(), arrival.deadline - arrival.client_timeout);
 }
 
--- a/src/policy/client_timeouts.hpp
+++ b/src/policy/client_timeouts.hpp
@@ -20,18 +20,18 @@
   public:
     struct Arrival {
         Duration client_timeout;
-        Duration deadline;        ///< of the class, over all the client's attempts
-        bool marked_as_retry;     ///< RequestArrival::repeat
-        bool retries_are_marked;  ///< some client has marked a retry before, or this one
+        Duration deadline;          ///< of the class, over all the client's attempts
+        bool is_marked_as_retry;    ///< RequestArrival::repeat
+        bool clients_mark_retries;  ///< some client has marked a retry before, or this one
     };
 
     /// Records the arrival; returns the time already used up by the client's earlier attempts.
     Duration elapsed_before(const Arrival& arrival);
 
   private:
-    static constexpr std::size_t kRetained = 16;
+    static constexpr std::size_t kRetainedTimeouts = 16;
 
-    std::array<Duration, kRetained> recent_{};
+    std::array<Duration, kRetainedTimeouts> recent_{};
     std::size_t recorded_ = 0;
     std::optional<Duration> usual_;
 };
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -23,14 +23,14 @@
 constexpr double kGrowBelowLagRatio = 0.5;
 constexpr double kShrinkAboveLagRatio = 0.6;
 /// CPU utilization at which a lagging replica's cores count as busy.
-constexpr double kBusyWhileLagging = 0.7;
+constexpr double kBusyUtilizationWhileLagging = 0.7;
 /// CPU utilization at which a replica will fall behind, lagging or not.
-constexpr double kBusyInAnyCase = 0.85;
+constexpr double kBusyUtilization = 0.85;
 /// Requests in flight that stand for fully used cores, where no utilization is reported.
 constexpr double kInFlightOfBusyCores = 6;
 
-constexpr double kReduction = 0.8;
-constexpr double kReductionOnRejection = 0.7;
+constexpr double kReductionFactor = 0.8;
+constexpr double kRejectionReductionFactor = 0.7;
 
 }  // namespace
 
@@ -42,30 +42,30 @@
     latency_ratio_ +=
         kSampleWeight * (std::min(latency_ms / objective_ms, kMaxLatencyRatio) - latency_ratio_);
     if (latency_ratio_ > kShrinkAboveLatencyRatio) {
-        reduce(kReduction, sample.in_flight, now);
+        reduce(kReductionFactor, sample.in_flight, now);
         return;
     }
     bool healthy = latency_ratio_ < kGrowBelowLatencyRatio && lag_ratio_ < kGrowBelowLagRatio;
     bool window_in_use = sample.in_flight + 1 >= window_ - 1;
     if (healthy && sample.answered && window_in_use)
-        window_ = std::min(kMaxWindow, window_ + (fast_growth_ ? 1 : 1 / window_));
+        window_ = std::min(kMaxWindow, window_ + (grows_fast_ ? 1 : 1 / window_));
 }
 
 void ConcurrencyLimit::record_replication_lag(const LoadReport& report, Duration strictest_bound,
                                               int in_flight, Time now) {
     lag_ratio_ = to_milliseconds(now - *report.position) / to_milliseconds(strictest_bound);
     double utilization = report.cpu_utilization.value_or(report.in_flight.value_or(0) / kInFlightOfBusyCores);
-    double busy = lag_ratio_ > kShrinkAboveLagRatio ? kBusyWhileLagging : kBusyInAnyCase;
-    if (utilization > busy) reduce(kReduction, in_flight, now);
+    double busy = lag_ratio_ > kShrinkAboveLagRatio ? kBusyUtilizationWhileLagging : kBusyUtilization;
+    if (utilization > busy) reduce(kReductionFactor, in_flight, now);
 }
 
 void ConcurrencyLimit::record_rejection(int in_flight, Time now) {
-    reduce(kReductionOnRejection, in_flight, now);
+    reduce(kRejectionReductionFactor, in_flight, now);
 }
 
 void ConcurrencyLimit::restart() {
     window_ = std::min(window_, kRestartWindow);
-    fast_growth_ = true;
+    grows_fast_ = true;
 }
 
 void ConcurrencyLimit::recover() {
@@ -74,7 +74,7 @@
 }
 
 void ConcurrencyLimit::reduce(double factor, int in_flight, Time now) {
-    fast_growth_ = false;
+    grows_fast_ = false;
     // One reduction for the requests that were in flight together.
     if (now - reduced_at_ < from_milliseconds(usual_latency_ms_)) return;
     reduced_at_ = now;
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -54,7 +54,7 @@
     static constexpr double kInitialWindow = 6;
 
     double window_ = kInitialWindow;
-    bool fast_growth_ = true;      // by one request an answer, until the first reduction
+    bool grows_fast_ = true;       // by one request an answer, until the first reduction
     double latency_ratio_ = 0;     // mean latency as a share of the objective
     double lag_ratio_ = 0;         // last reported lag as a share of the strictest bound
     double usual_latency_ms_ = 0;  // mean; 0: no answer yet
--- a/src/policy/endpoint_capacity.cpp
+++ b/src/policy/endpoint_capacity.cpp
@@ -16,15 +16,15 @@
                   const Settings& settings, Time now) {
     bool needs_primary = request.request_class->needs_primary();
     // An ejected endpoint gets trials alone, which outlier_ejection.hpp counts out.
-    if (!endpoint.ejection.ejected()) {
+    if (!endpoint.ejection.is_ejected()) {
         double share = needs_primary || &endpoint != context.primary ? 1 : kReadShareOfPrimary;
         if (!endpoint.limit.admits(endpoint.in_flight, share)) return false;
     }
     if (!in_slow_start(endpoint.started, settings, now)) return true;
-    double share = ready_share(*endpoint.started, settings, now);
-    if (needs_primary) return request.draw < share;
-    double replicas = double(std::ranges::count_if(context.group.endpoints, &Endpoint::listed)) - 1.0;
-    return request.draw < share * std::min(1.0, double(context.candidates) / replicas);
+    double share = available_share(*endpoint.started, settings, now);
+    if (needs_primary) return request.slow_start_draw < share;
+    double replicas = double(std::ranges::count_if(context.group.endpoints, &Endpoint::is_listed)) - 1.0;
+    return request.slow_start_draw < share * std::min(1.0, double(context.candidates) / replicas);
 }
 
 }  // namespace indigovane::policy
--- a/src/policy/endpoint_list_poll.cpp
+++ b/src/policy/endpoint_list_poll.cpp
@@ -10,27 +10,27 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kLongestBackoff = seconds(4);
+constexpr Duration kMaxBackoff = seconds(4);
 /// The first requests are spread over this time a pooler of the fleet...
 constexpr Duration kSpreadPerPooler = milliseconds(60);
 /// ...and over that of so many poolers at least.
-constexpr double kLeastFleet = 10;
+constexpr double kMinSpreadPoolers = 10;
 
 }  // namespace
 
 Duration EndpointListPoll::first_delay(double fleet_size, Random& random) {
-    return from_milliseconds(to_milliseconds(kSpreadPerPooler) * (kLeastFleet + fleet_size) *
+    return from_milliseconds(to_milliseconds(kSpreadPerPooler) * (kMinSpreadPoolers + fleet_size) *
                              uniform(random));
 }
 
 Duration EndpointListPoll::retry_delay(Random& random) {
     Duration delay = from_milliseconds(to_milliseconds(backoff_) * (0.5 + uniform(random)));
-    backoff_ = std::min(backoff_ * 2, kLongestBackoff);
+    backoff_ = std::min(backoff_ * 2, kMaxBackoff);
     return delay;
 }
 
 void EndpointListPoll::record_list(EndpointListKind kind) {
-    if (requested_ && kind != EndpointListKind::cached) backoff_ = kFirstBackoff;
+    if (has_requested_ && kind != EndpointListKind::cached) backoff_ = kInitialBackoff;
 }
 
 }  // namespace indigovane::policy
--- a/src/policy/endpoint_list_poll.hpp
+++ b/src/policy/endpoint_list_poll.hpp
@@ -15,17 +15,17 @@
     /// Until the first request. Draws once.
     static Duration first_delay(double fleet_size, Random& random);
 
-    void record_request() { requested_ = true; }
+    void record_request() { has_requested_ = true; }
     /// Until the next request, after one that failed. Draws once.
     Duration retry_delay(Random& random);
     /// A list has arrived: an answer from the service itself ends the backoff.
     void record_list(EndpointListKind kind);
 
   private:
-    static constexpr Duration kFirstBackoff = std::chrono::milliseconds(400);
+    static constexpr Duration kInitialBackoff = std::chrono::milliseconds(400);
 
-    bool requested_ = false;
-    Duration backoff_ = kFirstBackoff;
+    bool has_requested_ = false;
+    Duration backoff_ = kInitialBackoff;
 };
 
 }  // namespace indigovane::policy
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -11,19 +11,20 @@
 using std::chrono::seconds;
 
 /// After an endpoint left the list.
-constexpr Duration kRetention = seconds(60);
+constexpr Duration kUnlistedRetention = seconds(60);
 /// Over which a group's reads are averaged.
-constexpr Duration kReadRatePeriod = seconds(1);
+constexpr Duration kReadRateDecayTime = seconds(1);
 
 }  // namespace
 
 void ReadRate::record(Time now) {
-    count_ = per_second(now) + 1;
-    counted_at_ = now;
+    decayed_count_ = per_second(now) + 1;
+    updated_at_ = now;
 }
 
 double ReadRate::per_second(Time now) const {
-    return count_ * std::exp(-to_milliseconds(now - counted_at_) / to_milliseconds(kReadRatePeriod));
+    return decayed_count_ *
+           std::exp(-to_milliseconds(now - updated_at_) / to_milliseconds(kReadRateDecayTime));
 }
 
 Endpoint* known_primary(const ReplicaGroup& group) {
@@ -42,7 +43,7 @@
 
 void EndpointTable::apply(const EndpointList& list, bool removal_binds) {
     if (list.kind != EndpointListKind::changes)
-        for (auto& [id, endpoint] : endpoints_) endpoint.listed = !removal_binds && !endpoint.draining;
+        for (auto& [id, endpoint] : endpoints_) endpoint.is_listed = !removal_binds && !endpoint.is_draining;
     for (const EndpointEntry& entry : list.entries) apply(entry, removal_binds);
 }
 
@@ -63,17 +64,17 @@
     }
     bool ready = entry.state == EndpointState::ready;
     bool gone = entry.state == EndpointState::gone;
-    endpoint.draining = entry.state == EndpointState::draining || (endpoint.draining && gone);
-    endpoint.listed = ready || (gone && !removal_binds && !endpoint.draining);
+    endpoint.is_draining = entry.state == EndpointState::draining || (endpoint.is_draining && gone);
+    endpoint.is_listed = ready || (gone && !removal_binds && !endpoint.is_draining);
 }
 
 void EndpointTable::forget_endpoints(Time now, const std::function<bool(const Endpoint&)>& is_referenced) {
     for (auto it = endpoints_.begin(); it != endpoints_.end();) {
         Endpoint& endpoint = it->second;
-        if (endpoint.listed) endpoint.unlisted_since.reset();
-        if (!endpoint.listed && !endpoint.unlisted_since) endpoint.unlisted_since = now;
-        bool expired = endpoint.unlisted_since && now - *endpoint.unlisted_since > kRetention;
-        bool idle = endpoint.in_flight == 0 && !endpoint.health_check.in_flight();
+        if (endpoint.is_listed) endpoint.unlisted_since.reset();
+        if (!endpoint.is_listed && !endpoint.unlisted_since) endpoint.unlisted_since = now;
+        bool expired = endpoint.unlisted_since && now - *endpoint.unlisted_since > kUnlistedRetention;
+        bool idle = endpoint.in_flight == 0 && !endpoint.health_check.is_in_flight();
         if (expired && idle && !is_referenced(endpoint)) {
             std::erase(group_of(endpoint).endpoints, &endpoint);
             it = endpoints_.erase(it);
@@ -84,7 +85,7 @@
 }
 
 void EndpointTable::forget_groups() {
-    std::erase_if(groups_, [](const auto& group) { return group.second.forgettable(); });
+    std::erase_if(groups_, [](const auto& group) { return group.second.is_forgettable(); });
 }
 
 }  // namespace indigovane::policy
--- a/src/policy/endpoint_table.hpp
+++ b/src/policy/endpoint_table.hpp
@@ -27,8 +27,8 @@
     EndpointId id{};
     GroupId group{};
     ZoneId zone{};
-    bool listed = false;    ///< the list allows new work
-    bool draining = false;  ///< the list has named it as draining since it was last ready
+    bool is_listed = false;    ///< the list allows new work
+    bool is_draining = false;  ///< the list has named it as draining since it was last ready
     std::optional<Time> unlisted_since;
     std::optional<Time> started;  ///< its latest start
 
@@ -50,19 +50,19 @@
     double per_second(Time now) const;
 
   private:
-    double count_ = 0;
-    Time counted_at_{};
+    double decayed_count_ = 0;
+    Time updated_at_{};
 };
 
 struct ReplicaGroup {
     std::vector<Endpoint*> endpoints;  ///< in the order in which the list named them
     std::vector<RequestId> queue;
     std::optional<Time> first_used;
-    bool maintained = false;  ///< until it is idle
+    bool is_maintained = false;  ///< until it is idle
     ReadRate position_reads;
     std::optional<EndpointId> logged_primary;
 
-    bool forgettable() const { return endpoints.empty() && queue.empty(); }
+    bool is_forgettable() const { return endpoints.empty() && queue.empty(); }
 };
 
 /// The endpoint last known to be primary: the newest of all claims. `nullptr`: none is known.
--- a/src/policy/engine.cpp
+++ b/src/policy/engine.cpp
@@ -38,10 +38,10 @@
 
 /// Timers begin with the first event, which is the list.
 void Engine::start() {
-    if (started_) return;
-    started_ = true;
+    if (has_started_) return;
+    has_started_ = true;
     if (settings_.endpoint_list_mode.value_or(EndpointListMode::pushed) == EndpointListMode::polled)
-        act(SetTimer{kEndpointListTimer, EndpointListPoll::first_delay(fleet_size(), random_)});
+        append_action(SetTimer{kEndpointListTimer, EndpointListPoll::first_delay(fleet_size(), random_)});
 }
 
 double Engine::fleet_size() const {
@@ -50,13 +50,13 @@
 
 void Engine::log(std::string text) {
     if (logged_at_ && now_ - *logged_at_ < kLogInterval) return;
-    act(LogMessage{std::move(text)});
+    append_action(LogMessage{std::move(text)});
     logged_at_ = now_;
 }
 
 void Engine::on_event(const EndpointList& list) {
     if (list.kind == EndpointListKind::failed) {
-        act(SetTimer{kEndpointListTimer, list_poll_.retry_delay(random_)});
+        append_action(SetTimer{kEndpointListTimer, list_poll_.retry_delay(random_)});
         log("list call failed; keeping the last list");
         return;
     }
@@ -69,7 +69,7 @@
 void Engine::forget_endpoints() {
     endpoints_.forget_endpoints(now_,
                                 [this](const Endpoint& endpoint) { return requests_.refers_to(endpoint); });
-    std::erase_if(maintained_groups_, [](const ReplicaGroup* group) { return group->forgettable(); });
+    std::erase_if(maintained_groups_, [](const ReplicaGroup* group) { return group->is_forgettable(); });
     endpoints_.forget_groups();
 }
 
@@ -79,7 +79,8 @@
     ReplicaGroup* group = class_is_known ? endpoints_.find_group(arrival.group) : nullptr;
     if (!group) {
         // No list has named an endpoint of the group: the request never ran.
-        act(RejectRequest{arrival.id, class_is_known ? retry_after(settings_) : std::nullopt, false});
+        append_action(
+            RejectRequest{arrival.id, class_is_known ? retry_after(settings_) : std::nullopt, false});
         return;
     }
     const std::shared_ptr<RequestClass>& request_class = classes_[class_index];
@@ -91,7 +92,7 @@
                                  elapsed, uniform(random_), now_));
     health_check_budget_.record_request(health_check_cost(settings_));
     record_use(*group, request);
-    if (!should_admit(request, now_)) return conclude(request);
+    if (!should_admit(request, now_)) return send_final_answer(request);
     enqueue(*group, request);
     dispatch_queued(*group);
 }
@@ -115,7 +116,7 @@
     Endpoint* endpoint = endpoints_.find(outcome.endpoint);
     if (!endpoint) return;
     Request* request = requests_.find(outcome.id);
-    bool response_started = request && request->response_started();
+    bool response_started = request && request->has_response_started();
     RequestClass* request_class = request ? request->request_class.get() : nullptr;
     if (!response_started) endpoint->in_flight = std::max(0, endpoint->in_flight - 1);
     observe_answer(*endpoint, outcome, request_class);
@@ -142,7 +143,7 @@
         endpoint->round_trip.record(result.latency);
         observe_report(*endpoint, result.report);
     }
-    apply(*endpoint, endpoint->ejection.record_health_check(ok, unreachable, now_));
+    apply_ejection_change(*endpoint, endpoint->ejection.record_health_check(ok, unreachable, now_));
     dispatch_queued(endpoints_.group_of(*endpoint));
 }
 
@@ -175,10 +176,10 @@
         maintain_groups();
     } else if (expired.id == kEndpointListTimer) {
         list_poll_.record_request();
-        act(WatchEndpoints{});
+        append_action(WatchEndpoints{});
     } else if (Request* request = requests_.find(request_of(expired.id))) {
-        if (request->timer && *request->timer > now_) return;
-        request->timer.reset();
+        if (request->review_at && *request->review_at > now_) return;
+        request->review_at.reset();
         review(*request);
     }
 }
--- a/src/policy/engine.hpp
+++ b/src/policy/engine.hpp
@@ -64,7 +64,7 @@
     void observe_health(Endpoint& endpoint, const AttemptOutcome& outcome, RequestClass* request_class);
     void observe_latency(Endpoint& endpoint, const AttemptOutcome& outcome, RequestClass& request_class);
     void eject(Endpoint& endpoint, Fault fault);
-    void apply(Endpoint& endpoint, const EjectionChange& change);
+    void apply_ejection_change(Endpoint& endpoint, const EjectionChange& change);
 
     // A request's way.
     void enqueue(ReplicaGroup& group, Request& request);
@@ -76,7 +76,7 @@
     void complete_attempt(ReplicaGroup& group, Request& request, const AttemptOutcome& outcome);
     void remember_write(const Request& request, const AttemptOutcome& outcome);
     void review(Request& request);
-    void conclude(Request& request);
+    void send_final_answer(Request& request);
     void cancel_attempts(const Request& request);
     void finish(Request& request);
     void set_review_timer(Request& request, Time at);
@@ -90,7 +90,7 @@
     void check_health(Endpoint& endpoint, HealthCheckPurpose purpose);
 
     double fleet_size() const;
-    void act(Action action) { actions_->push_back(std::move(action)); }
+    void append_action(Action action) { actions_->push_back(std::move(action)); }
     /// Drops the line if another was logged less than a second ago.
     void log(std::string text);
 
@@ -108,7 +108,7 @@
     HealthCheckBudget health_check_budget_;
     EndpointListPoll list_poll_;
     std::vector<ReplicaGroup*> maintained_groups_;  // by the time since which they are in use
-    bool started_ = false;
+    bool has_started_ = false;
     bool clients_mark_retries_ = false;  // some client has
     std::optional<Time> logged_at_;
 };
--- a/src/policy/engine_maintenance.cpp
+++ b/src/policy/engine_maintenance.cpp
@@ -15,10 +15,10 @@
             check_health(*endpoint, HealthCheckPurpose::scheduled);
     }
     if (required_position_of(request)) group.position_reads.record(now_);
-    if (group.maintained) return;
-    group.maintained = true;
+    if (group.is_maintained) return;
+    group.is_maintained = true;
     maintained_groups_.push_back(&group);
-    if (maintained_groups_.size() == 1) act(SetTimer{kMaintenanceTimer, kMaintenanceInterval});
+    if (maintained_groups_.size() == 1) append_action(SetTimer{kMaintenanceTimer, kMaintenanceInterval});
 }
 
 void Engine::maintain_groups() {
@@ -26,12 +26,12 @@
         maintain(*group);
         bool busy =
             std::ranges::any_of(group->endpoints, [](const Endpoint* it) { return it->in_flight > 0; });
-        group->maintained =
+        group->is_maintained =
             busy || !group->queue.empty() ||
             is_in_steady_use(*group, health_check_interval_, health_check_cost(settings_), now_);
     }
-    std::erase_if(maintained_groups_, [](const ReplicaGroup* group) { return !group->maintained; });
-    if (!maintained_groups_.empty()) act(SetTimer{kMaintenanceTimer, kMaintenanceInterval});
+    std::erase_if(maintained_groups_, [](const ReplicaGroup* group) { return !group->is_maintained; });
+    if (!maintained_groups_.empty()) append_action(SetTimer{kMaintenanceTimer, kMaintenanceInterval});
 }
 
 void Engine::maintain(ReplicaGroup& group) {
@@ -45,9 +45,9 @@
     }
     HealthCheckSchedule schedule(group, primary, health_check_interval_, health_check_cost(settings_), now_);
     for (Endpoint* endpoint : group.endpoints) {
-        if (!endpoint->listed) continue;
-        bool trial_due = schedule.trial_due(*endpoint);
-        if (!trial_due && !schedule.check_due(*endpoint)) continue;
+        if (!endpoint->is_listed) continue;
+        bool trial_due = schedule.is_trial_due(*endpoint);
+        if (!trial_due && !schedule.is_check_due(*endpoint)) continue;
         if (trial_due) endpoint->ejection.start_trial(now_);
         check_health(*endpoint, HealthCheckPurpose::scheduled);
     }
@@ -56,10 +56,11 @@
 
 /// Every health check goes through here: one in flight an endpoint, none that the budget doesn't pay for.
 void Engine::check_health(Endpoint& endpoint, HealthCheckPurpose purpose) {
-    if (!health_checks_allowed(settings_) || endpoint.health_check.in_flight() || !endpoint.listed) return;
+    if (!health_checks_allowed(settings_) || endpoint.health_check.is_in_flight() || !endpoint.is_listed)
+        return;
     if (!health_check_budget_.spend(purpose, health_check_cost(settings_))) return;
     endpoint.health_check.record_sent(now_);
-    act(CheckHealth{endpoint.id});
+    append_action(CheckHealth{endpoint.id});
 }
 
 }  // namespace indigovane::policy
--- a/src/policy/engine_observations.cpp
+++ b/src/policy/engine_observations.cpp
@@ -47,7 +47,7 @@
 void Engine::observe_health(Endpoint& endpoint, const AttemptOutcome& outcome, RequestClass* request_class) {
     AttemptStatus status = outcome.status;
     if (status == AttemptStatus::ok) endpoint.rejection_backoff.record_success();
-    apply(endpoint, endpoint.ejection.record_attempt_end(status, now_));
+    apply_ejection_change(endpoint, endpoint.ejection.record_attempt_end(status, now_));
     if (status == AttemptStatus::unreachable || status == AttemptStatus::reset)
         check_health(endpoint, HealthCheckPurpose::scheduled);
     if (status == AttemptStatus::not_started) endpoint.rejection_backoff.record_no_connection(now_);
@@ -69,15 +69,15 @@
 
 void Engine::eject(Endpoint& endpoint, Fault fault) {
     bool newly = endpoint.ejection.eject(fault, now_);
-    apply(endpoint, {false, newly});
+    apply_ejection_change(endpoint, {false, newly});
 }
 
-void Engine::apply(Endpoint& endpoint, const EjectionChange& change) {
-    if (change.readmitted) {
+void Engine::apply_ejection_change(Endpoint& endpoint, const EjectionChange& change) {
+    if (change.was_readmitted) {
         log("member " + endpoint_text(endpoint.id) + " is back");
         endpoint.limit.recover();
     }
-    if (change.ejected)
+    if (change.was_ejected)
         log("member " + endpoint_text(endpoint.id) + " " + describe(endpoint.ejection.fault()));
 }
 
--- a/src/policy/engine_requests.cpp
+++ b/src/policy/engine_requests.cpp
@@ -26,13 +26,14 @@
 
 void Engine::dispatch(ReplicaGroup& group, Request& request) {
     // The deduplication window of a retry may have closed while it was queued.
-    if (!may_retry(request, now_)) return conclude(request);
+    if (!may_retry(request, now_)) return send_final_answer(request);
     Selection selection = select_endpoint(group, request);
-    if (selection.kind == Selection::Kind::send) return send(request, *selection.endpoint);
-    if (selection.kind == Selection::Kind::check_health) start_on_demand_check(request, *selection.endpoint);
-    if (selection.kind == Selection::Kind::reject) return conclude(request);
+    if (selection.decision == Selection::Decision::send) return send(request, *selection.endpoint);
+    if (selection.decision == Selection::Decision::check_health)
+        start_on_demand_check(request, *selection.endpoint);
+    if (selection.decision == Selection::Decision::reject) return send_final_answer(request);
     Time give_up_at = queue_deadline(request);
-    if (now_ >= give_up_at) return conclude(request);
+    if (now_ >= give_up_at) return send_final_answer(request);
     group.queue.push_back(request.id);
     set_review_timer(request, give_up_at);
 }
@@ -57,7 +58,8 @@
     request.start_attempt(endpoint, now_);
     endpoint.ejection.record_attempt_sent(endpoint.in_flight, request.request_class->usual_latency_ms, now_);
     ++endpoint.in_flight;
-    act(SendAttempt{request.id, endpoint.id, std::nullopt, required_position_of(request), start_by - now_});
+    append_action(
+        SendAttempt{request.id, endpoint.id, std::nullopt, required_position_of(request), start_by - now_});
     set_review_timer(request, request.answer_due());
 }
 
@@ -84,7 +86,7 @@
     if (may_retry(request, now_))
         enqueue(group, request);
     else
-        conclude(request);
+        send_final_answer(request);
 }
 
 /// A write's commit, or, where endpoints don't check positions, that a write may have committed up to now.
@@ -101,23 +103,23 @@
 
 /// An open request is looked at again: its time is up, or it may be.
 void Engine::review(Request& request) {
-    if (request.phase() == Request::Phase::finished || request.response_started()) return;
+    if (request.phase() == Request::Phase::finished || request.has_response_started()) return;
     bool queued = request.phase() == Request::Phase::queued;
     Time next = queued ? queue_deadline(request) : request.answer_due();
     if (now_ >= next || now_ >= request.answer_due())
-        conclude(request);
+        send_final_answer(request);
     else
         set_review_timer(request, next);
 }
 
 /// The final answer, at once: none is held back once it is decided.
-void Engine::conclude(Request& request) {
+void Engine::send_final_answer(Request& request) {
     cancel_attempts(request);
     bool late = now_ >= request.answer_due();
     if (rejection_is_harmless(request))
-        act(RejectRequest{request.id, retry_after(settings_), late});
+        append_action(RejectRequest{request.id, retry_after(settings_), late});
     else
-        act(FailRequest{request.id, late});
+        append_action(FailRequest{request.id, late});
     finish(request);
 }
 
@@ -126,7 +128,7 @@
     if (!settings_.cancels.value_or(false)) return;
     std::uint32_t number = 0;
     for (const Attempt& attempt : request.attempts()) {
-        if (attempt.in_flight()) act(CancelAttempt{request.id, number});
+        if (attempt.is_in_flight()) append_action(CancelAttempt{request.id, number});
         ++number;
     }
 }
@@ -141,9 +143,9 @@
 /// Keeps an earlier timer that is still to come.
 void Engine::set_review_timer(Request& request, Time at) {
     at = std::max(std::min(at, request.answer_due()), now_);
-    if (request.timer && *request.timer <= at && *request.timer > now_) return;
-    request.timer = at;
-    act(SetTimer{request_timer(request.id), at - now_});
+    if (request.review_at && *request.review_at <= at && *request.review_at > now_) return;
+    request.review_at = at;
+    append_action(SetTimer{request_timer(request.id), at - now_});
 }
 
 }  // namespace indigovane::policy
--- a/src/policy/health_check_budget.cpp
+++ b/src/policy/health_check_budget.cpp
@@ -6,25 +6,25 @@
 namespace {
 
 /// Of what requests earn, the share that may go into health checks.
-constexpr double kShareOfEarnings = 0.015;
+constexpr double kHealthCheckShareOfEarnings = 0.015;
 /// A request earns at most ten checks.
-constexpr double kLeastCost = 0.1;
+constexpr double kMinCost = 0.1;
 
 }  // namespace
 
 double health_check_cost(const Settings& settings) {
-    return std::max(0.0, settings.health_check_price.value_or(0)) / kShareOfEarnings;
+    return std::max(0.0, settings.health_check_price.value_or(0)) / kHealthCheckShareOfEarnings;
 }
 
 void HealthCheckBudget::record_request(double cost) {
-    double earned = 1 / std::max(cost, kLeastCost);
-    scheduled_ = std::min(scheduled_ + earned, kMaxCredit);
-    on_demand_ = std::min(on_demand_ + earned, kMaxCredit);
+    double earned = 1 / std::max(cost, kMinCost);
+    scheduled_credit_ = std::min(scheduled_credit_ + earned, kMaxCredit);
+    on_demand_credit_ = std::min(on_demand_credit_ + earned, kMaxCredit);
 }
 
 bool HealthCheckBudget::spend(HealthCheckPurpose purpose, double cost) {
     if (cost <= 0) return true;
-    double& credit = purpose == HealthCheckPurpose::on_demand ? on_demand_ : scheduled_;
+    double& credit = purpose == HealthCheckPurpose::on_demand ? on_demand_credit_ : scheduled_credit_;
     if (credit < 1) return false;
     credit -= 1;
     return true;
--- a/src/policy/health_check_budget.hpp
+++ b/src/policy/health_check_budget.hpp
@@ -26,8 +26,8 @@
   private:
     static constexpr double kMaxCredit = 10;
 
-    double scheduled_ = kMaxCredit;
-    double on_demand_ = kMaxCredit;
+    double scheduled_credit_ = kMaxCredit;
+    double on_demand_credit_ = kMaxCredit;
 };
 
 }  // namespace indigovane::policy
--- a/src/policy/health_check_schedule.cpp
+++ b/src/policy/health_check_schedule.cpp
@@ -11,16 +11,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kLongestInterval = seconds(1);
+constexpr Duration kMaxCheckInterval = seconds(1);
 /// Over which steady use is judged, and reads are counted (ReadRate).
 constexpr Duration kUsePeriod = seconds(1);
 
 /// A search for a primary: reports are hardly newer any sooner...
-constexpr Duration kShortestSearchInterval = milliseconds(100);
+constexpr Duration kMinSearchInterval = milliseconds(100);
 /// ...no more than so many checks a read...
 constexpr double kSearchChecksPerRead = 2.5;
 /// ...but one each second at least.
-constexpr Duration kLongestSearchInterval = seconds(1);
+constexpr Duration kMaxSearchInterval = seconds(1);
 
 /// At a group's first use, where checks have a price.
 constexpr std::size_t kFirstUseChecks = 3;
@@ -28,13 +28,13 @@
 Duration primary_search_interval(const ReplicaGroup& group, Time now) {
     double reads = group.position_reads.per_second(now);
     Duration interval = kUsePeriod * int(group.endpoints.size()) / int(kSearchChecksPerRead * reads + 1);
-    return std::clamp(interval, kShortestSearchInterval, kLongestSearchInterval);
+    return std::clamp(interval, kMinSearchInterval, kMaxSearchInterval);
 }
 
 }  // namespace
 
 Duration health_check_interval(const std::vector<std::shared_ptr<RequestClass>>& classes) {
-    Duration interval = kLongestInterval;
+    Duration interval = kMaxCheckInterval;
     for (const auto& request_class : classes) {
         Duration bound = request_class->staleness_bound;
         if (request_class->consistency == Consistency::bounded && bound > Duration::zero())
@@ -65,23 +65,23 @@
     : primary_(primary),
       interval_(interval),
       now_(now),
-      steady_(is_in_steady_use(group, interval, cost, now)),
-      searching_primary_(!group.queue.empty() &&
-                         (!primary || !primary->listed || primary->ejection.ejected())),
+      is_in_steady_use_(is_in_steady_use(group, interval, cost, now)),
+      is_searching_primary_(!group.queue.empty() &&
+                            (!primary || !primary->is_listed || primary->ejection.is_ejected())),
       search_interval_(primary_search_interval(group, now)) {}
 
-bool HealthCheckSchedule::trial_due(const Endpoint& endpoint) const {
-    return endpoint.ejection.fault() == Fault::unreachable && endpoint.ejection.trial_due(now_);
+bool HealthCheckSchedule::is_trial_due(const Endpoint& endpoint) const {
+    return endpoint.ejection.fault() == Fault::unreachable && endpoint.ejection.is_trial_due(now_);
 }
 
-bool HealthCheckSchedule::check_due(const Endpoint& endpoint) const {
+bool HealthCheckSchedule::is_check_due(const Endpoint& endpoint) const {
     Time sent = endpoint.health_check.sent();
-    if (steady_) {
-        Duration interval = &endpoint == primary_ ? kLongestInterval : interval_;
-        if (now_ >= endpoint.replication.reported_at + interval || now_ >= sent + kLongestInterval)
+    if (is_in_steady_use_) {
+        Duration interval = &endpoint == primary_ ? kMaxCheckInterval : interval_;
+        if (now_ >= endpoint.replication.reported_at + interval || now_ >= sent + kMaxCheckInterval)
             return true;
     }
-    return searching_primary_ && now_ >= sent + search_interval_;
+    return is_searching_primary_ && now_ >= sent + search_interval_;
 }
 
 }  // namespace indigovane::policy
--- a/src/policy/health_check_schedule.hpp
+++ b/src/policy/health_check_schedule.hpp
@@ -48,15 +48,15 @@
                         Time now);
 
     /// An unreachable endpoint is to be tried again.
-    bool trial_due(const Endpoint& endpoint) const;
-    bool check_due(const Endpoint& endpoint) const;
+    bool is_trial_due(const Endpoint& endpoint) const;
+    bool is_check_due(const Endpoint& endpoint) const;
 
   private:
     const Endpoint* primary_;
     Duration interval_;
     Time now_;
-    bool steady_;
-    bool searching_primary_;
+    bool is_in_steady_use_;
+    bool is_searching_primary_;
     Duration search_interval_;
 };
 
--- a/src/policy/health_check_state.hpp
+++ b/src/policy/health_check_state.hpp
@@ -8,7 +8,7 @@
 
 class HealthCheckState {
   public:
-    bool in_flight() const { return in_flight_; }
+    bool is_in_flight() const { return in_flight_; }
     /// Of the last one; the clock's origin before the first.
     Time sent() const { return sent_; }
 
@@ -41,11 +41,11 @@
                 break;
         }
         ++failures_;
-        return failures_ >= kFailuresThatCount;
+        return failures_ >= kFailuresUntilUnreachable;
     }
 
   private:
-    static constexpr int kFailuresThatCount = 2;  // in a row
+    static constexpr int kFailuresUntilUnreachable = 2;  // in a row
 
     bool in_flight_ = false;
     Time sent_{};
--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -15,14 +15,14 @@
 constexpr double kMaxErrorShare = 0.5;
 
 /// No answer is a fault after this time (longer than a usual pause)...
-constexpr Duration kLeastUnresponsiveTime = milliseconds(350);
+constexpr Duration kMinUnresponsiveTime = milliseconds(350);
 /// ...in which this many answers were to be expected...
 constexpr double kMissedAnswers = 12;
 /// ...of at least so many requests in flight: one long request alone proves nothing.
-constexpr int kLeastInFlight = 2;
+constexpr int kMinUnresponsiveInFlight = 2;
 
 /// A request that must not run twice is a trial only this long after the ejection.
-constexpr Duration kUnsafeTrialPause = seconds(2);
+constexpr Duration kNonIdempotentTrialDelay = seconds(2);
 
 /// The endpoint itself has said something.
 bool is_answer(AttemptStatus status) {
@@ -46,14 +46,14 @@
 }  // namespace
 
 bool Ejection::eject(Fault fault, Time now) {
-    bool newly = !ejected();
-    if (newly) {
+    bool is_new = !is_ejected();
+    if (is_new) {
         ejected_at_ = now;
-        trial_pause_ = kFirstTrialPause;
+        trial_pause_ = kInitialTrialPause;
     }
     fault_ = fault;
     trial_at_ = now + trial_pause_;
-    return newly;
+    return is_new;
 }
 
 void Ejection::readmit(Time now) {
@@ -63,7 +63,7 @@
 }
 
 void Ejection::start_trial(Time now) {
-    trial_pause_ = std::min(trial_pause_ * 2, kLongestTrialPause);
+    trial_pause_ = std::min(trial_pause_ * 2, kMaxTrialPause);
     trial_at_ = now + trial_pause_;
 }
 
@@ -74,35 +74,35 @@
     } else {
         awaited_latency_ms_ = std::max(awaited_latency_ms_, usual_latency_ms);
     }
-    if (ejected()) start_trial(now);
+    if (is_ejected()) start_trial(now);
 }
 
 EjectionChange Ejection::record_attempt_end(AttemptStatus status, Time now) {
     EjectionChange change;
-    bool answered = is_answer(status);
-    bool reset = status == AttemptStatus::reset;
-    if (answered) {
+    bool is_answered = is_answer(status);
+    bool is_reset = status == AttemptStatus::reset;
+    if (is_answered) {
         unanswered_since_ = now;
-        if (ejected() && (fault_ != Fault::erring || status == AttemptStatus::ok)) {
+        if (is_ejected() && (fault_ != Fault::erring || status == AttemptStatus::ok)) {
             readmit(now);
-            change.readmitted = true;
+            change.was_readmitted = true;
         }
     }
-    if (answered || reset) {
-        bool is_outlier = record_error(status == AttemptStatus::error || reset);
-        if (is_outlier) change.ejected = eject(Fault::erring, now);
+    if (is_answered || is_reset) {
+        bool is_outlier = record_error(status == AttemptStatus::error || is_reset);
+        if (is_outlier) change.was_ejected = eject(Fault::erring, now);
     }
-    if (status == AttemptStatus::unreachable) change.ejected = eject(Fault::unreachable, now);
+    if (status == AttemptStatus::unreachable) change.was_ejected = eject(Fault::unreachable, now);
     return change;
 }
 
-EjectionChange Ejection::record_health_check(bool ok, bool unreachable, Time now) {
+EjectionChange Ejection::record_health_check(bool is_ok, bool is_unreachable, Time now) {
     EjectionChange change;
-    if (ok && fault_ == Fault::unreachable) {
+    if (is_ok && fault_ == Fault::unreachable) {
         readmit(now);
-        change.readmitted = true;
+        change.was_readmitted = true;
     }
-    if (unreachable) change.ejected = eject(Fault::unreachable, now);
+    if (is_unreachable) change.was_ejected = eject(Fault::unreachable, now);
     return change;
 }
 
@@ -113,18 +113,18 @@
 }
 
 bool Ejection::is_unresponsive(int in_flight, double usual_latency_ms, Time now) const {
-    if (ejected() || in_flight < kLeastInFlight) return false;
+    if (is_ejected() || in_flight < kMinUnresponsiveInFlight) return false;
     double expected_ms = std::max(usual_latency_ms, awaited_latency_ms_);
     Duration limit =
-        std::max(kLeastUnresponsiveTime, from_milliseconds(expected_ms * kMissedAnswers / in_flight));
+        std::max(kMinUnresponsiveTime, from_milliseconds(expected_ms * kMissedAnswers / in_flight));
     return now - unanswered_since_ > limit;
 }
 
-bool admits_trial(const Ejection& ejection, Idempotency idempotency, bool health_checks, Time now) {
-    if (!ejection.ejected()) return true;
-    if (ejection.fault() == Fault::unreachable && health_checks) return false;
-    if (!ejection.trial_due(now)) return false;
-    return idempotency == Idempotency::idempotent || now - ejection.ejected_at() >= kUnsafeTrialPause;
+bool admits_request(const Ejection& ejection, Idempotency idempotency, bool may_check_health, Time now) {
+    if (!ejection.is_ejected()) return true;
+    if (ejection.fault() == Fault::unreachable && may_check_health) return false;
+    if (!ejection.is_trial_due(now)) return false;
+    return idempotency == Idempotency::idempotent || now - ejection.ejected_at() >= kNonIdempotentTrialDelay;
 }
 
 const char* describe(Fault fault) {
--- a/src/policy/outlier_ejection.hpp
+++ b/src/policy/outlier_ejection.hpp
@@ -7,7 +7,7 @@
 // is a trial only late.
 //
 // The pause after a rejection is another matter: rejection_backoff.hpp.
-// Source: docs/design.md. Settings read: Settings::health_checks, by the caller of admits_trial.
+// Source: docs/design.md. Settings read: Settings::health_checks, by the caller of admits_request.
 #pragma once
 
 #include "policy/attempt_status.hpp"
@@ -19,17 +19,17 @@
 
 /// What an observation changed.
 struct EjectionChange {
-    bool readmitted = false;
-    bool ejected = false;  ///< that was not ejected before
+    bool was_readmitted = false;
+    bool was_ejected = false;  ///< that was not ejected before
 };
 
 /// One endpoint's faults. Times are of the caller's clock.
 class Ejection {
   public:
     Fault fault() const { return fault_; }
-    bool ejected() const { return fault_ != Fault::none; }
+    bool is_ejected() const { return fault_ != Fault::none; }
     /// True where a trial is due at `now`, or none is needed.
-    bool trial_due(Time now) const { return now >= trial_at_; }
+    bool is_trial_due(Time now) const { return now >= trial_at_; }
     Time ejected_at() const { return ejected_at_; }
 
     /// True if the endpoint was not ejected before.
@@ -43,7 +43,7 @@
     EjectionChange record_attempt_end(AttemptStatus status, Time now);
     /// `unreachable`: as HealthCheckState::record_result has it. A success shows that the process runs, which
     /// is all that an unreachable endpoint lacked; it says nothing of one that takes work and answers none.
-    EjectionChange record_health_check(bool ok, bool unreachable, Time now);
+    EjectionChange record_health_check(bool is_ok, bool is_unreachable, Time now);
     /// Work is in flight and for too long nothing has been answered: hung, cut off, or its answers are lost.
     bool is_unresponsive(int in_flight, double usual_latency_ms, Time now) const;
 
@@ -51,13 +51,13 @@
     void readmit(Time now);
     bool record_error(bool is_error);
 
-    static constexpr Duration kFirstTrialPause = std::chrono::milliseconds(200);
-    static constexpr Duration kLongestTrialPause = std::chrono::seconds(2);
+    static constexpr Duration kInitialTrialPause = std::chrono::milliseconds(200);
+    static constexpr Duration kMaxTrialPause = std::chrono::seconds(2);
 
     Fault fault_ = Fault::none;
     Time ejected_at_{};
     Time trial_at_{};
-    Duration trial_pause_ = kFirstTrialPause;
+    Duration trial_pause_ = kInitialTrialPause;
     double error_share_ = 0;         // mean over recent answers, 0 to 1
     Time unanswered_since_{};        // the last answer, or when work went out after none was in flight
     double awaited_latency_ms_ = 0;  // usual latency of the slowest class sent since nothing was in flight
@@ -65,7 +65,7 @@
 
 /// Whether a request of this idempotency may be sent to the endpoint: always while it is not ejected, then
 /// only as a trial. `health_checks`: whether they are allowed, and try unreachable endpoints instead.
-bool admits_trial(const Ejection& ejection, Idempotency idempotency, bool health_checks, Time now);
+bool admits_request(const Ejection& ejection, Idempotency idempotency, bool may_check_health, Time now);
 
 /// What the log says of an endpoint that is ejected for this.
 const char* describe(Fault fault);
--- a/src/policy/rejection_backoff.cpp
+++ b/src/policy/rejection_backoff.cpp
@@ -10,17 +10,17 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kShortestPause = milliseconds(50);
-constexpr Duration kLongestPause = seconds(2);
+constexpr Duration kMinPause = milliseconds(50);
+constexpr Duration kMaxPause = seconds(2);
 
 }  // namespace
 
 void RejectionBackoff::record_no_connection(Time now) {
-    until_ = std::max(until_, now + kShortestPause);
+    until_ = std::max(until_, now + kMinPause);
 }
 
 void RejectionBackoff::record_rejection(Time now, Random& random) {
-    pause_ = std::clamp(pause_ * 2, kShortestPause, kLongestPause);
+    pause_ = std::clamp(pause_ * 2, kMinPause, kMaxPause);
     until_ = now + from_milliseconds(to_milliseconds(pause_) * (0.5 + uniform(random)));
 }
 
--- a/src/policy/rejection_backoff.hpp
+++ b/src/policy/rejection_backoff.hpp
@@ -12,7 +12,7 @@
 
 class RejectionBackoff {
   public:
-    bool paused(Time now) const { return now < until_; }
+    bool is_paused(Time now) const { return now < until_; }
 
     void record_success() { pause_ /= 2; }
     void record_no_connection(Time now);
--- a/src/policy/replica_selection.cpp
+++ b/src/policy/replica_selection.cpp
@@ -15,15 +15,15 @@
 /// Endpoints so much farther than the nearest share its reads.
 constexpr Duration kLatencyWindow = milliseconds(15);
 /// Longest wait for a fresh pooler's first health checks.
-constexpr Duration kFirstUseWait = milliseconds(300);
+constexpr Duration kMaxFirstUseWait = milliseconds(300);
 /// An on-demand check that takes so many round trips longer is passed over...
-constexpr double kCheckRoundTrips = 3;
+constexpr double kMaxCheckRoundTrips = 3;
 /// ...or this, if that is longer.
-constexpr Duration kLeastCheckWait = milliseconds(5);
+constexpr Duration kMinCheckWait = milliseconds(5);
 /// On-demand checks for a session read before it goes to the primary.
-constexpr int kSessionReadChecks = 2;
+constexpr int kMaxSessionReadChecks = 2;
 /// An endpoint that checks staleness hears of a commit this late.
-constexpr Duration kCommitUnheard = milliseconds(200);
+constexpr Duration kCommitPropagationTime = milliseconds(200);
 
 }  // namespace
 
@@ -40,118 +40,123 @@
 
 /// Writes, fresh reads, and session reads that no replica can serve. Without a usable primary they wait.
 Selection ReplicaSelector::select_primary() const {
-    if (!primary_ || !admits(*primary_) || !has_capacity(*primary_, 1)) return {Selection::Kind::wait};
-    return {Selection::Kind::send, primary_};
+    if (!primary_ || !admits(*primary_) || !has_capacity(*primary_, 1)) return {Selection::Decision::wait};
+    return {Selection::Decision::send, primary_};
 }
 
 Selection ReplicaSelector::select_replica() {
     std::vector<Endpoint*> candidates = candidate_replicas();
     std::optional<Time> needed = required_position(request_, token_, context_.now);
-    std::vector<Endpoint*> fit;
+    std::vector<Endpoint*> eligible;
     for (Endpoint* endpoint : candidates)
-        if (!needed || may_have_position(*endpoint, *needed)) fit.push_back(endpoint);
-    return fit.empty() ? select_without_fit(candidates) : select_among_fit(std::move(fit));
+        if (!needed || may_have_position(*endpoint, *needed)) eligible.push_back(endpoint);
+    return eligible.empty() ? select_without_eligible(candidates)
+                            : select_among_eligible(std::move(eligible));
 }
 
 std::vector<Endpoint*> ReplicaSelector::candidate_replicas() const {
     std::vector<Endpoint*> healthy;
-    std::vector<Endpoint*> doubtful;
+    std::vector<Endpoint*> reachable_ejected;
     for (Endpoint* endpoint : group_.endpoints) {
         if (endpoint == primary_ || request_.was_sent_to(*endpoint)) continue;
         if (admits(*endpoint))
             healthy.push_back(endpoint);
-        else if (endpoint->listed && endpoint->ejection.fault() != Fault::unreachable)
-            doubtful.push_back(endpoint);
+        else if (endpoint->is_listed && endpoint->ejection.fault() != Fault::unreachable)
+            reachable_ejected.push_back(endpoint);
     }
-    if (healthy.empty()) return doubtful;
+    if (healthy.empty()) return reachable_ejected;
     return healthy;
 }
 
-Selection ReplicaSelector::select_among_fit(std::vector<Endpoint*> fit) {
-    Duration nearest = fit.front()->round_trip.average();
-    for (const Endpoint* endpoint : fit) nearest = std::min(nearest, endpoint->round_trip.average());
-    std::erase_if(fit, [&](const Endpoint* endpoint) {
+Selection ReplicaSelector::select_among_eligible(std::vector<Endpoint*> eligible) {
+    Duration nearest = eligible.front()->round_trip.average();
+    for (const Endpoint* endpoint : eligible) nearest = std::min(nearest, endpoint->round_trip.average());
+    std::erase_if(eligible, [&](const Endpoint* endpoint) {
         return endpoint->round_trip.average() > nearest + kLatencyWindow;
     });
-    std::erase_if(fit, [&, candidates = fit.size()](const Endpoint* endpoint) {
+    std::erase_if(eligible, [&, candidates = eligible.size()](const Endpoint* endpoint) {
         return !has_capacity(*endpoint, candidates);
     });
-    if (fit.empty()) return is(Consistency::session) ? select_primary() : Selection{Selection::Kind::wait};
-    if (is(Consistency::any)) prefer_lagging(fit);
-    return {Selection::Kind::send, fit[context_.random() % fit.size()]};
+    if (eligible.empty())
+        return has_consistency(Consistency::session) ? select_primary()
+                                                     : Selection{Selection::Decision::wait};
+    if (has_consistency(Consistency::any)) keep_lagging_if_any(eligible);
+    return {Selection::Decision::send, eligible[context_.random() % eligible.size()]};
 }
 
-void ReplicaSelector::prefer_lagging(std::vector<Endpoint*>& fit) const {
+void ReplicaSelector::keep_lagging_if_any(std::vector<Endpoint*>& eligible) const {
     auto is_behind = [&](const Endpoint* endpoint) {
-        return endpoint->replication.surely_behind(strictest_bound(context_.health_check_interval),
-                                                   context_.now);
+        return endpoint->replication.is_surely_behind(strictest_bound(context_.health_check_interval),
+                                                      context_.now);
     };
-    if (std::ranges::any_of(fit, is_behind)) std::erase_if(fit, std::not_fn(is_behind));
+    if (std::ranges::any_of(eligible, is_behind)) std::erase_if(eligible, std::not_fn(is_behind));
 }
 
 /// No replica is known to have the position.
-Selection ReplicaSelector::select_without_fit(const std::vector<Endpoint*>& candidates) {
-    bool bounded = is(Consistency::bounded);
-    bool checked = endpoints_check_staleness(context_.settings);
+Selection ReplicaSelector::select_without_eligible(const std::vector<Endpoint*>& candidates) {
+    bool is_bounded_read = has_consistency(Consistency::bounded);
+    bool endpoints_check_positions = endpoints_check_staleness(context_.settings);
     // What is known of these is merely old.
-    std::vector<Endpoint*> hopeful;
+    std::vector<Endpoint*> uncertain;
     for (Endpoint* endpoint : candidates) {
         const ReplicationState& replication = endpoint->replication;
-        bool behind = replication.surely_behind(request_.request_class->staleness_bound, context_.now) ||
-                      (checked && replication.position);
-        if (!bounded || !behind) hopeful.push_back(endpoint);
+        bool lags =
+            replication.is_surely_behind(request_.request_class->staleness_bound, context_.now) ||
+            (endpoints_check_positions && replication.position);
+        if (!is_bounded_read || !lags) uncertain.push_back(endpoint);
     }
-    bool early = context_.now < *group_.first_used + kFirstUseWait;
-    bool may_change = group_.endpoints.empty() || !hopeful.empty();
-    std::erase_if(hopeful, [&](const Endpoint* endpoint) { return !has_capacity(*endpoint, 1); });
-    if (checked) {
-        if (request_.attempts().empty() && !must_be_proven())
-            if (Endpoint* endpoint = least_behind(std::move(hopeful)))
-                return {Selection::Kind::send, endpoint};
-    } else if (auto check = request_check(std::move(hopeful))) {
+    bool is_awaiting_first_checks = context_.now < *group_.first_used + kMaxFirstUseWait;
+    bool may_change = group_.endpoints.empty() || !uncertain.empty();
+    std::erase_if(uncertain, [&](const Endpoint* endpoint) { return !has_capacity(*endpoint, 1); });
+    if (endpoints_check_positions) {
+        if (request_.attempts().empty() && !needs_proven_position())
+            if (Endpoint* endpoint = least_behind(std::move(uncertain)))
+                return {Selection::Decision::send, endpoint};
+    } else if (auto check = select_on_demand_check(std::move(uncertain))) {
         return *check;
     }
-    if (is(Consistency::session)) return select_primary();
-    return {early || (may_change && bounded) ? Selection::Kind::wait : Selection::Kind::reject};
+    if (has_consistency(Consistency::session)) return select_primary();
+    return {is_awaiting_first_checks || (may_change && is_bounded_read) ? Selection::Decision::wait
+                                                                        : Selection::Decision::reject};
 }
 
 /// Of those that can still reach the token while they wait for the log; among equals, one by chance.
-Endpoint* ReplicaSelector::least_behind(std::vector<Endpoint*> hopeful) {
-    std::shuffle(hopeful.begin(), hopeful.end(), context_.random);
+Endpoint* ReplicaSelector::least_behind(std::vector<Endpoint*> uncertain) {
+    std::shuffle(uncertain.begin(), uncertain.end(), context_.random);
     Time now = context_.now;
     Endpoint* best = nullptr;
-    for (Endpoint* endpoint : hopeful) {
+    for (Endpoint* endpoint : uncertain) {
         const ReplicationState& replication = endpoint->replication;
-        if (replication.falls_short(token_, now)) continue;
+        if (replication.will_miss(token_, now)) continue;
         if (!best || replication.estimated_position(now) > best->replication.estimated_position(now))
             best = endpoint;
     }
     return best;
 }
 
-std::optional<Selection> ReplicaSelector::request_check(std::vector<Endpoint*> hopeful) {
+std::optional<Selection> ReplicaSelector::select_on_demand_check(std::vector<Endpoint*> uncertain) {
     const OnDemandCheck& check = request_.on_demand_check;
     if (!health_checks_allowed(context_.settings)) return std::nullopt;
-    if (!is(Consistency::bounded) && check.count >= kSessionReadChecks) return std::nullopt;
-    if (check.endpoint && check.endpoint->health_check.in_flight()) {
+    if (!has_consistency(Consistency::bounded) && check.count >= kMaxSessionReadChecks) return std::nullopt;
+    if (check.endpoint && check.endpoint->health_check.is_in_flight()) {
         double round_trip_ms = to_milliseconds(check.endpoint->round_trip.average());
         Duration longest_wait =
-            std::max(kLeastCheckWait, from_milliseconds(round_trip_ms * kCheckRoundTrips));
-        if (context_.now < check.sent + longest_wait) return Selection{Selection::Kind::wait};
+            std::max(kMinCheckWait, from_milliseconds(round_trip_ms * kMaxCheckRoundTrips));
+        if (context_.now < check.sent + longest_wait) return Selection{Selection::Decision::wait};
     }
-    std::erase_if(hopeful, [&](const Endpoint* endpoint) {
-        return endpoint->health_check.in_flight() ||
+    std::erase_if(uncertain, [&](const Endpoint* endpoint) {
+        return endpoint->health_check.is_in_flight() ||
                context_.now < endpoint->replication.reported_at + context_.health_check_interval;
     });
-    if (hopeful.empty()) return std::nullopt;
-    return Selection{Selection::Kind::check_health, hopeful[context_.random() % hopeful.size()]};
+    if (uncertain.empty()) return std::nullopt;
+    return Selection{Selection::Decision::check_health, uncertain[context_.random() % uncertain.size()]};
 }
 
 bool ReplicaSelector::admits(const Endpoint& endpoint) const {
-    if (!endpoint.listed || endpoint.rejection_backoff.paused(context_.now)) return false;
-    return !endpoint.ejection.ejected() ||
-           admits_trial(endpoint.ejection, request_.request_class->idempotency,
-                        health_checks_allowed(context_.settings), context_.now);
+    if (!endpoint.is_listed || endpoint.rejection_backoff.is_paused(context_.now)) return false;
+    return !endpoint.ejection.is_ejected() ||
+           admits_request(endpoint.ejection, request_.request_class->idempotency,
+                          health_checks_allowed(context_.settings), context_.now);
 }
 
 bool ReplicaSelector::has_capacity(const Endpoint& endpoint, std::size_t candidates) const {
@@ -161,17 +166,17 @@
 
 bool ReplicaSelector::may_have_position(const Endpoint& endpoint, Time needed) const {
     if (endpoint.replication.position >= needed) return true;
-    return endpoints_check_staleness(context_.settings) && !must_be_proven() &&
-           expected_to_have(endpoint.replication, endpoint.started, needed,
-                            request_.request_class->staleness_bound, context_.now);
+    return endpoints_check_staleness(context_.settings) && !needs_proven_position() &&
+           is_expected_to_have(endpoint.replication, endpoint.started, needed,
+                               request_.request_class->staleness_bound, context_.now);
 }
 
 /// An endpoint that checks may not have heard yet of a commit that the session has been told of, and then
 /// answers with older data. A read that may not run again after that is sent only where its data is known to
 /// be new enough.
-bool ReplicaSelector::must_be_proven() const {
-    return request_.request_class->idempotency == Idempotency::not_idempotent && is(Consistency::session) &&
-           context_.now < token_ + kCommitUnheard;
+bool ReplicaSelector::needs_proven_position() const {
+    return request_.request_class->idempotency == Idempotency::not_idempotent &&
+           has_consistency(Consistency::session) && context_.now < token_ + kCommitPropagationTime;
 }
 
 }  // namespace indigovane::policy
--- a/src/policy/replica_selection.hpp
+++ b/src/policy/replica_selection.hpp
@@ -29,13 +29,13 @@
 namespace indigovane::policy {
 
 struct Selection {
-    enum class Kind {
+    enum class Decision {
         send,          ///< to the endpoint
         check_health,  ///< check the endpoint's health, to learn its position, and wait
         wait,          ///< nothing now; it may change
         reject         ///< no replica will serve it in time
     };
-    Kind kind = Kind::wait;
+    Decision decision = Decision::wait;
     Endpoint* endpoint = nullptr;
 };
 
@@ -65,18 +65,20 @@
   private:
     Selection select_primary() const;
     Selection select_replica();
-    Selection select_among_fit(std::vector<Endpoint*> fit);
-    Selection select_without_fit(const std::vector<Endpoint*>& candidates);
-    Endpoint* least_behind(std::vector<Endpoint*> hopeful);
-    std::optional<Selection> request_check(std::vector<Endpoint*> hopeful);
+    Selection select_among_eligible(std::vector<Endpoint*> eligible);
+    Selection select_without_eligible(const std::vector<Endpoint*>& candidates);
+    Endpoint* least_behind(std::vector<Endpoint*> uncertain);
+    std::optional<Selection> select_on_demand_check(std::vector<Endpoint*> uncertain);
 
     std::vector<Endpoint*> candidate_replicas() const;
     bool admits(const Endpoint& endpoint) const;
     bool has_capacity(const Endpoint& endpoint, std::size_t candidates) const;
     bool may_have_position(const Endpoint& endpoint, Time needed) const;
-    bool must_be_proven() const;
-    void prefer_lagging(std::vector<Endpoint*>& fit) const;
-    bool is(Consistency consistency) const { return request_.request_class->consistency == consistency; }
+    bool needs_proven_position() const;
+    void keep_lagging_if_any(std::vector<Endpoint*>& eligible) const;
+    bool has_consistency(Consistency consistency) const {
+        return request_.request_class->consistency == consistency;
+    }
 
     Context context_;
     const ReplicaGroup& group_;
--- a/src/policy/replication_state.cpp
+++ b/src/policy/replication_state.cpp
@@ -9,9 +9,9 @@
 using std::chrono::seconds;
 
 /// A report may be this old: less is no proof of lag.
-constexpr Duration kReportAge = milliseconds(400);
+constexpr Duration kMaxReportAge = milliseconds(400);
 /// An endpoint that waits for the log before a read does so about this long.
-constexpr Duration kEndpointWait = milliseconds(50);
+constexpr Duration kEndpointLogWait = milliseconds(50);
 /// An endpoint that is behind applies the log about so much faster than time passes.
 constexpr int kCatchUpSpeed = 2;
 /// Waited longer than catching up takes, since misses keep an endpoint from it.
@@ -36,17 +36,17 @@
     primary_as_of.reset();
 }
 
-bool ReplicationState::surely_behind(Duration bound, Time now) const {
-    return position && now - reported_at < kReportAge && reported_at - *position > bound + kReportAge;
+bool ReplicationState::is_surely_behind(Duration bound, Time now) const {
+    return position && now - reported_at < kMaxReportAge && reported_at - *position > bound + kMaxReportAge;
 }
 
-bool ReplicationState::falls_short(Time needed, Time now) const {
-    return needed > Time{} && position && now - reported_at < kReportAge &&
-           estimated_position(now) + kEndpointWait < needed;
+bool ReplicationState::will_miss(Time needed, Time now) const {
+    return needed > Time{} && position && now - reported_at < kMaxReportAge &&
+           estimated_position(now) + kEndpointLogWait < needed;
 }
 
-bool expected_to_have(const ReplicationState& state, std::optional<Time> started, Time needed, Duration bound,
-                      Time now) {
+bool is_expected_to_have(const ReplicationState& state, std::optional<Time> started, Time needed,
+                         Duration bound, Time now) {
     if (!state.position)
         return started && *started - kInitialCopyAge + kCatchUpSpeed * (now - *started) >= needed;
     if (state.estimated_position(now) >= needed) return true;
--- a/src/policy/replication_state.hpp
+++ b/src/policy/replication_state.hpp
@@ -27,17 +27,17 @@
     /// Where it is if it still lags as last reported; before all others if nothing was.
     Time estimated_position(Time now) const { return position ? *position + (now - reported_at) : Time{}; }
     /// Fresh reports put it further behind than their own age could explain.
-    bool surely_behind(Duration bound, Time now) const;
+    bool is_surely_behind(Duration bound, Time now) const;
     /// Just reported to lag so far that it won't reach `needed` in the time that an endpoint waits for the
     /// log.
-    bool falls_short(Time needed, Time now) const;
+    bool will_miss(Time needed, Time now) const;
 };
 
 /// Departure from the design, for endpoints that check reads' positions themselves: the lag last reported is
 /// taken to last, and a bounded read (`bound` above zero) tries the endpoint again once it may have caught
 /// up. Else the endpoint that was reported on last would get all reads, and a new one none. `started`: its
 /// latest start.
-bool expected_to_have(const ReplicationState& state, std::optional<Time> started, Time needed, Duration bound,
-                      Time now);
+bool is_expected_to_have(const ReplicationState& state, std::optional<Time> started, Time needed,
+                         Duration bound, Time now);
 
 }  // namespace indigovane::policy
--- a/src/policy/request_class.cpp
+++ b/src/policy/request_class.cpp
@@ -8,16 +8,16 @@
 namespace {
 
 /// Usual latency before any answer, as a share of the latency objective.
-constexpr double kFirstGuess = 0.25;
+constexpr double kInitialLatencyShare = 0.25;
 /// Least weight of one answer in the usual latency.
-constexpr double kLeastSampleWeight = 0.05;
+constexpr double kMinSampleWeight = 0.05;
 constexpr Duration kDefaultDeadline = std::chrono::seconds(1);
 
 }  // namespace
 
 void RequestClass::record_latency(double latency_ms) {
     ++latency_samples;
-    usual_latency_ms += std::max(kLeastSampleWeight, 1 / latency_samples) * (latency_ms - usual_latency_ms);
+    usual_latency_ms += std::max(kMinSampleWeight, 1 / latency_samples) * (latency_ms - usual_latency_ms);
 }
 
 RequestClass make_request_class(const ClassSettings& settings) {
@@ -31,7 +31,7 @@
     request_class.staleness_bound = settings.staleness_bound.value_or(Duration::zero());
     request_class.priority_weight = settings.priority_weight.value_or(1);
     request_class.late_share = settings.late_share.value_or(0);
-    request_class.usual_latency_ms = to_milliseconds(request_class.latency_objective) * kFirstGuess;
+    request_class.usual_latency_ms = to_milliseconds(request_class.latency_objective) * kInitialLatencyShare;
     return request_class;
 }
 
--- a/src/policy/request_state.cpp
+++ b/src/policy/request_state.cpp
@@ -12,7 +12,7 @@
       max_attempts(attempt_limit),
       group(arrival.group),
       session(arrival.session),
-      draw(uniform_draw),
+      slow_start_draw(uniform_draw),
       arrived(now),
       deadline(now + arrival.client_timeout),
       latency_objective(std::min(now + request_class->latency_objective - elapsed, deadline)) {
--- a/src/policy/request_state.hpp
+++ b/src/policy/request_state.hpp
@@ -29,7 +29,7 @@
     Progress progress = Progress::awaiting_response;
     Execution execution = Execution::may_have_run;  ///< while it is in flight
 
-    bool in_flight() const { return progress != Progress::ended; }
+    bool is_in_flight() const { return progress != Progress::ended; }
     bool may_have_run() const { return execution != Execution::never_ran; }
 };
 
@@ -54,20 +54,20 @@
     std::size_t max_attempts;
     GroupId group;
     std::optional<SessionKey> session;
-    Time carried_token{};  ///< a session read must see this, where its client says so
-    double draw;           ///< the request's place in whatever lets only a share of requests pass
+    Time carried_token{};    ///< a session read must see this, where its client says so
+    double slow_start_draw;  ///< the request's place in whatever lets only a share of requests pass
     Time arrived;
     Time deadline;           ///< at which the client gives up
     Time latency_objective;  ///< at which an answer is late; not after the deadline
     OnDemandCheck on_demand_check;
-    std::optional<Time> timer;  ///< at which it is looked at again
+    std::optional<Time> review_at;  ///< at which it is looked at again
 
     Phase phase() const { return phase_; }
     const std::vector<Attempt>& attempts() const { return attempts_; }
 
     /// When a final answer is due, so that it reaches the client before the deadline.
     Time answer_due() const { return deadline - kAnswerMargin; }
-    int attempts_in_flight() const { return int(std::ranges::count_if(attempts_, &Attempt::in_flight)); }
+    int attempts_in_flight() const { return int(std::ranges::count_if(attempts_, &Attempt::is_in_flight)); }
     /// Attempts that may have run, those in flight among them.
     int attempts_that_may_have_run() const {
         return int(std::ranges::count_if(attempts_, &Attempt::may_have_run));
@@ -76,7 +76,7 @@
         return std::ranges::any_of(attempts_,
                                    [&](const Attempt& attempt) { return attempt.endpoint == &endpoint; });
     }
-    bool response_started() const {
+    bool has_response_started() const {
         return !attempts_.empty() && attempts_.back().progress == Attempt::Progress::response_started;
     }
     bool is_write_of(SessionKey key) const;
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -8,7 +8,7 @@
 /// Retries of a request that may have run: failures multiply no load.
 constexpr int kMaxRetriesAfterExecution = 2;
 /// A repeat begins this long before the deduplication window ends.
-constexpr Duration kWindowMargin = std::chrono::milliseconds(20);
+constexpr Duration kDeduplicationWindowMargin = std::chrono::milliseconds(20);
 
 }  // namespace
 
@@ -27,7 +27,7 @@
     if (request.request_class->idempotency == Idempotency::idempotent) return Time::max();
     auto first = std::ranges::find_if(request.attempts(), &Attempt::may_have_run);
     if (first == request.attempts().end()) return Time::max();
-    return first->sent + request.request_class->deduplication_window - kWindowMargin;
+    return first->sent + request.request_class->deduplication_window - kDeduplicationWindowMargin;
 }
 
 bool rejection_is_harmless(const Request& request) {
--- a/src/policy/session_tokens.cpp
+++ b/src/policy/session_tokens.cpp
@@ -15,10 +15,10 @@
 void SessionTokenStore::remember(SessionKey session, Time commit, Time now) {
     Time& token = tokens_[session];
     token = std::max(token, commit);
-    order_.push_back({session, commit});
+    commits_by_arrival_.push_back({session, commit});
     while (must_forget_oldest(now)) {
-        auto [oldest, oldest_commit] = order_.front();
-        order_.pop_front();
+        auto [oldest, oldest_commit] = commits_by_arrival_.front();
+        commits_by_arrival_.pop_front();
         auto it = tokens_.find(oldest);
         if (it == tokens_.end() || it->second != oldest_commit) continue;
         raise_floor(oldest_commit);
@@ -27,7 +27,8 @@
 }
 
 bool SessionTokenStore::must_forget_oldest(Time now) const {
-    return !order_.empty() && (order_.size() > kMaxTokens || now - order_.front().second > kMaxTokenAge);
+    return !commits_by_arrival_.empty() && (commits_by_arrival_.size() > kMaxTokens ||
+                                            now - commits_by_arrival_.front().second > kMaxTokenAge);
 }
 
 void SessionTokenStore::raise_floor(Time floor) {
@@ -40,12 +41,12 @@
 }
 
 SessionTokens SessionTokenStore::snapshot() const {
-    SessionTokens all{{}, floor_};
-    for (const auto& [session, commit] : order_) {
+    SessionTokens remembered{{}, floor_};
+    for (const auto& [session, commit] : commits_by_arrival_) {
         auto it = tokens_.find(session);
-        if (it != tokens_.end() && it->second == commit) all.commits.push_back({session, commit});
+        if (it != tokens_.end() && it->second == commit) remembered.commits.push_back({session, commit});
     }
-    return all;
+    return remembered;
 }
 
 }  // namespace indigovane::policy
--- a/src/policy/session_tokens.hpp
+++ b/src/policy/session_tokens.hpp
@@ -33,7 +33,8 @@
     bool must_forget_oldest(Time now) const;
 
     std::unordered_map<SessionKey, Time> tokens_;
-    std::deque<std::pair<SessionKey, Time>> order_;  // of arrival; a session may stand here several times
+    std::deque<std::pair<SessionKey, Time>>
+        commits_by_arrival_;  // of arrival; a session may stand here several times
     Time floor_{};
 };
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-double ready_share(Time started, const Settings& settings, Time now) {
+double available_share(Time started, const Settings& settings, Time now) {
     double initial = settings.slow_start_share.value_or(0);
     double multiple = settings.overload_multiple.value_or(0);
     double factor = kSafetyFactor * (multiple > 0 ? multiple : 1);  // zero: no multiple is known
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -21,6 +21,6 @@
 }
 
 /// The share of its full work that an endpoint in slow start can surely do now.
-double ready_share(Time started, const Settings& settings, Time now);
+double available_share(Time started, const Settings& settings, Time now);
 
 }  // namespace indigovane::policy
--- a/tests/policy/emulated_pooler.hpp
+++ b/tests/policy/emulated_pooler.hpp
@@ -65,7 +65,7 @@
 }
 
 /// Endpoints check reads themselves, and nothing but answers tells of them.
-inline Settings checked_without_probes() {
+inline Settings settings_without_health_checks() {
     Settings settings = usual_settings();
     settings.health_checks = false;
     settings.staleness_check = StalenessCheck::wait;
--- a/tests/policy/endpoint_table_test.cpp
+++ b/tests/policy/endpoint_table_test.cpp
@@ -22,8 +22,8 @@
 TEST_CASE("a complete list takes new work from endpoints that it doesn't name") {
     EndpointTable table = make_table(2);
     table.apply(list(EndpointListKind::full, {list_entry(0, true)}), true);
-    CHECK(table.find(EndpointId{0})->listed);
-    CHECK_FALSE(table.find(EndpointId{1})->listed);
+    CHECK(table.find(EndpointId{0})->is_listed);
+    CHECK_FALSE(table.find(EndpointId{1})->is_listed);
 }
 
 TEST_CASE("where removal doesn't bind, an endpoint that left undrained may still be used") {
@@ -32,8 +32,8 @@
     table.apply(list(EndpointListKind::changes,
                      {list_entry(0, false, EndpointState::gone), list_entry(1, false, EndpointState::gone)}),
                 false);
-    CHECK_FALSE(table.find(EndpointId{0})->listed);
-    CHECK(table.find(EndpointId{1})->listed);
+    CHECK_FALSE(table.find(EndpointId{0})->is_listed);
+    CHECK(table.find(EndpointId{1})->is_listed);
 }
 
 TEST_CASE("the listed primary is a hint that any observed claim outweighs") {
--- a/tests/policy/health_check_test.cpp
+++ b/tests/policy/health_check_test.cpp
@@ -10,9 +10,9 @@
 TEST_CASE("a refused connection shows a fault at once, a check without answer the second time") {
     HealthCheckState state;
     state.record_sent(kStart);
-    CHECK(state.in_flight());
+    CHECK(state.is_in_flight());
     CHECK(state.record_result(AttemptStatus::unreachable));
-    CHECK_FALSE(state.in_flight());
+    CHECK_FALSE(state.is_in_flight());
     CHECK_FALSE(state.record_result(AttemptStatus::ok));
     CHECK_FALSE(state.record_result(AttemptStatus::timeout));
     CHECK_FALSE(state.record_result(AttemptStatus::rejected));
@@ -56,11 +56,11 @@
         endpoint->replication.record_position(kStart, kStart);
     }
     Time now = kStart + 100ms;
-    CHECK_FALSE(HealthCheckSchedule(group, &primary, 100ms, 0, now).check_due(replica));
+    CHECK_FALSE(HealthCheckSchedule(group, &primary, 100ms, 0, now).is_check_due(replica));
     for (int i = 0; i < 100; ++i) group.position_reads.record(now);
-    CHECK(HealthCheckSchedule(group, &primary, 100ms, 0, now).check_due(replica));
-    CHECK_FALSE(HealthCheckSchedule(group, &primary, 100ms, 0, now).check_due(primary));
-    CHECK_FALSE(HealthCheckSchedule(group, &primary, 100ms, 100, now).check_due(replica));
+    CHECK(HealthCheckSchedule(group, &primary, 100ms, 0, now).is_check_due(replica));
+    CHECK_FALSE(HealthCheckSchedule(group, &primary, 100ms, 0, now).is_check_due(primary));
+    CHECK_FALSE(HealthCheckSchedule(group, &primary, 100ms, 100, now).is_check_due(replica));
 }
 
 TEST_CASE("a group with queued requests and no usable primary is searched for one") {
@@ -69,11 +69,11 @@
     Endpoint& primary = *table.find(EndpointId{0});
     for (Endpoint* endpoint : group.endpoints) endpoint->health_check.record_sent(kStart);
     Time now = kStart + 1s;
-    CHECK_FALSE(HealthCheckSchedule(group, &primary, 100ms, 0, now).check_due(primary));
+    CHECK_FALSE(HealthCheckSchedule(group, &primary, 100ms, 0, now).is_check_due(primary));
     primary.ejection.eject(Fault::unresponsive, kStart);
-    CHECK_FALSE(HealthCheckSchedule(group, &primary, 100ms, 0, now).check_due(primary));
+    CHECK_FALSE(HealthCheckSchedule(group, &primary, 100ms, 0, now).is_check_due(primary));
     group.queue.push_back(RequestId{7});
-    CHECK(HealthCheckSchedule(group, &primary, 100ms, 0, now).check_due(primary));
+    CHECK(HealthCheckSchedule(group, &primary, 100ms, 0, now).is_check_due(primary));
 }
 
 TEST_CASE("an unreachable endpoint gets its trials as checks") {
@@ -81,8 +81,8 @@
     ReplicaGroup& group = *table.find_group(GroupId{1});
     Endpoint& endpoint = *table.find(EndpointId{0});
     endpoint.ejection.eject(Fault::unreachable, kStart);
-    CHECK_FALSE(HealthCheckSchedule(group, &endpoint, 100ms, 0, kStart + 199ms).trial_due(endpoint));
-    CHECK(HealthCheckSchedule(group, &endpoint, 100ms, 0, kStart + 200ms).trial_due(endpoint));
+    CHECK_FALSE(HealthCheckSchedule(group, &endpoint, 100ms, 0, kStart + 199ms).is_trial_due(endpoint));
+    CHECK(HealthCheckSchedule(group, &endpoint, 100ms, 0, kStart + 200ms).is_trial_due(endpoint));
 }
 
 TEST_CASE("where checks have a price, a first use checks the listed primary and two others") {
--- a/tests/policy/outlier_ejection_test.cpp
+++ b/tests/policy/outlier_ejection_test.cpp
@@ -10,47 +10,47 @@
 TEST_CASE("an endpoint is an outlier once more than half of its recent answers are errors") {
     Ejection ejection;
     int errors = 1;
-    while (!ejection.record_attempt_end(AttemptStatus::error, kStart).ejected) ++errors;
+    while (!ejection.record_attempt_end(AttemptStatus::error, kStart).was_ejected) ++errors;
     CHECK(errors == 5);
     CHECK(ejection.fault() == Fault::erring);
-    CHECK_FALSE(ejection.record_attempt_end(AttemptStatus::rejected, kStart).readmitted);
-    CHECK(ejection.record_attempt_end(AttemptStatus::ok, kStart).readmitted);
-    CHECK_FALSE(ejection.ejected());
+    CHECK_FALSE(ejection.record_attempt_end(AttemptStatus::rejected, kStart).was_readmitted);
+    CHECK(ejection.record_attempt_end(AttemptStatus::ok, kStart).was_readmitted);
+    CHECK_FALSE(ejection.is_ejected());
 }
 
 TEST_CASE("an ejected endpoint admits a trial after 200 ms, then after pauses that double up to 2 s") {
     Ejection ejection;
     CHECK(ejection.eject(Fault::erring, kStart));
     CHECK_FALSE(ejection.eject(Fault::erring, kStart));
-    CHECK_FALSE(admits_trial(ejection, Idempotency::idempotent, true, kStart + 199ms));
-    CHECK(admits_trial(ejection, Idempotency::idempotent, true, kStart + 200ms));
+    CHECK_FALSE(admits_request(ejection, Idempotency::idempotent, true, kStart + 199ms));
+    CHECK(admits_request(ejection, Idempotency::idempotent, true, kStart + 200ms));
 
     Time now = kStart + 200ms;
     for (Duration pause : {400ms, 800ms, 1600ms, 2000ms, 2000ms}) {
         ejection.start_trial(now);
-        CHECK_FALSE(ejection.trial_due(now + pause - 1us));
+        CHECK_FALSE(ejection.is_trial_due(now + pause - 1us));
         now += pause;
-        CHECK(ejection.trial_due(now));
+        CHECK(ejection.is_trial_due(now));
     }
     ejection.record_attempt_end(AttemptStatus::ok, now);
-    CHECK_FALSE(ejection.ejected());
+    CHECK_FALSE(ejection.is_ejected());
 }
 
 TEST_CASE("a request that must not run twice is a trial only two seconds after the ejection") {
     Ejection ejection;
     ejection.eject(Fault::unresponsive, kStart);
-    CHECK_FALSE(admits_trial(ejection, Idempotency::idempotency_key, true, kStart + 1999ms));
-    CHECK(admits_trial(ejection, Idempotency::idempotency_key, true, kStart + 2s));
+    CHECK_FALSE(admits_request(ejection, Idempotency::idempotency_key, true, kStart + 1999ms));
+    CHECK(admits_request(ejection, Idempotency::idempotency_key, true, kStart + 2s));
 }
 
 TEST_CASE("an unreachable endpoint is tried by health checks where they are allowed") {
     Ejection ejection;
     ejection.eject(Fault::unreachable, kStart);
-    CHECK_FALSE(admits_trial(ejection, Idempotency::idempotent, true, kStart + 10s));
-    CHECK(admits_trial(ejection, Idempotency::idempotent, false, kStart + 10s));
-    CHECK(ejection.record_health_check(true, false, kStart + 10s).readmitted);
+    CHECK_FALSE(admits_request(ejection, Idempotency::idempotent, true, kStart + 10s));
+    CHECK(admits_request(ejection, Idempotency::idempotent, false, kStart + 10s));
+    CHECK(ejection.record_health_check(true, false, kStart + 10s).was_readmitted);
     ejection.eject(Fault::unresponsive, kStart);
-    CHECK_FALSE(ejection.record_health_check(true, false, kStart + 10s).readmitted);
+    CHECK_FALSE(ejection.record_health_check(true, false, kStart + 10s).was_readmitted);
 }
 
 TEST_CASE("an endpoint is unresponsive when it has work and answers nothing for longer than answers take") {
--- a/tests/policy/rejection_backoff_test.cpp
+++ b/tests/policy/rejection_backoff_test.cpp
@@ -11,11 +11,11 @@
     RejectionBackoff backoff;
     Random random(1);
     backoff.record_rejection(kStart, random);
-    CHECK(backoff.paused(kStart + 24ms));
-    CHECK_FALSE(backoff.paused(kStart + 75ms));
+    CHECK(backoff.is_paused(kStart + 24ms));
+    CHECK_FALSE(backoff.is_paused(kStart + 75ms));
     for (int i = 0; i < 10; ++i) backoff.record_rejection(kStart, random);
-    CHECK(backoff.paused(kStart + 999ms));
-    CHECK_FALSE(backoff.paused(kStart + 3s));
+    CHECK(backoff.is_paused(kStart + 999ms));
+    CHECK_FALSE(backoff.is_paused(kStart + 3s));
 }
 
 TEST_CASE("successes halve the pause") {
@@ -24,14 +24,14 @@
     for (int i = 0; i < 10; ++i) backoff.record_rejection(kStart, random);
     for (int i = 0; i < 10; ++i) backoff.record_success();
     backoff.record_rejection(kStart, random);
-    CHECK_FALSE(backoff.paused(kStart + 75ms));
+    CHECK_FALSE(backoff.is_paused(kStart + 75ms));
 }
 
 TEST_CASE("where no connection came free the pause is 50 ms and shortens no other") {
     RejectionBackoff backoff;
     backoff.record_no_connection(kStart);
-    CHECK(backoff.paused(kStart + 49ms));
-    CHECK_FALSE(backoff.paused(kStart + 50ms));
+    CHECK(backoff.is_paused(kStart + 49ms));
+    CHECK_FALSE(backoff.is_paused(kStart + 50ms));
     backoff.record_no_connection(kStart - 20ms);
-    CHECK(backoff.paused(kStart + 49ms));
+    CHECK(backoff.is_paused(kStart + 49ms));
 }
--- a/tests/policy/replica_selection_test.cpp
+++ b/tests/policy/replica_selection_test.cpp
@@ -33,9 +33,9 @@
     for (Consistency consistency : {Consistency::write, Consistency::fresh}) {
         Request request = make_request(class_settings(consistency));
         CHECK(selector.select(request).endpoint == &selector.endpoint(0));
-        selector.endpoint(0).listed = false;
-        CHECK(selector.select(request).kind == Selection::Kind::wait);
-        selector.endpoint(0).listed = true;
+        selector.endpoint(0).is_listed = false;
+        CHECK(selector.select(request).decision == Selection::Decision::wait);
+        selector.endpoint(0).is_listed = true;
     }
 }
 
@@ -45,7 +45,7 @@
     run_attempt(request, selector.endpoint(1), AttemptStatus::rejected);
     CHECK(selector.select(request).endpoint == &selector.endpoint(2));
     selector.endpoint(2).ejection.eject(Fault::unreachable, kStart);
-    CHECK(selector.select(request).kind != Selection::Kind::send);
+    CHECK(selector.select(request).decision != Selection::Decision::send);
 }
 
 TEST_CASE("replicas ejected for faults that may be everyone's stay in when all are") {
@@ -76,12 +76,12 @@
     Selector selector;
     Request request = make_request(class_settings(Consistency::bounded));
     CHECK(required_position(request, Time{}, kStart) == kStart - 300ms);
-    CHECK(selector.select(request).kind == Selection::Kind::send);
+    CHECK(selector.select(request).decision == Selection::Decision::send);
     Selection later = selector.select(request, Time{}, kStart + 301ms);
-    CHECK(later.kind == Selection::Kind::check_health);
+    CHECK(later.decision == Selection::Decision::check_health);
     request.on_demand_check = {later.endpoint, kStart + 301ms, 1};
     later.endpoint->health_check.record_sent(kStart + 301ms);
-    CHECK(selector.select(request, Time{}, kStart + 302ms).kind == Selection::Kind::wait);
+    CHECK(selector.select(request, Time{}, kStart + 302ms).decision == Selection::Decision::wait);
 }
 
 TEST_CASE("a session read goes to a replica that has reached its token, else to the primary") {
--- a/tests/policy/replication_state_test.cpp
+++ b/tests/policy/replication_state_test.cpp
@@ -31,22 +31,22 @@
 TEST_CASE("only a fresh report proves that an endpoint is behind") {
     ReplicationState state;
     state.record_position(kStart - 1s, kStart);
-    CHECK(state.surely_behind(500ms, kStart));
-    CHECK_FALSE(state.surely_behind(600ms, kStart));
-    CHECK_FALSE(state.surely_behind(500ms, kStart + 400ms));
-    CHECK(state.falls_short(kStart, kStart));
-    CHECK_FALSE(state.falls_short(kStart - 950ms, kStart));
-    CHECK_FALSE(state.falls_short(kStart, kStart + 400ms));
+    CHECK(state.is_surely_behind(500ms, kStart));
+    CHECK_FALSE(state.is_surely_behind(600ms, kStart));
+    CHECK_FALSE(state.is_surely_behind(500ms, kStart + 400ms));
+    CHECK(state.will_miss(kStart, kStart));
+    CHECK_FALSE(state.will_miss(kStart - 950ms, kStart));
+    CHECK_FALSE(state.will_miss(kStart, kStart + 400ms));
 }
 
 TEST_CASE("an endpoint that checks is expected to have what it lagged by, or to have caught up") {
     ReplicationState state;
-    CHECK_FALSE(expected_to_have(state, std::nullopt, kStart, 0ms, kStart));
-    CHECK(expected_to_have(state, kStart - 10s, kStart, 0ms, kStart));
-    CHECK_FALSE(expected_to_have(state, kStart - 1s, kStart, 0ms, kStart));
+    CHECK_FALSE(is_expected_to_have(state, std::nullopt, kStart, 0ms, kStart));
+    CHECK(is_expected_to_have(state, kStart - 10s, kStart, 0ms, kStart));
+    CHECK_FALSE(is_expected_to_have(state, kStart - 1s, kStart, 0ms, kStart));
     state.record_position(kStart - 1s, kStart);
-    CHECK(expected_to_have(state, std::nullopt, kStart - 1s, 0ms, kStart));
-    CHECK_FALSE(expected_to_have(state, std::nullopt, kStart, 0ms, kStart));
-    CHECK_FALSE(expected_to_have(state, std::nullopt, kStart, 300ms, kStart + 999ms));
-    CHECK(expected_to_have(state, std::nullopt, kStart, 300ms, kStart + 1s));
+    CHECK(is_expected_to_have(state, std::nullopt, kStart - 1s, 0ms, kStart));
+    CHECK_FALSE(is_expected_to_have(state, std::nullopt, kStart, 0ms, kStart));
+    CHECK_FALSE(is_expected_to_have(state, std::nullopt, kStart, 300ms, kStart + 999ms));
+    CHECK(is_expected_to_have(state, std::nullopt, kStart, 300ms, kStart + 1s));
 }
--- a/tests/policy/request_state_test.cpp
+++ b/tests/policy/request_state_test.cpp
@@ -32,11 +32,11 @@
     CHECK_FALSE(request.start_response());
     request.start_attempt(endpoint, kStart);
     CHECK(request.start_response());
-    CHECK(request.response_started());
+    CHECK(request.has_response_started());
     CHECK_FALSE(request.start_response());
     CHECK(request.attempts_in_flight() == 1);
     request.end_attempt(0, Execution::ran);
-    CHECK_FALSE(request.response_started());
+    CHECK_FALSE(request.has_response_started());
     CHECK_FALSE(request.start_response());
 }
 
--- a/tests/policy/routing_policy_selection_test.cpp
+++ b/tests/policy/routing_policy_selection_test.cpp
@@ -242,7 +242,7 @@
 TEST(LargeFleet, ReadsOfAFleetThatKnowsNothingDoNotGatherOnTheFirstOfTheList) {
     std::set<EndpointId> seen;
     for (std::uint64_t seed = 0; seed < 40; ++seed) {
-        EmulatedPooler pooler(checked_without_probes(), seed);
+        EmulatedPooler pooler(settings_without_health_checks(), seed);
         pooler.apply_list(EndpointListKind::full, {EmulatedPooler::entry(0), EmulatedPooler::entry(1),
                                                    EmulatedPooler::entry(2), EmulatedPooler::entry(3)});
         seen.insert(pooler.target(pooler.request(kBounded)));
@@ -252,7 +252,7 @@
 
 // Misses keep a replica that lags from catching up.
 TEST(LargeFleet, AReplicaThatMissedIsLeftToCatchUp) {
-    EmulatedPooler pooler(checked_without_probes());
+    EmulatedPooler pooler(settings_without_health_checks());
     pooler.add_group(2);
     RequestId first = pooler.request(kBounded);
     ASSERT_EQ(pooler.target(first), EndpointId{1});
@@ -266,7 +266,7 @@
 }
 
 TEST(LargeFleet, ANewReplicaGetsItsPartOfBoundedReadsBeforeItsFirstReport) {
-    EmulatedPooler pooler(checked_without_probes());
+    EmulatedPooler pooler(settings_without_health_checks());
     pooler.add_group(3);
     for (std::uint32_t m : {1, 2})
         pooler.feed(HealthCheckResult{EndpointId{m}, AttemptStatus::ok, 1ms,
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -28,9 +28,9 @@
 }
 
 TEST_CASE("the share grows linearly, and stays below what would overload the endpoint") {
-    CHECK(ready_share(kStart, ramp_settings(), kStart) == doctest::Approx(0.56 * 2 * 0.2));
-    CHECK(ready_share(kStart, ramp_settings(), kStart + 5s) == doctest::Approx(0.56 * 2 * 0.6));
-    CHECK(ready_share(kStart, ramp_settings(), kStart - 1s) == doctest::Approx(0.56 * 2 * 0.2));
+    CHECK(available_share(kStart, ramp_settings(), kStart) == doctest::Approx(0.56 * 2 * 0.2));
+    CHECK(available_share(kStart, ramp_settings(), kStart + 5s) == doctest::Approx(0.56 * 2 * 0.6));
+    CHECK(available_share(kStart, ramp_settings(), kStart - 1s) == doctest::Approx(0.56 * 2 * 0.2));
 }
 
 TEST_CASE("an endpoint in slow start has capacity for the requests whose draw lies under its share") {
@@ -46,7 +46,7 @@
     CHECK(has_capacity(replica, {group, &primary, 2}, read, ramp_settings(), kStart));
     // Drawn alone, a replica gets no more than its part of the group's reads.
     CHECK_FALSE(has_capacity(replica, {group, &primary, 1}, read, ramp_settings(), kStart));
-    write.draw = 0.23;
+    write.slow_start_draw = 0.23;
     CHECK_FALSE(has_capacity(primary, {group, &primary, 1}, write, ramp_settings(), kStart));
     CHECK(has_capacity(primary, {group, &primary, 1}, write, ramp_settings(), kStart + 5s));
 }
