--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -59,9 +59,9 @@
     settings.fleet_size = options.poolers;
     settings.endpoint_list_mode = options.list_calls_per_second > 0 ? policy::EndpointListMode::polled
                                                                     : policy::EndpointListMode::pushed;
-    settings.health_checks = true;
-    settings.cancels = true;
-    settings.retry_after = true;
+    settings.may_check_health = true;
+    settings.may_cancel_attempts = true;
+    settings.may_send_retry_after = true;
     settings.hedging = options.hedging;
     settings.max_retry_after = 2s;
     settings.max_attempts = 10;
--- a/src/policy/actions.hpp
+++ b/src/policy/actions.hpp
@@ -14,9 +14,10 @@
 struct SendAttempt {
     RequestId id{};
     EndpointId endpoint{};
-    std::optional<Duration> timeout;  ///< none: until the client gives up
-    std::optional<Time> needs{};      ///< of a read: the position that its data must have reached
-    std::optional<Duration> start{};  ///< to be on a connection by then; else it ends as `not_started`
+    std::optional<Duration> timeout;          ///< none: until the client gives up
+    std::optional<Time> required_position{};  ///< of a read: the position that its data must have reached
+    std::optional<Duration>
+        start_timeout{};  ///< to be on a connection by then; else it ends as `not_started`
 };
 
 struct CancelAttempt {
@@ -28,13 +29,13 @@
 struct RejectRequest {
     RequestId id{};
     std::optional<Duration> retry_after;
-    bool deadline = false;  ///< because its time is up
+    bool is_past_deadline = false;  ///< because its time is up
 };
 
 /// Final; promises nothing: the statement may have run.
 struct FailRequest {
     RequestId id{};
-    bool deadline = false;  ///< because its time is up
+    bool is_past_deadline = false;  ///< because its time is up
 };
 
 struct CheckHealth {
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -80,7 +80,7 @@
 }
 
 std::optional<Duration> retry_after(const Settings& settings) {
-    if (!settings.retry_after.value_or(false)) return std::nullopt;
+    if (!settings.may_send_retry_after.value_or(false)) return std::nullopt;
     return std::min(kRetryAfter, settings.max_retry_after.value_or(kRetryAfter));
 }
 
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -6,7 +6,7 @@
 // serve waits for about half of its client's time (the gap of a primary change lasts seconds), so that its
 // client has time left to come again.
 //
-// Source: docs/design.md, "Holding and refusing". Settings read: Settings::retry_after, max_retry_after.
+// Source: docs/design.md, "Holding and refusing". Settings read: Settings::may_send_retry_after, max_retry_after.
 #pragma once
 
 #include <optional>
--- a/src/policy/engine.cpp
+++ b/src/policy/engine.cpp
@@ -162,9 +162,9 @@
 void Engine::on_event(const SettingsChanged& change) {
     auto classes_before = std::exchange(classes_, {});
     apply_settings(change.settings);
-    for (std::size_t i = 0; i < std::min(classes_.size(), change.continues.size()); ++i) {
-        if (!change.continues[i]) continue;
-        auto before = std::size_t(*change.continues[i]);
+    for (std::size_t i = 0; i < std::min(classes_.size(), change.previous_classes.size()); ++i) {
+        if (!change.previous_classes[i]) continue;
+        auto before = std::size_t(*change.previous_classes[i]);
         if (before < classes_before.size())
             classes_[i]->usual_latency_ms = classes_before[before]->usual_latency_ms;
     }
--- a/src/policy/engine_requests.cpp
+++ b/src/policy/engine_requests.cpp
@@ -81,7 +81,7 @@
 void Engine::complete_attempt(ReplicaGroup& group, Request& request, const AttemptOutcome& outcome) {
     request.end_attempt(outcome.attempt, outcome.execution());
     remember_write(request, outcome);
-    if (outcome.finished || request.phase() == Request::Phase::finished) return finish(request);
+    if (outcome.is_request_finished || request.phase() == Request::Phase::finished) return finish(request);
     if (request.attempts_in_flight() > 0) return;
     if (may_retry(request, now_))
         enqueue(group, request);
@@ -97,7 +97,7 @@
         !endpoints_check_staleness(settings_) && !ok && outcome.execution() != Execution::never_ran;
     if (unresolved)
         session_tokens_.remember(*request.session, now_, now_);
-    else if (outcome.finished && ok && outcome.position)
+    else if (outcome.is_request_finished && ok && outcome.position)
         session_tokens_.remember(*request.session, *outcome.position, now_);
 }
 
@@ -125,7 +125,7 @@
 
 /// Nobody waits for their answers any more.
 void Engine::cancel_attempts(const Request& request) {
-    if (!settings_.cancels.value_or(false)) return;
+    if (!settings_.may_cancel_attempts.value_or(false)) return;
     std::uint32_t number = 0;
     for (const Attempt& attempt : request.attempts()) {
         if (attempt.is_in_flight()) append_action(CancelAttempt{request.id, number});
--- a/src/policy/events.hpp
+++ b/src/policy/events.hpp
@@ -59,7 +59,7 @@
     EndpointId endpoint{};
     AttemptStatus status{};
     Duration latency{};
-    bool finished = false;  ///< the request has its final answer
+    bool is_request_finished = false;  ///< the request has its final answer
     std::optional<Role> role;
     std::optional<Time> position;  ///< for a write that went through: its commit
     LoadReport report;
@@ -97,7 +97,7 @@
 struct SettingsChanged {
     Settings settings;
     std::vector<std::optional<ClassId>>
-        continues;  ///< by class: the one before whose experience it takes over
+        previous_classes;  ///< by class: the one before whose experience it takes over
 };
 
 /// Sessions' last commits, the oldest first, as another process of the same pooler knows them.
--- a/src/policy/outlier_ejection.hpp
+++ b/src/policy/outlier_ejection.hpp
@@ -7,7 +7,7 @@
 // is a trial only late.
 //
 // The pause after a rejection is another matter: rejection_backoff.hpp.
-// Source: docs/design.md. Settings read: Settings::health_checks, by the caller of admits_request.
+// Source: docs/design.md. Settings read: Settings::may_check_health, by the caller of admits_request.
 #pragma once
 
 #include "policy/attempt_status.hpp"
--- a/src/policy/replica_selection.cpp
+++ b/src/policy/replica_selection.cpp
@@ -100,9 +100,8 @@
     std::vector<Endpoint*> uncertain;
     for (Endpoint* endpoint : candidates) {
         const ReplicationState& replication = endpoint->replication;
-        bool lags =
-            replication.is_surely_behind(request_.request_class->staleness_bound, context_.now) ||
-            (endpoints_check_positions && replication.position);
+        bool lags = replication.is_surely_behind(request_.request_class->staleness_bound, context_.now) ||
+                    (endpoints_check_positions && replication.position);
         if (!is_bounded_read || !lags) uncertain.push_back(endpoint);
     }
     bool is_awaiting_first_checks = context_.now < *group_.first_used + kMaxFirstUseWait;
--- a/src/policy/replica_selection.hpp
+++ b/src/policy/replica_selection.hpp
@@ -14,7 +14,7 @@
 //    those that can be reached stay in.
 //
 // Source: "Reading from MongoDB Replica Sets with PyMongo"; docs/design.md.
-// Settings read: Settings::health_checks, staleness_check, those of slow_start.hpp, and bound of the class.
+// Settings read: Settings::may_check_health, staleness_check, those of slow_start.hpp, and bound of the class.
 #pragma once
 
 #include <optional>
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -30,11 +30,11 @@
     std::vector<ClassSettings> classes;                  ///< by ClassId
     std::optional<std::uint32_t> fleet_size;             ///< poolers that send to the same endpoints; 1
     std::optional<EndpointListMode> endpoint_list_mode;  ///< pushed
-    std::optional<bool> removal_binds;  ///< false: an endpoint removed undrained may still be used; true
-    std::optional<bool> health_checks;  ///< health checks are allowed; false
-    std::optional<bool> cancels;        ///< attempts may be cancelled; false
-    std::optional<bool> hedging;        ///< hedged requests are allowed; none are sent
-    std::optional<bool> retry_after;    ///< a rejection may carry a Retry-After; false
+    std::optional<bool> removal_binds;     ///< false: an endpoint removed undrained may still be used; true
+    std::optional<bool> may_check_health;  ///< health checks are allowed; false
+    std::optional<bool> may_cancel_attempts;        ///< attempts may be cancelled; false
+    std::optional<bool> hedging;                    ///< hedged requests are allowed; none are sent
+    std::optional<bool> may_send_retry_after;       ///< a rejection may carry a Retry-After; false
     std::optional<Duration> max_retry_after;        ///< its upper limit
     std::optional<std::uint32_t> max_attempts;      ///< per request; 2
     std::optional<TokenSource> token_source;        ///< carried
@@ -47,7 +47,7 @@
 };
 
 inline bool health_checks_allowed(const Settings& settings) {
-    return settings.health_checks.value_or(false);
+    return settings.may_check_health.value_or(false);
 }
 
 /// Endpoints check by themselves whether they are too far behind for a read.
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -50,7 +50,7 @@
     if (statements.open && config.members == Wire::rest)
         throw ConfigError(path, "open: members that speak REST can't be sent open statements");
     statements.analyzer_options.seed = config.seed ^ kStatementSeedMask;
-    statements.limits.retry_after = config.settings.retry_after.value_or(false);
+    statements.limits.retry_after = config.settings.may_send_retry_after.value_or(false);
     if (auto longest = config.settings.max_retry_after)
         statements.limits.max_retry_after =
             std::min<limits::Duration>(statements.limits.max_retry_after, *longest);
--- a/src/routing/attempt_dispatcher.cpp
+++ b/src/routing/attempt_dispatcher.cpp
@@ -14,7 +14,8 @@
     task.number = std::uint32_t(pending.attempts.size());
     task.sent = core_.clock.now();
     task.deadline = send.timeout ? std::min(pending.deadline, task.sent + *send.timeout) : pending.deadline;
-    if (send.needs) task.required_position_unix_ms = core_.clock.to_unix(*send.needs) / kMicrosPerMilli;
+    if (send.required_position)
+        task.required_position_unix_ms = core_.clock.to_unix(*send.required_position) / kMicrosPerMilli;
     return task;
 }
 
@@ -48,7 +49,8 @@
         core_.outcomes.task_ended(send.endpoint, task, result_without_answer(status));
         return;
     }
-    if (send.start && *send.start > Duration::zero()) task.start_by = task.sent + *send.start;
+    if (send.start_timeout && *send.start_timeout > Duration::zero())
+        task.start_by = task.sent + *send.start_timeout;
     submit(*endpoint, send.endpoint, task);
 }
 
--- a/src/routing/attempt_outcomes.cpp
+++ b/src/routing/attempt_outcomes.cpp
@@ -124,7 +124,7 @@
     event.endpoint = outcome.endpoint;
     event.status = result.status;
     event.latency = outcome.latency();
-    event.finished = !pending.responder;
+    event.is_request_finished = !pending.responder;
     event.role = result.role;
     if (result.position_unix_us) event.position = core_.clock.from_unix(*result.position_unix_us);
     event.report = outcome.report;
--- a/src/routing/core.cpp
+++ b/src/routing/core.cpp
@@ -122,7 +122,7 @@
 
 void Core::watch_sites(const site::Settings& settings, std::vector<site::Demand> classes,
                        std::uint64_t seed) {
-    site::FleetContext fleet{settings_.fleet_size.value_or(1), settings_.health_checks.value_or(false),
+    site::FleetContext fleet{settings_.fleet_size.value_or(1), settings_.may_check_health.value_or(false),
                              std::move(classes)};
     if (sites_) return sites_->set(settings, std::move(fleet));
     sites_ = std::make_unique<SiteController>(settings, std::move(fleet), seed);
@@ -205,13 +205,14 @@
             [&](const SendAttempt& send) { dispatcher_.send(send); },
             [&](const CancelAttempt& cancel) { dispatcher_.cancel(cancel); },
             [&](const RejectRequest& reject) {
-                completion_.end(reject.id, {FinalError::Kind::rejected, reject.deadline, reject.retry_after},
-                                reason(reject.deadline, "no host could take it in time"));
+                completion_.end(reject.id,
+                                {FinalError::Kind::rejected, reject.is_past_deadline, reject.retry_after},
+                                reason(reject.is_past_deadline, "no host could take it in time"));
             },
             [&](const FailRequest& fail) {
-                completion_.end(
-                    fail.id, {FinalError::Kind::failed, fail.deadline, std::nullopt},
-                    reason(fail.deadline, "it may have run, and its class allows no further attempt"));
+                completion_.end(fail.id, {FinalError::Kind::failed, fail.is_past_deadline, std::nullopt},
+                                reason(fail.is_past_deadline,
+                                       "it may have run, and its class allows no further attempt"));
             },
             [&](const CheckHealth& check) { dispatcher_.check_health(check.endpoint); },
             [&](const SetTimer& timer) { timers_.add(clock_.now() + timer.delay, PolicyTimer{timer.id}); },
--- a/src/routing/request_completion.cpp
+++ b/src/routing/request_completion.cpp
@@ -67,7 +67,7 @@
     if (RequestGuard::is_rejection_harmless(pending->retry_rule, pending->attempts)) {
         ending.kind = FinalError::Kind::rejected;
         Duration retry_after = sites_->retry_after();
-        if (settings_.retry_after.value_or(false))
+        if (settings_.may_send_retry_after.value_or(false))
             ending.retry_after = std::min(retry_after, settings_.max_retry_after.value_or(retry_after));
     }
     end(id, ending, "its site is given up, or its retry budget spent");
--- a/src/simulator/codec.cpp
+++ b/src/simulator/codec.cpp
@@ -193,10 +193,10 @@
     settings.fleet_size = count32(line, kFleetSize);
     settings.endpoint_list_mode = named_value(line, kEndpointListMode, kEndpointListModeNames);
     if (auto not_binding = flag(line, kRemovalDoesNotBind)) settings.removal_binds = !*not_binding;
-    settings.health_checks = flag(line, kHealthChecks);
-    settings.cancels = flag(line, kCancels);
+    settings.may_check_health = flag(line, kHealthChecks);
+    settings.may_cancel_attempts = flag(line, kCancels);
     settings.hedging = flag(line, kHedging);
-    settings.retry_after = flag(line, kRetryAfter);
+    settings.may_send_retry_after = flag(line, kRetryAfter);
     settings.max_retry_after = duration(line, kMaxRetryAfter);
     settings.max_attempts = count32(line, kAttempts);
     settings.token_source = named_value(line, kTokenSource, kTokenSourceNames);
@@ -254,7 +254,7 @@
     outcome.endpoint = names.id_of(line.require(fields::kEndpoint));
     outcome.status = read_status(line);
     outcome.latency = duration(line, fields::kLatency).value_or(Duration::zero());
-    outcome.finished = flag(line, fields::kFinished).value_or(false);
+    outcome.is_request_finished = flag(line, fields::kFinished).value_or(false);
     if (auto text = line.find(fields::kPositionAndRole)) {
         std::uint64_t position_and_role = to_count(*text);
         std::uint64_t role = position_and_role % kRoleRange;
--- a/tests/adapters/session_consistency_test.cpp
+++ b/tests/adapters/session_consistency_test.cpp
@@ -56,7 +56,7 @@
     FakeBackend backend;
     NullLogger logger;
     auto without_checks = settings();
-    without_checks.health_checks = false;
+    without_checks.may_check_health = false;
     without_checks.staleness_check = policy::StalenessCheck::none;
     routing::Core core(driver, clock, without_checks, 3, {}, backend, logger);
     core.apply_endpoint_list(policy::EndpointListKind::full, primary_and_replica());
@@ -133,7 +133,7 @@
         outcome.endpoint = policy::EndpointId{endpoint};
         outcome.status = status;
         outcome.attempt = attempt;
-        outcome.finished = status == policy::AttemptStatus::ok;
+        outcome.is_request_finished = status == policy::AttemptStatus::ok;
         outcome.position = commit;
         run(outcome);
     }
@@ -158,7 +158,7 @@
         rig.request(3, 1);
         REQUIRE(rig.sent());
         CHECK(rig.sent()->endpoint == EndpointId{1});
-        CHECK(rig.sent()->needs == rig.now);
+        CHECK(rig.sent()->required_position == rig.now);
         rig.now += 10ms;
         rig.finish(2, 1, answered ? AttemptStatus::ok : AttemptStatus::timeout, 0, rig.now - 150ms);
         rig.report_lag(5ms);
@@ -212,7 +212,7 @@
         rig.finish(1, 1, ran ? AttemptStatus::error : AttemptStatus::miss);
         for (int i = 0; i < 3 && !rig.sent(); ++i) rig.run(policy::TimerExpired{policy::TimerId{0}});
         REQUIRE(rig.sent());
-        CHECK((rig.now + *rig.sent()->start <= first + 300ms) == ran);
+        CHECK((rig.now + *rig.sent()->start_timeout <= first + 300ms) == ran);
     }
 }
 
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -67,7 +67,7 @@
 TEST_CASE("a rejection advises a Retry-After where that is allowed, and within its limit") {
     Settings settings;
     CHECK_FALSE(retry_after(settings));
-    settings.retry_after = true;
+    settings.may_send_retry_after = true;
     CHECK(retry_after(settings) == Duration(250ms));
     settings.max_retry_after = 100ms;
     CHECK(retry_after(settings) == Duration(100ms));
--- a/tests/policy/emulated_pooler.hpp
+++ b/tests/policy/emulated_pooler.hpp
@@ -49,10 +49,10 @@
     add(Consistency::fresh, Idempotency::idempotent, 400ms, 1s);
     settings.fleet_size = 1;
     settings.endpoint_list_mode = EndpointListMode::pushed;
-    settings.health_checks = true;
-    settings.cancels = true;
+    settings.may_check_health = true;
+    settings.may_cancel_attempts = true;
     settings.hedging = false;
-    settings.retry_after = true;
+    settings.may_send_retry_after = true;
     settings.max_retry_after = 1s;
     settings.max_attempts = 6;
     settings.token_source = TokenSource::carried;
@@ -67,7 +67,7 @@
 /// Endpoints check reads themselves, and nothing but answers tells of them.
 inline Settings settings_without_health_checks() {
     Settings settings = usual_settings();
-    settings.health_checks = false;
+    settings.may_check_health = false;
     settings.staleness_check = StalenessCheck::wait;
     settings.classes[kBounded].staleness_bound = 3s;
     return settings;
--- a/tests/policy/link_example.cpp
+++ b/tests/policy/link_example.cpp
@@ -9,7 +9,7 @@
 TEST(LinkExample, AProxyServesARead) {
     Settings settings;
     settings.fleet_size = 1;
-    settings.health_checks = true;
+    settings.may_check_health = true;
     ClassSettings lookups;
     lookups.consistency = Consistency::any;
     lookups.idempotency = Idempotency::idempotent;
--- a/tests/policy/replica_selection_test.cpp
+++ b/tests/policy/replica_selection_test.cpp
@@ -12,7 +12,7 @@
 /// A group of a primary and two replicas with positions as of kStart; time is kStart.
 struct Selector {
     Selector() {
-        settings.health_checks = true;
+        settings.may_check_health = true;
         for (Endpoint* endpoint : group().endpoints) endpoint->replication.record_position(kStart, kStart);
     }
     ReplicaGroup& group() { return *table.find_group(GroupId{1}); }
@@ -86,7 +86,7 @@
 
 TEST_CASE("a session read goes to a replica that has reached its token, else to the primary") {
     Selector selector;
-    selector.settings.health_checks = false;
+    selector.settings.may_check_health = false;
     Request request = make_request(class_settings(Consistency::session));
     CHECK(selector.select(request, kStart).endpoint != &selector.endpoint(0));
     CHECK(selector.select(request, kStart + 1ms).endpoint == &selector.endpoint(0));
--- a/tests/policy/routing_policy_requests_test.cpp
+++ b/tests/policy/routing_policy_requests_test.cpp
@@ -11,7 +11,7 @@
 
 TEST(Admission, NoRetryAfterWhereClientsGetNone) {
     Settings settings = usual_settings();
-    settings.retry_after = false;
+    settings.may_send_retry_after = false;
     EmulatedPooler pooler(settings);
     RequestId id = pooler.request(kAny, 1s);
     pooler.advance(1s);
--- a/tests/policy/routing_policy_selection_test.cpp
+++ b/tests/policy/routing_policy_selection_test.cpp
@@ -162,7 +162,7 @@
 TEST(SessionReads, GoToTheReplicaWhoseLagWasShortest) {
     Settings settings = usual_settings();
     settings.staleness_check = StalenessCheck::wait;
-    settings.health_checks = false;
+    settings.may_check_health = false;
     auto target = [&](Duration first, Duration since, Duration second, Duration age, std::uint64_t seed) {
         EmulatedPooler pooler(settings, seed);
         pooler.add_group(3);
@@ -185,7 +185,7 @@
 
 TEST(BoundedStaleness, PositionsAreNeverExtrapolated) {
     Settings settings = usual_settings();
-    settings.health_checks = false;  // nothing refreshes what is known
+    settings.may_check_health = false;  // nothing refreshes what is known
     EmulatedPooler pooler(settings);
     pooler.apply_list(EndpointListKind::full, {EmulatedPooler::entry(0), EmulatedPooler::entry(1)});
     RequestId first = pooler.request(kAny);
--- a/tests/program/services_test.cpp
+++ b/tests/program/services_test.cpp
@@ -282,7 +282,7 @@
             if (auto* r = std::get_if<RejectRequest>(&a)) {
                 refused = now - Time(100s);
                 CHECK(r->retry_after);
-                CHECK(!r->deadline);
+                CHECK(!r->is_past_deadline);
             }
     }
     CHECK(refused == Duration(450ms));
@@ -318,7 +318,7 @@
         backend.opened.clear();
         clock.at = policy::Time(100s);
         auto s = settings();
-        s.health_checks = false;
+        s.may_check_health = false;
         s.classes[request_class].latency_objective = 200ms;
         NullLogger logger;
         routing::Core core(driver, clock, s, 3, {}, backend, logger);
@@ -403,7 +403,7 @@
                     cold += send->endpoint == EndpointId{2};
                     AttemptOutcome o;
                     o.id = q.id, o.endpoint = send->endpoint, o.status = AttemptStatus::ok, o.latency = 10ms,
-                    o.finished = true;
+                    o.is_request_finished = true;
                     run(o);
                 }
         }
@@ -476,7 +476,7 @@
         run(q);
         now += 50ms;
         AttemptOutcome o;
-        o.id = q.id, o.endpoint = EndpointId{1}, o.status = AttemptStatus::ok, o.finished = true,
+        o.id = q.id, o.endpoint = EndpointId{1}, o.status = AttemptStatus::ok, o.is_request_finished = true,
         o.role = Role::primary;
         o.position = now;  // the commit
         run(o);
@@ -509,7 +509,7 @@
         run(q);
         return std::any_of(actions.begin(), actions.end(), [](const Action& a) {
             auto* r = std::get_if<RejectRequest>(&a);
-            return r && r->retry_after && !r->deadline;
+            return r && r->retry_after && !r->is_past_deadline;
         });
     };
     EndpointList list{EndpointListKind::full, {}};
@@ -545,7 +545,7 @@
         q.session = SessionKey{id};
         run(q);
         AttemptOutcome o;
-        o.id = q.id, o.endpoint = EndpointId{1}, o.status = AttemptStatus::ok, o.finished = true,
+        o.id = q.id, o.endpoint = EndpointId{1}, o.status = AttemptStatus::ok, o.is_request_finished = true,
         o.role = Role::primary;
         o.position = now;
         run(o);
@@ -559,7 +559,7 @@
         q.session = SessionKey{id};
         run(q);
         for (const Action& a : actions)
-            if (auto* sent = std::get_if<SendAttempt>(&a)) return sent->needs;
+            if (auto* sent = std::get_if<SendAttempt>(&a)) return sent->required_position;
         FAIL("not sent");
         return std::optional<Time>();
     };
--- a/tests/simulator/codec_test.cpp
+++ b/tests/simulator/codec_test.cpp
@@ -90,7 +90,7 @@
                      PositionOrigin{1000000}, names);
     EXPECT_EQ(o.attempt, 2u);
     EXPECT_EQ(o.status, AttemptStatus::ok);
-    EXPECT_TRUE(o.finished);
+    EXPECT_TRUE(o.is_request_finished);
     EXPECT_EQ(o.role, Role::replica);
     EXPECT_EQ(o.position, Time(1000000us + 6371ms));
     EXPECT_EQ(o.report.position, Time(1000000us + 1500ms));
--- a/tests/support/decision_recording.hpp
+++ b/tests/support/decision_recording.hpp
@@ -298,8 +298,8 @@
         if (!client.response_started && (unlucky || random_.one_in(options_.fault_one_in)))
             outcome.status = random_fault();
         outcome.latency = now_ - attempt.sent;
-        outcome.finished = client.answered || outcome.status == policy::AttemptStatus::ok;
-        if (outcome.finished) client.answered = true;
+        outcome.is_request_finished = client.answered || outcome.status == policy::AttemptStatus::ok;
+        if (outcome.is_request_finished) client.answered = true;
         if (random_.one_in(3)) {
             outcome.role = host.primary ? policy::Role::primary : policy::Role::replica;
             outcome.position = position_of(host);
@@ -310,7 +310,7 @@
         if (options_.fault_one_in > 0 && random_.one_in(120))
             hosts_[attempt.host].faulty_until_event = int(events_) + 60;
         line("O %" PRIu64 " %u %u %d %lld %d", id, number, attempt.host, int(outcome.status),
-             count(outcome.latency), int(outcome.finished));
+             count(outcome.latency), int(outcome.is_request_finished));
         feed(outcome);
     }
 
@@ -353,8 +353,8 @@
         policy::SettingsChanged change;
         change.settings = options_.later;
         for (std::uint32_t i = 0; i < options_.later.classes.size(); ++i)
-            change.continues.push_back(i % 2 ? std::nullopt
-                                             : std::optional<policy::ClassId>(policy::ClassId{i}));
+            change.previous_classes.push_back(i % 2 ? std::nullopt
+                                                    : std::optional<policy::ClassId>(policy::ClassId{i}));
         line("S");
         feed(change);
         policy::SessionTokens tokens;
@@ -382,8 +382,8 @@
         std::uint32_t number = std::uint32_t(client.attempts.size());
         client.attempts.push_back({index, now_});
         line("> %" PRIu64 " %u %lld %lld %lld", id, index, send.timeout ? count(*send.timeout) : -1LL,
-             send.needs ? count(send.needs->time_since_epoch()) : -1LL,
-             send.start ? count(*send.start) : -1LL);
+             send.required_position ? count(send.required_position->time_since_epoch()) : -1LL,
+             send.start_timeout ? count(*send.start_timeout) : -1LL);
         const Host& host = hosts_[index];
         Duration took = host.latency + Duration(std::int64_t(random_.below(60000)));
         if (host.faulty_until_event > int(events_)) took += 400ms;
@@ -395,11 +395,11 @@
     }
     void carry_out(const policy::RejectRequest& refuse) {
         line("r %" PRIu64 " %lld %d", std::uint64_t(refuse.id),
-             refuse.retry_after ? count(*refuse.retry_after) : -1LL, int(refuse.deadline));
+             refuse.retry_after ? count(*refuse.retry_after) : -1LL, int(refuse.is_past_deadline));
         clients_[std::uint64_t(refuse.id)].answered = true;
     }
     void carry_out(const policy::FailRequest& fail) {
-        line("f %" PRIu64 " %d", std::uint64_t(fail.id), int(fail.deadline));
+        line("f %" PRIu64 " %d", std::uint64_t(fail.id), int(fail.is_past_deadline));
         clients_[std::uint64_t(fail.id)].answered = true;
     }
     void carry_out(const policy::CheckHealth& probe) {
--- a/tests/support/decision_recordings.hpp
+++ b/tests/support/decision_recordings.hpp
@@ -41,10 +41,10 @@
     settings.fleet_size = 30;
     settings.endpoint_list_mode = policy::EndpointListMode::pushed;
     settings.removal_binds = true;
-    settings.health_checks = true;
-    settings.cancels = true;
+    settings.may_check_health = true;
+    settings.may_cancel_attempts = true;
     settings.hedging = false;
-    settings.retry_after = true;
+    settings.may_send_retry_after = true;
     settings.max_retry_after = 200ms;
     settings.max_attempts = 4;
     settings.token_source = policy::TokenSource::remembered;
@@ -69,10 +69,10 @@
     settings.fleet_size = 300;
     settings.endpoint_list_mode = policy::EndpointListMode::polled;
     settings.removal_binds = false;
-    settings.health_checks = true;
-    settings.cancels = false;
+    settings.may_check_health = true;
+    settings.may_cancel_attempts = false;
     settings.hedging = true;
-    settings.retry_after = false;
+    settings.may_send_retry_after = false;
     settings.max_attempts = 6;
     settings.token_source = policy::TokenSource::carried;
     settings.staleness_check = policy::StalenessCheck::wait;
--- a/tests/support/settings.hpp
+++ b/tests/support/settings.hpp
@@ -13,9 +13,9 @@
 inline policy::Settings settings() {
     policy::Settings settings;
     settings.fleet_size = 1;
-    settings.health_checks = true;
-    settings.cancels = true;
-    settings.retry_after = true;
+    settings.may_check_health = true;
+    settings.may_cancel_attempts = true;
+    settings.may_send_retry_after = true;
     settings.max_attempts = 10;
     settings.max_retry_after = 1s;
     settings.token_source = policy::TokenSource::remembered;
