--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -24,7 +24,8 @@
 /// may just take long.
 constexpr int kMinUnresponsiveInFlight = 2;
 
-/// A request that is not idempotent may be a trial only this long after the ejection.
+/// A request of a class that is not `idempotent`, even one with an idempotency key, may be a trial only this
+/// long after the ejection.
 constexpr Duration kNonIdempotentTrialDelay = seconds(2);
 
 /// Whether the status shows that the endpoint itself has answered.
--- a/src/policy/outlier_ejection.hpp
+++ b/src/policy/outlier_ejection.hpp
@@ -1,11 +1,11 @@
 // Outlier ejection: when an endpoint gets no more requests, and when it is tried again.
 //
-// An endpoint is ejected when it is unreachable, when more than half of its recent answers are errors
-// or broken connections, or when it has requests in flight and answers none of them. After a pause, one
-// request is sent to it as a trial; the pause doubles with each trial. Any answer readmits the
-// endpoint, but one ejected for errors needs a success. Where health checks are allowed, they are the
-// trials of an unreachable endpoint, so that no request is at risk. A request that is not idempotent is
-// used as a trial only after a longer delay.
+// An endpoint is ejected when it is unreachable, when more than half of its recent answers are errors or
+// broken connections, or when it has requests in flight and answers none of them. After a pause, one request
+// is sent to it as a trial; the pause doubles with each trial. Any answer readmits the endpoint, but one
+// ejected for errors needs a success. Where health checks are allowed, they are the trials of an unreachable
+// endpoint, so that no request is at risk. A request of a class that is not `idempotent`, even one with an
+// idempotency key, is used as a trial only after a longer delay.
 //
 // rejection_backoff.hpp handles the pause after a rejection.
 // Source: docs/design.md. Settings read: Settings::may_check_health, by the caller of admits_request.
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -12,11 +12,11 @@
     CHECK(should_admit(request, kStart));
     request.deadline = kStart + 60ms;
     CHECK(should_admit(request, kStart));
-    request.request_class->record_latency(20);  // the usual latency is 60 ms now
+    request.request_class->record_latency(20);  // the usual latency becomes 60 ms
     CHECK_FALSE(should_admit(request, kStart));
 }
 
-TEST_CASE("a request past its latency objective is admitted only where a late answer has worth") {
+TEST_CASE("a request past its latency objective is admitted only where a late answer has value") {
     Request request = make_request(class_settings(Consistency::any));
     request.latency_objective = kStart;
     CHECK_FALSE(should_admit(request, kStart));
@@ -24,7 +24,7 @@
     CHECK(should_admit(request, kStart));
 }
 
-TEST_CASE("a read is queued while it can meet its objective, and for 50 ms at least") {
+TEST_CASE("a read is queued while it can meet its latency objective, and for at least 50 ms") {
     Request read = make_request(class_settings(Consistency::any));
     read.request_class->usual_latency_ms = 20;
     CHECK(queue_deadline(read) == kStart + 320ms);
@@ -32,14 +32,15 @@
     CHECK(queue_deadline(read) == kStart + 50ms);
 }
 
-TEST_CASE("what only a primary can serve is queued for 45% of its client's time") {
+TEST_CASE("a request that needs the primary is queued for at most 45% of its client's timeout") {
     Request write = make_request(class_settings(Consistency::write));
     CHECK(queue_deadline(write) == kStart + 450ms);
     write.request_class->usual_latency_ms = 900;
     CHECK(queue_deadline(write) == kStart + 90ms);
 }
 
-TEST_CASE("an attempt must start in time to go elsewhere, and before the deduplication window ends") {
+TEST_CASE(
+    "an attempt must start early enough for another replica, and before the deduplication window ends") {
     Endpoint endpoint;
     CHECK(attempt_start_deadline(make_request(class_settings(Consistency::any)), kStart) == kStart + 100ms);
     ClassSettings with_key = class_settings(Consistency::write, Idempotency::idempotency_key);
@@ -50,7 +51,8 @@
     CHECK(attempt_start_deadline(write, kStart) == kStart + 180ms);
 }
 
-TEST_CASE("dispatch order: in time before late, then by weight for the time taken, then the newest") {
+TEST_CASE(
+    "dispatch order: requests in time before late ones, then by weight per usual latency, then the newest") {
     Request late = make_request(class_settings(Consistency::any));
     late.latency_objective = kStart;
     late.request_class->priority_weight = 9;
@@ -64,7 +66,7 @@
     CHECK(queue == std::vector<Request*>{&heavy, &newer, &older, &late});
 }
 
-TEST_CASE("a rejection advises a Retry-After where that is allowed, and within its limit") {
+TEST_CASE("a rejection has a Retry-After only where the settings allow it, and within their limit") {
     Settings settings;
     CHECK_FALSE(retry_after(settings));
     settings.may_send_retry_after = true;
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_CASE("the window grows by one an answer while answers are quick and the window is in use") {
+TEST_CASE("the window grows by one per answer while latency is low and the window is in use") {
     ConcurrencyLimit limit;
     CHECK(limit.window() == 6);
     limit.record_latency(sample(20ms, 2), kStart);
@@ -26,7 +26,7 @@
     CHECK(limit.window() == 64);
 }
 
-TEST_CASE("the window shrinks once for what was in flight together, and grows slowly after") {
+TEST_CASE("requests in flight together shrink the window once, and it grows slowly afterwards") {
     ConcurrencyLimit limit;
     limit.record_latency(sample(100ms, 2), kStart);
     limit.record_rejection(5, kStart);
@@ -37,7 +37,7 @@
     CHECK(limit.window() == doctest::Approx(4.2 + 1 / 4.2));
 }
 
-TEST_CASE("the window shrinks when answers take most of the latency objective, never below one") {
+TEST_CASE("the window shrinks while answers take most of the latency objective, but not below one") {
     ConcurrencyLimit limit;
     Time now = kStart;
     for (int i = 0; i < 100; ++i) limit.record_latency(sample(800ms, 0), now += 1s);
@@ -46,7 +46,7 @@
     CHECK_FALSE(limit.admits(1, 1));
 }
 
-TEST_CASE("a replica that lags with busy cores has its window cut, one with idle cores has not") {
+TEST_CASE("replication lag shrinks a replica's window while its cores are busy, not while they are idle") {
     LoadReport report;
     report.position = kStart - 250ms;
     report.cpu_utilization = 0.5;
@@ -60,7 +60,7 @@
     CHECK(limit.window() == doctest::Approx(4.8));
 }
 
-TEST_CASE("after a restart the window is two and grows fast") {
+TEST_CASE("after a restart the window is two and grows by one per answer") {
     ConcurrencyLimit limit;
     limit.restart();
     CHECK(limit.window() == 2);
--- a/tests/policy/emulated_pooler.hpp
+++ b/tests/policy/emulated_pooler.hpp
@@ -1,5 +1,5 @@
-// A pooler around one RoutingPolicy, for tests of the whole module: carries out the actions, expires the
-// timers and answers the health checks as `hosts` says.
+// An emulated pooler with one RoutingPolicy, for tests of the whole policy: it performs the actions, lets
+// timers expire and answers health checks as `hosts` says.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
 
 using namespace std::chrono_literals;
 
-// The classes of usual_settings(), by ClassId.
+// ClassIds of the classes in usual_settings().
 constexpr std::uint32_t kBounded = 0;
 constexpr std::uint32_t kSession = 1;
 constexpr std::uint32_t kAny = 2;
@@ -26,10 +26,10 @@
 
 constexpr EndpointId kPrimary{0};
 
-inline Settings usual_settings(Idempotency of_writes = Idempotency::not_idempotent) {
+inline Settings usual_settings(Idempotency write_idempotency = Idempotency::not_idempotent) {
     Settings settings;
-    auto add = [&](Consistency consistency, Idempotency idempotency, Duration latency_objective,
-                   Duration deadline) {
+    auto add_class = [&](Consistency consistency, Idempotency idempotency, Duration latency_objective,
+                         Duration deadline) {
         ClassSettings added;
         added.consistency = consistency;
         added.idempotency = idempotency;
@@ -42,11 +42,11 @@
         added.deduplication_window = 1s;
         settings.classes.push_back(added);
     };
-    add(Consistency::bounded, Idempotency::idempotent, 400ms, 1s);
-    add(Consistency::session, Idempotency::idempotent, 400ms, 1s);
-    add(Consistency::any, Idempotency::idempotent, 400ms, 1s);
-    add(Consistency::write, of_writes, 500ms, 3s);
-    add(Consistency::fresh, Idempotency::idempotent, 400ms, 1s);
+    add_class(Consistency::bounded, Idempotency::idempotent, 400ms, 1s);
+    add_class(Consistency::session, Idempotency::idempotent, 400ms, 1s);
+    add_class(Consistency::any, Idempotency::idempotent, 400ms, 1s);
+    add_class(Consistency::write, write_idempotency, 500ms, 3s);
+    add_class(Consistency::fresh, Idempotency::idempotent, 400ms, 1s);
     settings.fleet_size = 1;
     settings.endpoint_list_mode = EndpointListMode::pushed;
     settings.may_check_health = true;
@@ -64,7 +64,7 @@
     return settings;
 }
 
-/// Endpoints check reads themselves, and nothing but answers tells of them.
+/// Settings under which endpoints check staleness themselves, and only answers inform about endpoints.
 inline Settings settings_without_health_checks() {
     Settings settings = usual_settings();
     settings.may_check_health = false;
@@ -74,10 +74,11 @@
 }
 
 struct EmulatedPooler {
+    /// What an endpoint answers to health checks.
     struct Host {
-        bool primary = false;
+        bool is_primary = false;
         Duration lag = 0ms;
-        bool answers = true;
+        bool is_reachable = true;
         std::optional<double> cpu_utilization{};
         std::optional<double> in_flight{};
     };
@@ -106,7 +107,7 @@
     explicit EmulatedPooler(const Settings& settings = usual_settings(), std::uint64_t seed = 7)
         : policy(settings, seed, now) {}
 
-    void feed(const Event& event) {
+    void deliver(const Event& event) {
         Actions actions;
         policy.handle(now, event, actions);
         for (const Action& action : actions)
@@ -116,10 +117,10 @@
         sends.push_back({send.id, send.endpoint, attempts[send.id]++, now});
     }
     void carry_out(const RejectRequest& reject) {
-        answer(reject.id, "rejected");
+        give_final_answer(reject.id, "rejected");
         retry_after = reject.retry_after;
     }
-    void carry_out(const FailRequest& fail) { answer(fail.id, "failed"); }
+    void carry_out(const FailRequest& fail) { give_final_answer(fail.id, "failed"); }
     void carry_out(const CancelAttempt& cancel) { cancels.push_back(cancel); }
     void carry_out(const SetTimer& timer) { timers.emplace(now + timer.delay, timer.id); }
     void carry_out(const WatchEndpoints&) { ++watches; }
@@ -128,19 +129,20 @@
         ++health_checks;
         checks_in_flight.emplace_back(now + 1ms, check.endpoint);
     }
-    void answer(RequestId id, const char* how) {
-        EXPECT_FALSE(final_answers.contains(id)) << "a second final answer";
+    void give_final_answer(RequestId id, const char* how) {
+        EXPECT_FALSE(final_answers.contains(id)) << "request has a second final answer";
         final_answers[id] = how;
     }
 
     void apply_list(EndpointListKind kind, std::vector<EndpointEntry> entries) {
-        feed(EndpointList{kind, std::move(entries)});
+        deliver(EndpointList{kind, std::move(entries)});
     }
     static EndpointEntry entry(std::uint32_t id, EndpointState state = EndpointState::ready,
                                std::optional<Time> started = std::nullopt) {
         return {EndpointId{id}, GroupId{1}, ZoneId{}, state, false, started};
     }
-    /// Endpoints 0 to count - 1, of which 0 is primary, and a health check of each.
+    /// Lists endpoints 0 to count - 1, of which 0 is the primary, and lets each answer its
+    /// first health check.
     void add_group(std::uint32_t count) {
         std::vector<EndpointEntry> entries;
         for (std::uint32_t i = 0; i < count; ++i) {
@@ -152,6 +154,7 @@
         advance(50ms);
     }
 
+    /// Lets time pass, with the timers and health check answers that are due.
     void advance(Duration duration) {
         Time end = now + duration;
         for (;;) {
@@ -164,30 +167,33 @@
             if (due != checks_in_flight.end()) {
                 EndpointId endpoint = due->second;
                 checks_in_flight.erase(due);
-                answer_check(endpoint);
+                complete_check(endpoint);
             } else if (!timers.empty() && timers.begin()->first <= now) {
                 TimerId id = timers.begin()->second;
                 timers.erase(timers.begin());
-                feed(TimerExpired{id});
+                deliver(TimerExpired{id});
             } else if (now >= end) {
                 return;
             }
         }
     }
-    void answer_check(EndpointId endpoint) {
+    void complete_check(EndpointId endpoint) {
         Host host = hosts[endpoint];
-        LoadReport report{
-            now - (host.primary ? 0ms : host.lag), host.primary, host.in_flight, {}, host.cpu_utilization};
-        AttemptStatus status = host.answers ? AttemptStatus::ok : AttemptStatus::unreachable;
-        feed(HealthCheckResult{endpoint, status, 1ms, report});
+        LoadReport report{now - (host.is_primary ? 0ms : host.lag),
+                          host.is_primary,
+                          host.in_flight,
+                          {},
+                          host.cpu_utilization};
+        AttemptStatus status = host.is_reachable ? AttemptStatus::ok : AttemptStatus::unreachable;
+        deliver(HealthCheckResult{endpoint, status, 1ms, report});
     }
 
     RequestId request(std::uint32_t request_class, Duration client_timeout = 1s,
                       std::optional<Duration> token = std::nullopt,
                       std::optional<SessionKey> session = std::nullopt, std::uint32_t group = 1) {
         RequestId id{next_id++};
-        feed(RequestArrival{id, ClassId{request_class}, GroupId{group}, client_timeout, session, token,
-                            false});
+        deliver(RequestArrival{id, ClassId{request_class}, GroupId{group}, client_timeout, session, token,
+                               false});
         return id;
     }
     const SentAttempt* last_attempt(RequestId id) const {
@@ -198,7 +204,7 @@
     EndpointId target(RequestId id) const {
         return last_attempt(id) ? last_attempt(id)->endpoint : EndpointId{999};
     }
-    bool answered(RequestId id) const { return final_answers.contains(id); }
+    bool has_final_answer(RequestId id) const { return final_answers.contains(id); }
 
     void end_attempt(RequestId id, AttemptStatus status, std::optional<Role> role = std::nullopt,
                      std::optional<Time> position = std::nullopt, Execution evidence = Execution::never_ran) {
@@ -206,25 +212,25 @@
         if (!sent) return;
         bool finished = status == AttemptStatus::ok || final_answers.contains(id);
         if (status == AttemptStatus::ok && !final_answers.contains(id)) final_answers[id] = "served";
-        feed(AttemptOutcome{id,
-                            sent->attempt,
-                            sent->endpoint,
-                            status,
-                            now - sent->at,
-                            finished,
-                            role,
-                            position,
-                            {},
-                            evidence});
+        deliver(AttemptOutcome{id,
+                               sent->attempt,
+                               sent->endpoint,
+                               status,
+                               now - sent->at,
+                               finished,
+                               role,
+                               position,
+                               {},
+                               evidence});
     }
-    /// Ends the request's last attempt with an answer after 10 ms.
+    /// Ends the request's last attempt successfully after 10 ms; first waits up to 20 ms for it to be sent.
     void serve(RequestId id) {
         if (!last_attempt(id)) advance(20ms);
         if (const SentAttempt* sent = last_attempt(id)) {
             const Host& host = hosts[sent->endpoint];
             now += 10ms;
-            end_attempt(id, AttemptStatus::ok, host.primary ? Role::primary : Role::replica,
-                        now - (host.primary ? 0ms : host.lag));
+            end_attempt(id, AttemptStatus::ok, host.is_primary ? Role::primary : Role::replica,
+                        now - (host.is_primary ? 0ms : host.lag));
         }
     }
 };
--- a/tests/policy/endpoint_list_poll_test.cpp
+++ b/tests/policy/endpoint_list_poll_test.cpp
@@ -7,7 +7,7 @@
 using namespace indigovane::policy;
 using namespace indigovane::policy::testing;
 
-TEST_CASE("first requests are spread over 60 ms a pooler, of ten poolers at least") {
+TEST_CASE("the first list requests are spread over 60 ms per pooler and 600 ms more") {
     Random random(1);
     for (int i = 0; i < 100; ++i) {
         Duration delay = EndpointListPoll::first_delay(30, random);
@@ -16,7 +16,7 @@
     }
 }
 
-TEST_CASE("a failed request is made again after a backoff with jitter that doubles up to four seconds") {
+TEST_CASE("a failed list request is repeated after a backoff with jitter that doubles up to four seconds") {
     EndpointListPoll poll;
     Random random(1);
     for (Duration backoff : {400ms, 800ms, 1600ms, 3200ms, 4000ms, 4000ms}) {
@@ -26,7 +26,7 @@
     }
 }
 
-TEST_CASE("an answer from the service ends the backoff, a cached list does not") {
+TEST_CASE("a list from discovery resets the backoff, a cached list does not") {
     EndpointListPoll poll;
     Random random(1);
     for (int i = 0; i < 6; ++i) poll.retry_delay(random);
--- a/tests/policy/endpoint_table_test.cpp
+++ b/tests/policy/endpoint_table_test.cpp
@@ -19,14 +19,14 @@
 
 }  // namespace
 
-TEST_CASE("a complete list takes new work from endpoints that it doesn't name") {
+TEST_CASE("endpoints that a full list does not name get no new requests") {
     EndpointTable table = make_table(2);
     table.apply(list(EndpointListKind::full, {list_entry(0, true)}), true);
     CHECK(table.find(EndpointId{0})->is_listed);
     CHECK_FALSE(table.find(EndpointId{1})->is_listed);
 }
 
-TEST_CASE("where removal doesn't bind, an endpoint that left undrained may still be used") {
+TEST_CASE("where removal does not bind, an endpoint that left the list without draining may still be used") {
     EndpointTable table = make_table(2);
     table.apply(list(EndpointListKind::changes, {list_entry(0, false, EndpointState::draining)}), false);
     table.apply(list(EndpointListKind::changes,
@@ -36,7 +36,7 @@
     CHECK(table.find(EndpointId{1})->is_listed);
 }
 
-TEST_CASE("the listed primary is a hint that any observed claim outweighs") {
+TEST_CASE("an observed claim to be primary takes precedence over the list") {
     EndpointTable table = make_table(3);
     ReplicaGroup& group = *table.find_group(GroupId{1});
     CHECK(known_primary(group)->id == EndpointId{0});
@@ -44,7 +44,7 @@
     CHECK(known_primary(group)->id == EndpointId{2});
 }
 
-TEST_CASE("a restart shrinks the endpoint's window") {
+TEST_CASE("a restart reduces the endpoint's window to two") {
     EndpointTable table = make_table(1);
     EndpointEntry restarted = list_entry(0);
     restarted.started = kStart;
@@ -52,7 +52,7 @@
     CHECK(table.find(EndpointId{0})->limit.window() == 2);
 }
 
-TEST_CASE("endpoints and groups are forgotten a minute after they left, unless they are in use") {
+TEST_CASE("endpoints and groups are removed a minute after they left the list, unless they are in use") {
     EndpointTable table = make_table(2);
     table.apply(list(EndpointListKind::full, {}), true);
     table.find(EndpointId{1})->in_flight = 1;
@@ -70,7 +70,7 @@
     CHECK_FALSE(table.find_group(GroupId{1}));
 }
 
-TEST_CASE("a group's read rate decays over about a second") {
+TEST_CASE("a group's read rate decays with a time constant of one second") {
     ReadRate rate;
     for (int i = 0; i < 10; ++i) rate.record(kStart);
     CHECK(rate.per_second(kStart) == 10);
--- a/tests/policy/fixtures.hpp
+++ b/tests/policy/fixtures.hpp
@@ -1,5 +1,4 @@
-// What the tests of the decision module's parts share: requests, endpoints and groups with short
-// descriptions.
+// Shared by the tests of the routing policy's parts: requests, endpoints and groups with preset values.
 #pragma once
 
 #include <memory>
@@ -25,7 +24,7 @@
     return settings;
 }
 
-/// Arrives at kStart with a client that waits for one second.
+/// A request that arrives at kStart, with a client timeout of one second.
 inline Request make_request(const ClassSettings& settings, std::size_t attempt_limit = 4, double draw = 0.5) {
     RequestArrival arrival;
     arrival.id = RequestId{7};
@@ -35,7 +34,7 @@
     return Request(arrival, request_class, attempt_limit, Duration::zero(), draw, kStart);
 }
 
-/// Sends an attempt to the endpoint and ends it.
+/// Starts an attempt at the endpoint and ends it with the status.
 inline void run_attempt(Request& request, Endpoint& endpoint, AttemptStatus status, Time sent = kStart) {
     request.start_attempt(endpoint, sent);
     request.end_attempt(std::uint32_t(request.attempts().size() - 1), execution_of(status));
@@ -51,7 +50,7 @@
     return entry;
 }
 
-/// One group of a primary (endpoint 0) and replicas (1 and up).
+/// A table with one group: a primary (endpoint 0) and replicas (1 and up).
 inline EndpointTable make_table(std::uint32_t endpoints) {
     EndpointList list;
     list.kind = EndpointListKind::full;
--- a/tests/policy/health_check_test.cpp
+++ b/tests/policy/health_check_test.cpp
@@ -7,7 +7,9 @@
 using namespace indigovane::policy;
 using namespace indigovane::policy::testing;
 
-TEST_CASE("a refused connection shows a fault at once, a check without answer the second time") {
+TEST_CASE(
+    "an endpoint is unreachable after one refused connection or two health checks in a row without an "
+    "answer") {
     HealthCheckState state;
     state.record_sent(kStart);
     CHECK(state.is_in_flight());
@@ -19,7 +21,7 @@
     CHECK(state.record_result(AttemptStatus::timeout));
 }
 
-TEST_CASE("checks are paid for by requests, those that reads asked for from a budget of their own") {
+TEST_CASE("requests pay for health checks, and on-demand checks have a budget of their own") {
     Settings settings;
     settings.health_check_price = 0.03;
     double cost = health_check_cost(settings);
@@ -35,7 +37,7 @@
     CHECK(budget.spend(HealthCheckPurpose::scheduled, 0));
 }
 
-TEST_CASE("the interval is a third of the strictest bound, and a second at most") {
+TEST_CASE("the check interval is a third of the strictest staleness bound, and at most one second") {
     auto bounded = [](Duration bound) {
         ClassSettings settings = class_settings(Consistency::bounded);
         settings.staleness_bound = bound;
@@ -46,7 +48,7 @@
     CHECK(health_check_interval({bounded(600ms), bounded(300ms)}) == 100ms);
 }
 
-TEST_CASE("a group in steady use is checked at the interval, its primary each second") {
+TEST_CASE("in a group in steady use, replicas are checked at the interval and the primary every second") {
     EndpointTable table = make_table(3);
     ReplicaGroup& group = *table.find_group(GroupId{1});
     Endpoint& primary = *table.find(EndpointId{0});
@@ -63,7 +65,7 @@
     CHECK_FALSE(HealthCheckSchedule(group, &primary, 100ms, 100, now).is_check_due(replica));
 }
 
-TEST_CASE("a group with queued requests and no usable primary is searched for one") {
+TEST_CASE("a group with queued requests and no usable primary is checked for a new primary") {
     EndpointTable table = make_table(3);
     ReplicaGroup& group = *table.find_group(GroupId{1});
     Endpoint& primary = *table.find(EndpointId{0});
@@ -76,7 +78,7 @@
     CHECK(HealthCheckSchedule(group, &primary, 100ms, 0, now).is_check_due(primary));
 }
 
-TEST_CASE("an unreachable endpoint gets its trials as checks") {
+TEST_CASE("the trials of an unreachable endpoint are health checks") {
     EndpointTable table = make_table(1);
     ReplicaGroup& group = *table.find_group(GroupId{1});
     Endpoint& endpoint = *table.find(EndpointId{0});
@@ -85,7 +87,8 @@
     CHECK(HealthCheckSchedule(group, &endpoint, 100ms, 0, kStart + 200ms).is_trial_due(endpoint));
 }
 
-TEST_CASE("where checks have a price, a first use checks the listed primary and two others") {
+TEST_CASE(
+    "where checks have a price, a group's first use checks the listed primary and two other endpoints") {
     EndpointTable table = make_table(6);
     ReplicaGroup& group = *table.find_group(GroupId{1});
     Random random(1);
--- a/tests/policy/link_example.cpp
+++ b/tests/policy/link_example.cpp
@@ -1,4 +1,4 @@
-// The example of README.md, compiled and run by the tests.
+// The example of README.md, compiled and run as a test.
 #include <gtest/gtest.h>
 
 #include "policy/routing_policy.hpp"
@@ -6,7 +6,7 @@
 using namespace indigovane::policy;
 using namespace std::chrono_literals;
 
-TEST(LinkExample, AProxyServesARead) {
+TEST(LinkExample, APoolerSendsAReadToAReplica) {
     Settings settings;
     settings.fleet_size = 1;
     settings.may_check_health = true;
@@ -33,7 +33,8 @@
     policy.handle(now, read, actions);
 
     bool sent = false;
-    for (const Action& action : actions)  // a proxy carries these out: sends, probes, timers, answers
+    for (const Action& action :
+         actions)  // a pooler performs them all: sends, health checks, timers, final answers
         if (const auto* send = std::get_if<SendAttempt>(&action)) sent = send->endpoint == EndpointId{2};
     EXPECT_TRUE(sent);
 }
--- a/tests/policy/outlier_ejection_test.cpp
+++ b/tests/policy/outlier_ejection_test.cpp
@@ -7,7 +7,7 @@
 using namespace indigovane::policy;
 using namespace indigovane::policy::testing;
 
-TEST_CASE("an endpoint is an outlier once more than half of its recent answers are errors") {
+TEST_CASE("an endpoint is ejected once more than half of its recent answers are errors") {
     Ejection ejection;
     int errors = 1;
     while (!ejection.record_attempt_end(AttemptStatus::error, kStart).was_ejected) ++errors;
@@ -36,7 +36,8 @@
     CHECK_FALSE(ejection.is_ejected());
 }
 
-TEST_CASE("a request that must not run twice is a trial only two seconds after the ejection") {
+TEST_CASE(
+    "a request that is not idempotent, even with a key, is a trial only two seconds after the ejection") {
     Ejection ejection;
     ejection.eject(Fault::unresponsive, kStart);
     CHECK_FALSE(admits_request(ejection, Idempotency::idempotency_key, true, kStart + 1999ms));
@@ -53,7 +54,7 @@
     CHECK_FALSE(ejection.record_health_check(true, false, kStart + 10s).was_readmitted);
 }
 
-TEST_CASE("an endpoint is unresponsive when it has work and answers nothing for longer than answers take") {
+TEST_CASE("an endpoint is unresponsive when it answers none of several requests for many usual latencies") {
     Ejection ejection;
     ejection.record_attempt_sent(0, 10, kStart);
     CHECK_FALSE(ejection.is_unresponsive(1, 10, kStart + 10s));
--- a/tests/policy/recorded_decisions_test.cpp
+++ b/tests/policy/recorded_decisions_test.cpp
@@ -1,8 +1,9 @@
-// Characterization: the decisions of ten recorded runs, over the settings of two deployments, with faults,
-// restarts and changed settings, are the same as when they were recorded.
+// Characterization test: ten runs with the settings of two deployments, with faults, restarts and
+// changed settings, must lead to the same actions as when they were recorded. It guards against changes
+// of behaviour by refactoring.
 //
-// To see the first difference between two versions, run this test in both with DECISIONS_DUMP=DIR and compare
-// the files that it leaves there, one a run. DECISIONS_RECORD=FILE writes the hashes anew.
+// To find the first difference between two versions, run this test in both with DECISIONS_DUMP=DIR and
+// compare the files that it writes there, one per run. DECISIONS_RECORD=FILE records new hashes.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -56,11 +57,12 @@
         }
         CHECK(hashes.size() == options.events / DecisionRecording::kEventsPerHash);
         const std::vector<std::string>& recorded = expected[options.name];
-        auto [first, unused] = std::mismatch(hashes.begin(), hashes.end(), recorded.begin(), recorded.end());
-        std::size_t same = std::size_t(first - hashes.begin());
+        auto [first_difference, unused] =
+            std::mismatch(hashes.begin(), hashes.end(), recorded.begin(), recorded.end());
+        std::size_t equal_hashes = std::size_t(first_difference - hashes.begin());
         CHECK_MESSAGE(hashes == recorded, "the first difference lies within events "
-                                              << same * DecisionRecording::kEventsPerHash << " to "
-                                              << (same + 1) * DecisionRecording::kEventsPerHash);
+                                              << equal_hashes * DecisionRecording::kEventsPerHash << " to "
+                                              << (equal_hashes + 1) * DecisionRecording::kEventsPerHash);
     }
 }
 
--- a/tests/policy/rejection_backoff_test.cpp
+++ b/tests/policy/rejection_backoff_test.cpp
@@ -7,7 +7,7 @@
 using namespace indigovane::policy;
 using namespace indigovane::policy::testing;
 
-TEST_CASE("a rejecting endpoint is paused for 50 ms with jitter, and for twice as long each time") {
+TEST_CASE("a rejection pauses an endpoint for 50 ms with jitter, and each further one for twice as long") {
     RejectionBackoff backoff;
     Random random(1);
     backoff.record_rejection(kStart, random);
@@ -18,7 +18,7 @@
     CHECK_FALSE(backoff.is_paused(kStart + 3s));
 }
 
-TEST_CASE("successes halve the pause") {
+TEST_CASE("each success halves the pause") {
     RejectionBackoff backoff;
     Random random(1);
     for (int i = 0; i < 10; ++i) backoff.record_rejection(kStart, random);
@@ -27,7 +27,7 @@
     CHECK_FALSE(backoff.is_paused(kStart + 75ms));
 }
 
-TEST_CASE("where no connection came free the pause is 50 ms and shortens no other") {
+TEST_CASE("after an attempt that got no connection the pause is 50 ms, and a longer pause stays") {
     RejectionBackoff backoff;
     backoff.record_no_connection(kStart);
     CHECK(backoff.is_paused(kStart + 49ms));
--- a/tests/policy/replica_selection_test.cpp
+++ b/tests/policy/replica_selection_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// A group of a primary and two replicas with positions as of kStart; time is kStart.
+/// Selects at kStart in a group of a primary and two replicas, all of which have reached position kStart.
 struct Selector {
     Selector() {
         settings.may_check_health = true;
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-TEST_CASE("writes and fresh reads go to the primary, and wait without a usable one") {
+TEST_CASE("writes and fresh reads go to the primary, and wait while none is usable") {
     Selector selector;
     for (Consistency consistency : {Consistency::write, Consistency::fresh}) {
         Request request = make_request(class_settings(consistency));
@@ -39,7 +39,7 @@
     }
 }
 
-TEST_CASE("a read goes to a replica that was not tried, and is not ejected or paused") {
+TEST_CASE("a read goes to a replica that has not got it before and is neither ejected nor paused") {
     Selector selector;
     Request request = make_request(class_settings(Consistency::any));
     run_attempt(request, selector.endpoint(1), AttemptStatus::rejected);
@@ -48,7 +48,7 @@
     CHECK(selector.select(request).decision != Selection::Decision::send);
 }
 
-TEST_CASE("replicas ejected for faults that may be everyone's stay in when all are") {
+TEST_CASE("if all replicas are ejected, a reachable one is used") {
     Selector selector;
     Request request = make_request(class_settings(Consistency::any));
     selector.endpoint(1).ejection.eject(Fault::erring, kStart);
@@ -56,7 +56,7 @@
     CHECK(selector.select(request).endpoint == &selector.endpoint(1));
 }
 
-TEST_CASE("replicas more than 15 ms farther than the nearest get no reads") {
+TEST_CASE("replicas whose round trip is over 15 ms longer than the nearest one's get no reads") {
     Selector selector;
     Request request = make_request(class_settings(Consistency::any));
     selector.endpoint(1).round_trip.record(1ms);
@@ -64,7 +64,7 @@
     for (int i = 0; i < 20; ++i) CHECK(selector.select(request).endpoint == &selector.endpoint(1));
 }
 
-TEST_CASE("the round trip is the mean of the last five checks") {
+TEST_CASE("the round trip time is the mean of the last five health checks") {
     RoundTripTime round_trip;
     CHECK(round_trip.average() == 0ms);
     round_trip.record(100ms);
@@ -72,7 +72,7 @@
     CHECK(round_trip.average() == 10ms);
 }
 
-TEST_CASE("a bounded read goes only where the position is known to be within its bound") {
+TEST_CASE("a bounded read goes only to a replica whose known position is within its staleness bound") {
     Selector selector;
     Request request = make_request(class_settings(Consistency::bounded));
     CHECK(required_position(request, Time{}, kStart) == kStart - 300ms);
@@ -84,7 +84,7 @@
     CHECK(selector.select(request, Time{}, kStart + 302ms).decision == Selection::Decision::wait);
 }
 
-TEST_CASE("a session read goes to a replica that has reached its token, else to the primary") {
+TEST_CASE("a session read goes to a replica that has reached its token, otherwise to the primary") {
     Selector selector;
     selector.settings.may_check_health = false;
     Request request = make_request(class_settings(Consistency::session));
@@ -92,21 +92,23 @@
     CHECK(selector.select(request, kStart + 1ms).endpoint == &selector.endpoint(0));
 }
 
-TEST_CASE("where endpoints check staleness, the one least behind is tried first") {
+TEST_CASE("where endpoints check staleness, the replica with the least lag is tried first") {
     Selector selector;
     selector.settings.staleness_check = StalenessCheck::refuse;
     selector.endpoint(2).replication.record_position(kStart + 10ms, kStart + 10ms);
     Request request = make_request(class_settings(Consistency::session));
     CHECK(selector.select(request, kStart + 40ms, kStart + 10ms).endpoint == &selector.endpoint(2));
-    Request unsafe = make_request(class_settings(Consistency::session, Idempotency::not_idempotent));
-    CHECK(selector.select(unsafe, kStart + 40ms, kStart + 10ms).endpoint == &selector.endpoint(0));
+    Request not_idempotent_read =
+        make_request(class_settings(Consistency::session, Idempotency::not_idempotent));
+    CHECK(selector.select(not_idempotent_read, kStart + 40ms, kStart + 10ms).endpoint ==
+          &selector.endpoint(0));
 }
 
 TEST_CASE("while some replicas are too far behind for bounded reads, they serve the any reads") {
     Selector selector;
-    Endpoint& behind = selector.endpoint(2);
-    behind.replication = {};
-    behind.replication.record_position(kStart - 2s, kStart);
+    Endpoint& lagging = selector.endpoint(2);
+    lagging.replication = {};
+    lagging.replication.record_position(kStart - 2s, kStart);
     Request request = make_request(class_settings(Consistency::any));
-    for (int i = 0; i < 20; ++i) CHECK(selector.select(request).endpoint == &behind);
+    for (int i = 0; i < 20; ++i) CHECK(selector.select(request).endpoint == &lagging);
 }
--- a/tests/policy/replication_state_test.cpp
+++ b/tests/policy/replication_state_test.cpp
@@ -7,7 +7,7 @@
 using namespace indigovane::policy;
 using namespace indigovane::policy::testing;
 
-TEST_CASE("a position never goes back, and a report of an old one still counts as news") {
+TEST_CASE("a lower position does not replace a higher one, but its report counts as recent") {
     ReplicationState state;
     state.record_position(kStart, kStart + 1s);
     state.record_position(kStart - 1s, kStart + 2s);
@@ -16,7 +16,7 @@
     CHECK(state.estimated_position(kStart + 3s) == kStart + 1s);
 }
 
-TEST_CASE("the newest claim of a role counts") {
+TEST_CASE("the newest claim of a role is valid") {
     ReplicationState state;
     state.record_primary(kStart);
     CHECK(state.primary_as_of == kStart);
@@ -28,7 +28,7 @@
     CHECK(state.primary_as_of == kStart + 2s);
 }
 
-TEST_CASE("only a fresh report proves that an endpoint is behind") {
+TEST_CASE("only a recent report proves that an endpoint lags") {
     ReplicationState state;
     state.record_position(kStart - 1s, kStart);
     CHECK(state.is_surely_behind(500ms, kStart));
@@ -39,7 +39,7 @@
     CHECK_FALSE(state.will_miss(kStart, kStart + 400ms));
 }
 
-TEST_CASE("an endpoint that checks is expected to have what it lagged by, or to have caught up") {
+TEST_CASE("an endpoint that checks staleness is expected to keep its lag, for bounded reads to catch up") {
     ReplicationState state;
     CHECK_FALSE(is_expected_to_have(state, std::nullopt, kStart, 0ms, kStart));
     CHECK(is_expected_to_have(state, kStart - 10s, kStart, 0ms, kStart));
--- a/tests/policy/request_class_test.cpp
+++ b/tests/policy/request_class_test.cpp
@@ -7,7 +7,7 @@
 using namespace indigovane::policy;
 using namespace indigovane::policy::testing;
 
-TEST_CASE("missing settings take the meaning that can break no rule") {
+TEST_CASE("missing settings get the defaults that cannot break a rule") {
     RequestClass request_class = make_request_class({});
     CHECK(request_class.consistency == Consistency::write);
     CHECK(request_class.idempotency == Idempotency::not_idempotent);
@@ -17,7 +17,7 @@
     CHECK(request_class.needs_primary());
 }
 
-TEST_CASE("the usual latency starts as a quarter of the objective and becomes the answers' mean") {
+TEST_CASE("the usual latency starts at a quarter of the objective and approaches the mean of the answers") {
     RequestClass request_class = make_request_class(class_settings(Consistency::any));
     CHECK(request_class.usual_latency_ms == 100);
     CHECK_FALSE(request_class.has_latency_samples());
@@ -28,7 +28,7 @@
     CHECK(request_class.usual_latency_ms == doctest::Approx(20).epsilon(0.01));
 }
 
-TEST_CASE("a timeout other than the usual one is taken for what is left of the deadline") {
+TEST_CASE("a client timeout other than the usual one is taken as the rest of the deadline") {
     ClientTimeouts timeouts;
     for (int i = 0; i < 6; ++i) CHECK(timeouts.elapsed_before({500ms, 1s, false, false}) == 0ms);
     CHECK(timeouts.elapsed_before({510ms, 1s, false, false}) == 0ms);
@@ -36,7 +36,8 @@
 }
 
 TEST_CASE(
-    "no time counts as elapsed where no timeout is usual, or for a first request where retries are marked") {
+    "no time counts as elapsed where no timeout is usual, or for an unmarked request where clients mark "
+    "retries") {
     ClientTimeouts varied;
     for (int i = 0; i < 10; ++i) CHECK(varied.elapsed_before({100ms + i * 50ms, 1s, false, false}) == 0ms);
     ClientTimeouts marked;
--- a/tests/policy/request_state_test.cpp
+++ b/tests/policy/request_state_test.cpp
@@ -40,7 +40,7 @@
     CHECK_FALSE(request.start_response());
 }
 
-TEST_CASE("the table knows of a session's writes that may have run, and of endpoints in use") {
+TEST_CASE("the table finds a session's writes that may have run, and endpoints that requests refer to") {
     Endpoint endpoint;
     Endpoint other;
     RequestTable table;
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-TEST_CASE("a request that may have run goes again only where its class allows it") {
+TEST_CASE("a request that may have run is retried only where its class allows it") {
     Time soon = kStart + 10ms;
     CHECK(may_retry(request_after(Idempotency::idempotent, AttemptStatus::timeout), soon));
     CHECK(may_retry(request_after(Idempotency::idempotency_key, AttemptStatus::timeout), soon));
@@ -26,14 +26,14 @@
     CHECK(may_retry(request_after(Idempotency::not_idempotent, AttemptStatus::rejected), soon));
 }
 
-TEST_CASE("a request with an idempotency key goes again only within its deduplication window") {
+TEST_CASE("a request with an idempotency key is retried only within its deduplication window") {
     Request request = request_after(Idempotency::idempotency_key, AttemptStatus::reset);
     CHECK(retry_deadline(request) == kStart + 480ms);
     CHECK(may_retry(request, kStart + 479ms));
     CHECK_FALSE(may_retry(request, kStart + 480ms));
 }
 
-TEST_CASE("a request with an idempotency key whose repeats are dropped by zone alone does not go again") {
+TEST_CASE("a request with an idempotency key is not retried where only its zone drops duplicates") {
     ClassSettings settings = class_settings(Consistency::write, Idempotency::idempotency_key);
     settings.deduplication_scope = DeduplicationScope::zone;
     Endpoint endpoint;
@@ -42,7 +42,7 @@
     CHECK_FALSE(may_retry(request, kStart + 10ms));
 }
 
-TEST_CASE("attempts are limited by their number, by those that may have run, and by the time left") {
+TEST_CASE("attempts are limited by their number, by how many may have run, and by the time left") {
     Endpoint endpoint;
     Request request = make_request(class_settings(Consistency::any), 2);
     CHECK(may_retry(request, kStart));
@@ -57,7 +57,7 @@
     CHECK_FALSE(may_retry(repeated, kStart));
 }
 
-TEST_CASE("a rejection promises that another attempt is harmless only where it is") {
+TEST_CASE("a rejection promises that a retry is harmless only where it is") {
     CHECK(rejection_is_harmless(request_after(Idempotency::idempotent, AttemptStatus::timeout)));
     CHECK(rejection_is_harmless(request_after(Idempotency::not_idempotent, AttemptStatus::not_started)));
     CHECK_FALSE(rejection_is_harmless(request_after(Idempotency::not_idempotent, AttemptStatus::timeout)));
--- a/tests/policy/routing_policy_health_test.cpp
+++ b/tests/policy/routing_policy_health_test.cpp
@@ -1,4 +1,4 @@
-// The decision module as a whole: health checks, outlier ejection, slow start, concurrency limit.
+// The routing policy as a whole: health checks, outlier ejection, slow start, concurrency limit.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -9,7 +9,7 @@
 using namespace indigovane::policy;
 using namespace indigovane::policy::testing;
 
-TEST(HealthChecks, AGroupInSteadyUseIsCheckedAtAThirdOfTheBoundAndAnswersSpareSome) {
+TEST(HealthChecks, InSteadyUseReplicasAreCheckedAtAThirdOfTheBoundAndAnswersReplaceSomeChecks) {
     auto checks = [](bool answers_come) {
         EmulatedPooler pooler;
         pooler.add_group(3);
@@ -20,14 +20,14 @@
         }
         return pooler.health_checks;
     };
-    int without = checks(false);
-    int with = checks(true);
-    EXPECT_GE(without, 2 * 3 * 10);  // two replicas, each at least every 100 ms of 3.3 s
-    EXPECT_LT(with, without);
+    int checks_without_answers = checks(false);
+    int checks_with_answers = checks(true);
+    EXPECT_GE(checks_without_answers, 2 * 3 * 10);  // two replicas, each at least every 100 ms of 3.3 s
+    EXPECT_LT(checks_with_answers, checks_without_answers);
 }
 
-// In a large fleet each pooler uses each group now and then: paced health checks would cost more than the
-// requests.
+// In a large fleet each pooler uses each group only now and then: health checks at a fixed interval would
+// cost more than the requests.
 TEST(HealthChecks, AnIdleGroupIsNotCheckedAndItsNextReadHasOneReplicaChecked) {
     EmulatedPooler pooler;
     pooler.add_group(5);
@@ -37,19 +37,19 @@
     EXPECT_EQ(pooler.health_checks, before);
     RequestId id = pooler.request(kBounded);
     EXPECT_EQ(pooler.health_checks, before + 1);
-    EXPECT_EQ(pooler.last_attempt(id), nullptr);  // what is known is too old
+    EXPECT_EQ(pooler.last_attempt(id), nullptr);  // the known positions are too old
     pooler.advance(3ms);
     ASSERT_NE(pooler.last_attempt(id), nullptr);
     EXPECT_NE(pooler.target(id), kPrimary);
     EXPECT_EQ(pooler.health_checks, before + 1);
 }
 
-TEST(HealthChecks, AReplicaThatDoesNotAnswerAnOnDemandCheckIsPassedOver) {
+TEST(HealthChecks, AReadGoesToAnotherReplicaIfItsOnDemandCheckIsNotAnswered) {
     EmulatedPooler pooler;
     pooler.add_group(3);
     pooler.advance(2s);
     RequestId id = pooler.request(kBounded);
-    pooler.checks_in_flight.clear();  // no answer to the first one comes
+    pooler.checks_in_flight.clear();  // the first check is never answered
     pooler.advance(40ms);
     EXPECT_NE(pooler.last_attempt(id), nullptr);
 }
@@ -59,7 +59,8 @@
     settings.health_check_price = 0.02;
     EmulatedPooler pooler(settings);
     pooler.add_group(5);
-    for (std::uint32_t m : {1, 2, 3, 4}) pooler.hosts[EndpointId{m}].lag = 500ms;  // too old, not surely so
+    for (std::uint32_t index : {1, 2, 3, 4})
+        pooler.hosts[EndpointId{index}].lag = 500ms;  // too old, but not provably
     int before = pooler.health_checks;
     for (int i = 0; i < 40; ++i) {
         pooler.request(kBounded);
@@ -69,28 +70,30 @@
     EXPECT_LT(pooler.health_checks - before, 40 * 2 + 20);
 }
 
-// What another pooler says of an endpoint proves nothing: it is checked, and until it has answered all stays.
+// What another pooler reports about an endpoint is no proof: the endpoint is checked, and nothing changes
+// until it has answered.
 TEST(HealthChecks, GossipOfANewPrimaryLeadsToOneCheck) {
     EmulatedPooler pooler;
     pooler.add_group(3);
     int before = pooler.health_checks;
-    pooler.feed(PrimaryGossip{EndpointId{1}});
+    pooler.deliver(PrimaryGossip{EndpointId{1}});
     EXPECT_EQ(pooler.health_checks, before + 1);
     EXPECT_EQ(pooler.target(pooler.request(kWrite)), kPrimary);
-    for (int i = 0; i < 100; ++i) pooler.feed(PrimaryGossip{EndpointId{1}});
-    EXPECT_EQ(pooler.health_checks, before + 1);  // one is in flight
+    for (int i = 0; i < 100; ++i) pooler.deliver(PrimaryGossip{EndpointId{1}});
+    EXPECT_EQ(pooler.health_checks, before + 1);  // one check is in flight already
     pooler.advance(10ms);
     EXPECT_EQ(pooler.target(pooler.request(kWrite)), kPrimary);
-    pooler.hosts[EndpointId{1}].primary = true;
-    pooler.hosts[kPrimary].primary = false;
-    pooler.feed(PrimaryGossip{EndpointId{1}});
+    pooler.hosts[EndpointId{1}].is_primary = true;
+    pooler.hosts[kPrimary].is_primary = false;
+    pooler.deliver(PrimaryGossip{EndpointId{1}});
     pooler.advance(10ms);
     EXPECT_EQ(pooler.target(pooler.request(kWrite)), EndpointId{1});
-    pooler.feed(PrimaryGossip{EndpointId{77}});  // never listed
+    pooler.deliver(PrimaryGossip{EndpointId{77}});  // an endpoint that was never listed
 }
 
-// A hundred poolers, a request a second each in a group.
-TEST(HealthChecks, ArePaidForByRequests) {
+// Guards against checks that grow with poolers times endpoints: a fleet of 100 poolers, 60 endpoints in 12
+// groups, and about one request per second and group from this pooler.
+TEST(HealthChecks, RequestsPayForHealthChecks) {
     auto checks = [](double price, bool answers) {
         Settings settings = usual_settings();
         settings.staleness_check = StalenessCheck::wait;
@@ -119,7 +122,7 @@
     }
 }
 
-TEST(SlowStart, AnEndpointGetsItsShareOfWhatTheOthersTake) {
+TEST(SlowStart, AnEndpointGetsItsShareOfWhatOtherEndpointsGet) {
     EmulatedPooler pooler;
     pooler.add_group(3);
     for (int i = 0; i < 400; ++i) pooler.serve(pooler.request(kAny));
@@ -135,12 +138,12 @@
     EXPECT_LT(count[EndpointId{2}], count[EndpointId{1}] * 0.4);
 }
 
-TEST(SlowStart, AGroupThatIsWarmingUpAsAWholeIsSentTheShareItCanDo) {
+TEST(SlowStart, AGroupInSlowStartAsAWholeGetsTheShareItCanServe) {
     EmulatedPooler pooler;
     pooler.add_group(3);
-    for (std::uint32_t m : {0, 1, 2})
+    for (std::uint32_t index : {0, 1, 2})
         pooler.apply_list(EndpointListKind::changes,
-                          {EmulatedPooler::entry(m, EndpointState::ready, pooler.now)});
+                          {EmulatedPooler::entry(index, EndpointState::ready, pooler.now)});
     int sent = 0;
     for (int i = 0; i < 1000; ++i) {
         RequestId id = pooler.request(kAny);
@@ -148,16 +151,18 @@
         pooler.end_attempt(id, AttemptStatus::ok);
     }
     EXPECT_GT(sent, 100);
-    EXPECT_LT(sent, 320);  // a fifth, and 1.4 times that while answers come in time; it falls at 2.5 times
+    EXPECT_LT(sent, 320);  // the share sent is 0.56 * 2 * 0.2, and the endpoints break down at 2 * 0.2
 }
 
-// Else the whole group's reads would gather on it.
-TEST(SlowStart, AReplicaTakesNoMoreThanItsFairShareWhenItAloneIsFit) {
+// Without this limit all reads of the group would go to the one replica that has the position while it
+// is in slow start.
+TEST(SlowStart, AReplicaGetsNoMoreThanItsFairShareIfItAloneHasThePosition) {
     EmulatedPooler pooler;
     pooler.add_group(6);
-    for (std::uint32_t m = 1; m < 6; ++m)
-        pooler.feed(HealthCheckResult{EndpointId{m}, AttemptStatus::ok, 1ms,
-                                      LoadReport{pooler.now - (m == 1 ? 0s : 50s), false, {}, {}, {}}});
+    for (std::uint32_t index = 1; index < 6; ++index)
+        pooler.deliver(
+            HealthCheckResult{EndpointId{index}, AttemptStatus::ok, 1ms,
+                              LoadReport{pooler.now - (index == 1 ? 0s : 50s), false, {}, {}, {}}});
     pooler.apply_list(EndpointListKind::changes,
                       {EmulatedPooler::entry(1, EndpointState::ready, pooler.now)});
     int sent = 0;
@@ -167,29 +172,30 @@
         pooler.end_attempt(id, AttemptStatus::ok);
     }
     EXPECT_GT(sent, 5);
-    EXPECT_LT(sent, 80);  // a fifth of a fifth
+    EXPECT_LT(sent, 80);  // an initial share of a fifth, as one of five replicas
 }
 
-// Else the queued writes of a whole fleet would keep hammering a primary in slow start that rejects them.
-TEST(RejectionBackoff, AnEndpointThatRejectsIsPausedLongerEachTime) {
+// Without the pause the queued writes of a whole fleet would be sent again and again to a primary in slow
+// start that rejects them.
+TEST(RejectionBackoff, AnEndpointThatRejectsIsPausedLongerAfterEachRejection) {
     EmulatedPooler pooler;
     pooler.add_group(2);
     int sent = 0;
     for (int i = 0; i < 20; ++i) pooler.request(kWrite, 5s);
     for (int i = 0; i < 500; ++i) {
-        for (std::size_t k = 0; k < pooler.sends.size(); ++k) {
-            EmulatedPooler::SentAttempt attempt = pooler.sends[k];
+        for (std::size_t sent_index = 0; sent_index < pooler.sends.size(); ++sent_index) {
+            EmulatedPooler::SentAttempt attempt = pooler.sends[sent_index];
             if (attempt.id == RequestId{1}) continue;
             ++sent;
-            pooler.feed(AttemptOutcome{attempt.id,
-                                       attempt.attempt,
-                                       attempt.endpoint,
-                                       AttemptStatus::rejected,
-                                       1ms,
-                                       false,
-                                       Role::primary,
-                                       pooler.now,
-                                       {}});
+            pooler.deliver(AttemptOutcome{attempt.id,
+                                          attempt.attempt,
+                                          attempt.endpoint,
+                                          AttemptStatus::rejected,
+                                          1ms,
+                                          false,
+                                          Role::primary,
+                                          pooler.now,
+                                          {}});
         }
         pooler.sends.clear();
         pooler.advance(10ms);
@@ -202,7 +208,7 @@
     pooler.add_group(3);
     RequestId first = pooler.request(kWrite, 3s);
     RequestId second = pooler.request(kWrite, 3s);
-    pooler.advance(800ms);  // its checks still answer
+    pooler.advance(800ms);  // it still answers health checks
     RequestId third = pooler.request(kWrite, 3s);
     EXPECT_EQ(pooler.last_attempt(third), nullptr);
     pooler.end_attempt(first, AttemptStatus::ok, Role::primary, pooler.now);
@@ -210,10 +216,10 @@
     pooler.end_attempt(second, AttemptStatus::ok, Role::primary, pooler.now);
 }
 
-TEST(OutlierEjection, AnUnreachableReplicaIsLeftOutUntilAHealthCheckAnswers) {
+TEST(OutlierEjection, AnUnreachableReplicaGetsNoReadsUntilAHealthCheckSucceeds) {
     EmulatedPooler pooler;
     pooler.add_group(3);
-    pooler.hosts[EndpointId{1}].answers = false;
+    pooler.hosts[EndpointId{1}].is_reachable = false;
     RequestId id{};
     do {
         id = pooler.request(kAny);
@@ -228,7 +234,7 @@
         EXPECT_EQ(pooler.target(id), EndpointId{2});
         pooler.serve(id);
     }
-    pooler.hosts[EndpointId{1}].answers = true;
+    pooler.hosts[EndpointId{1}].is_reachable = true;
     pooler.advance(2s);
     std::set<EndpointId> seen;
     for (int i = 0; i < 30; ++i) {
@@ -239,7 +245,7 @@
     EXPECT_EQ(seen.size(), 2u);
 }
 
-TEST(OutlierEjection, AReplicaThatErrsAtOnceLosesItsShare) {
+TEST(OutlierEjection, AReplicaThatReturnsOnlyErrorsGetsFewReads) {
     EmulatedPooler pooler;
     pooler.add_group(3);
     int errors = 0;
@@ -255,35 +261,36 @@
     EXPECT_LT(errors, 30);
 }
 
-TEST(OutlierEjection, WhenAllReplicasLookBadTheyStayInService) {
+TEST(OutlierEjection, IfAllReplicasReturnErrorsTheyStayInUse) {
     EmulatedPooler pooler;
     pooler.add_group(3);
     for (int i = 0; i < 40; ++i) {
         RequestId id = pooler.request(kAny);
-        for (std::uint32_t k = 1; pooler.attempts[id] == k; ++k)
-            pooler.end_attempt(id, AttemptStatus::error);  // each ends once
+        for (std::uint32_t number = 1; pooler.attempts[id] == number; ++number)
+            pooler.end_attempt(id, AttemptStatus::error);  // ends each attempt once
         pooler.advance(500ms);
     }
     EXPECT_NE(pooler.last_attempt(pooler.request(kAny)), nullptr);
 }
 
-// At a replica that is quick with the rest.
-TEST(OutlierEjection, TwoLongReadsInFlightAreNoFault) {
+// The replica answers its other requests quickly, so that two long reads may look like an
+// unresponsive endpoint.
+TEST(OutlierEjection, TwoLongReadsInFlightDoNotEjectAReplica) {
     Settings settings = usual_settings();
     settings.classes[kAny].latency_objective = 8s;
     settings.classes[kAny].deadline = 20s;
     EmulatedPooler pooler(settings);
     pooler.add_group(2);
     for (int i = 0; i < 5; ++i) pooler.serve(pooler.request(kBounded));
-    pooler.advance(2s);  // log lines are a second apart
+    pooler.advance(2s);  // at most one line is logged per second
     pooler.request(kAny, 20s);
     pooler.request(kAny, 20s);
     int before = pooler.log_lines;
     pooler.advance(3s);
-    EXPECT_EQ(pooler.log_lines, before);  // nobody was ejected
+    EXPECT_EQ(pooler.log_lines, before);  // no endpoint was ejected
 }
 
-TEST(ConcurrencyLimit, AWindowBoundsWhatIsInFlightAndRejectsEarly) {
+TEST(ConcurrencyLimit, TheWindowLimitsRequestsInFlightAndOthersAreRejectedEarly) {
     EmulatedPooler pooler;
     pooler.add_group(2);
     std::vector<RequestId> ids;
@@ -291,16 +298,17 @@
     EXPECT_LT(pooler.sends.size(), 100u);
     pooler.advance(300ms);
     int rejected = 0;
-    for (RequestId id : ids) rejected += pooler.answered(id);
+    for (RequestId id : ids) rejected += pooler.has_final_answer(id);
     EXPECT_GT(rejected, 200);
 }
 
-// How many requests one replica gets at once after a second in which its health checks reported that lag and
-// that load.
-std::size_t sent_at_once(Duration behind, std::optional<double> busy, std::optional<double> queued = {}) {
+// Number of requests that one replica gets at the same time, after health checks reported this lag and
+// load for one second.
+std::size_t sent_at_once(Duration replication_lag, std::optional<double> cpu_utilization,
+                         std::optional<double> in_flight = {}) {
     EmulatedPooler pooler;
     pooler.add_group(2);
-    pooler.hosts[EndpointId{1}] = {false, behind, true, busy, queued};
+    pooler.hosts[EndpointId{1}] = {false, replication_lag, true, cpu_utilization, in_flight};
     for (int i = 0; i < 50; ++i) {
         pooler.serve(pooler.request(kAny));
         pooler.serve(pooler.request(kBounded));
@@ -311,15 +319,15 @@
     return pooler.sends.size() - before;
 }
 
-// A replica whose cores are crowded with reads applies the log too slowly and answers as fast as ever.
-TEST(ConcurrencyLimit, AReplicaThatFallsBehindUnderReadsIsGivenFewer) {
+// A replica whose cores are busy with reads applies the log too slowly, although it answers as fast as usual.
+TEST(ConcurrencyLimit, AReplicaThatFallsBehindUnderReadsGetsFewer) {
     std::size_t usual = sent_at_once(5ms, 0.6);
     EXPECT_EQ(usual, 6u);
     EXPECT_LE(sent_at_once(150ms, 0.8), usual / 2);
-    EXPECT_LE(sent_at_once(5ms, 0.95), usual / 2);  // it will fall behind
+    EXPECT_LE(sent_at_once(5ms, 0.95), usual / 2);  // its cores are so busy that it will fall behind
     EXPECT_LE(sent_at_once(150ms, std::nullopt, 5), usual / 2);
-    // With idle cores the log stands still for another reason, and fewer reads would not help. Where nothing
-    // is reported of them nothing follows.
+    // With idle cores the lag has another cause, and fewer reads would not help. The same holds where
+    // no load is reported.
     EXPECT_EQ(sent_at_once(150ms, 0.2), usual);
     EXPECT_EQ(sent_at_once(150ms, std::nullopt, 1), usual);
     EXPECT_EQ(sent_at_once(150ms, std::nullopt), usual);
--- a/tests/policy/routing_policy_lists_test.cpp
+++ b/tests/policy/routing_policy_lists_test.cpp
@@ -1,4 +1,4 @@
-// The decision module as a whole: endpoint lists and settings.
+// The routing policy as a whole: endpoint lists and settings.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -9,7 +9,7 @@
 using namespace indigovane::policy;
 using namespace indigovane::policy::testing;
 
-TEST(EndpointLists, NothingNewToAnEndpointThatDrainsOrIsGone) {
+TEST(EndpointLists, AnEndpointThatDrainsOrIsGoneGetsNoNewRequests) {
     for (bool full : {false, true})
         for (EndpointState state : {EndpointState::draining, EndpointState::gone}) {
             EmulatedPooler pooler;
@@ -25,7 +25,7 @@
         }
 }
 
-TEST(EndpointLists, PolledListsAreWatchedAgainAfterFailureWithBackoff) {
+TEST(EndpointLists, AFailedListRequestIsRepeatedWithBackoff) {
     Settings settings = usual_settings();
     settings.endpoint_list_mode = EndpointListMode::polled;
     EmulatedPooler pooler(settings);
@@ -39,10 +39,10 @@
         pooler.apply_list(EndpointListKind::failed, {});
         pooler.advance(10s);
     }
-    EXPECT_EQ(pooler.watches, 22);  // one call for each failure
+    EXPECT_EQ(pooler.watches, 22);  // one list request per failure
 }
 
-TEST(EndpointLists, WhereRemovalDoesNotBindAnEndpointThatLeftUndrainedStaysInUse) {
+TEST(EndpointLists, WhereRemovalDoesNotBindAnEndpointThatLeftWithoutDrainingStaysInUse) {
     Settings settings = usual_settings();
     settings.removal_binds = false;
     EmulatedPooler pooler(settings);
@@ -54,8 +54,8 @@
     EXPECT_EQ(pooler.last_attempt(pooler.request(kWrite, 3s)), nullptr);
 }
 
-// 10,000 endpoints, some named twice, then hundreds of changes in one list, then one that is empty.
-TEST(EndpointLists, AHugeListIsAppliedAtOnceAndAnEmptyOneLeavesNothingToSendTo) {
+// A list of 10,000 endpoints with duplicates, then a list of 700 changes, then an empty list.
+TEST(EndpointLists, AListOf10000EndpointsIsAppliedAndAnEmptyOneLeavesNoEndpoint) {
     EmulatedPooler pooler;
     std::vector<EndpointEntry> entries;
     for (std::uint32_t i = 0; i < 10000; ++i) {
@@ -67,9 +67,9 @@
     pooler.apply_list(EndpointListKind::full, entries);
     RequestId id = pooler.request(kAny, 1s, std::nullopt, std::nullopt, 1999);
     EXPECT_GE(std::uint32_t(pooler.target(id)), 9995u);
-    EXPECT_LE(pooler.health_checks, 5);  // of its group alone
+    EXPECT_LE(pooler.health_checks, 5);  // only endpoints of its group
     pooler.serve(id);
-    for (EndpointEntry& e : entries) e.state = EndpointState::gone;
+    for (EndpointEntry& listed : entries) listed.state = EndpointState::gone;
     pooler.apply_list(EndpointListKind::changes,
                       std::vector<EndpointEntry>(entries.begin(), entries.begin() + 700));
     EXPECT_EQ(pooler.last_attempt(pooler.request(kAny, 1s, std::nullopt, std::nullopt, 3)), nullptr);
@@ -78,7 +78,7 @@
     EXPECT_EQ(pooler.last_attempt(pooler.request(kAny, 1s, std::nullopt, std::nullopt, 1999)), nullptr);
 }
 
-TEST(Settings, NothingIsDoneThatTheSettingsDoNotAllow) {
+TEST(Settings, ByDefaultNoHealthChecksListRequestsOrCancellations) {
     EmulatedPooler pooler{Settings{}};
     pooler.apply_list(EndpointListKind::full, {EmulatedPooler::entry(0)});
     pooler.request(0);
@@ -88,8 +88,8 @@
     EXPECT_TRUE(pooler.cancels.empty());
 }
 
-// Nothing is divided by them.
-TEST(Settings, ZeroAndAbsentNumbersStarveNobody) {
+// Guards against a division by a setting that is zero or absent, which would stop all requests.
+TEST(Settings, ZeroOrAbsentNumbersDoNotStopRequests) {
     for (bool absent : {false, true}) {
         Settings settings = usual_settings();
         settings.fleet_size = 0;
@@ -107,9 +107,9 @@
             if (!absent) settings.slow_start_ramp = ramp;
             EmulatedPooler pooler(settings);
             pooler.add_group(3);
-            for (std::uint32_t m : {0, 1, 2})
+            for (std::uint32_t index : {0, 1, 2})
                 pooler.apply_list(EndpointListKind::changes,
-                                  {EmulatedPooler::entry(m, EndpointState::ready, pooler.now)});
+                                  {EmulatedPooler::entry(index, EndpointState::ready, pooler.now)});
             int sent = 0;
             for (int i = 0; i < 200; ++i) {
                 RequestId id = pooler.request(kAny);
--- a/tests/policy/routing_policy_requests_test.cpp
+++ b/tests/policy/routing_policy_requests_test.cpp
@@ -1,4 +1,4 @@
-// The decision module as a whole: admission, retries and final answers.
+// The routing policy as a whole: admission, retries and final answers.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -9,7 +9,7 @@
 using namespace indigovane::policy;
 using namespace indigovane::policy::testing;
 
-TEST(Admission, NoRetryAfterWhereClientsGetNone) {
+TEST(Admission, ARejectionHasNoRetryAfterWhereTheSettingsForbidIt) {
     Settings settings = usual_settings();
     settings.may_send_retry_after = false;
     EmulatedPooler pooler(settings);
@@ -19,25 +19,26 @@
     EXPECT_FALSE(pooler.retry_after.has_value());
 }
 
-// Rejected with time left, its client comes again and finds a replica; sent at the last moment it is late.
-TEST(Admission, AQueuedReadIsGivenUpFourAnswerTimesBeforeItsLatencyObjective) {
+// If the read is rejected with time left, its client can retry and find a replica. If it is sent at the last
+// moment, its answer is late.
+TEST(Admission, AQueuedReadIsRejectedFourUsualLatenciesBeforeItsLatencyObjective) {
     EmulatedPooler pooler;
     pooler.add_group(2);
-    for (int i = 0; i < 50; ++i) {  // answers of class `any` take 50 ms
+    for (int i = 0; i < 50; ++i) {  // any reads take 50 ms
         RequestId id = pooler.request(kAny);
         pooler.advance(50ms);
         pooler.end_attempt(id, AttemptStatus::ok, Role::replica, pooler.now);
     }
-    while (pooler.last_attempt(pooler.request(kAny))) {  // until its window is full
+    while (pooler.last_attempt(pooler.request(kAny))) {  // until the replica's window is full
     }
     RequestId queued = pooler.request(kAny);
     pooler.advance(150ms);
-    EXPECT_FALSE(pooler.answered(queued));
+    EXPECT_FALSE(pooler.has_final_answer(queued));
     pooler.advance(60ms);
-    EXPECT_TRUE(pooler.answered(queued));
+    EXPECT_TRUE(pooler.has_final_answer(queued));
 }
 
-// Else a class of slow answers would be rejected on arrival, every request of it.
+// Without a minimum queueing time, every read of a class with slow answers would be rejected on arrival.
 TEST(Admission, AReadIsQueuedLongEnoughForAnOnDemandCheck) {
     EmulatedPooler pooler;
     pooler.add_group(3);
@@ -52,12 +53,13 @@
     EXPECT_NE(pooler.last_attempt(id), nullptr);
 }
 
-// Clients that leave after 32 ms and come again at once. A request with all its time is never rejected so.
-TEST(Admission, AnAttemptThatEndsBeforeAnAnswerUsuallyComesIsRejectedAtOnce) {
+// Clients leave after 32 ms and retry immediately, so that work for them is wasted. A request with its full
+// timeout is never rejected for this reason.
+TEST(Admission, ARequestWhoseTimeoutIsBelowTheUsualLatencyIsRejectedOnArrival) {
     EmulatedPooler pooler;
     pooler.add_group(3);
     for (std::uint32_t request_class : {kBounded, kSession, kWrite}) {
-        RequestId unknown = pooler.request(request_class, 32ms);  // how long an answer takes is not known yet
+        RequestId unknown = pooler.request(request_class, 32ms);  // the latency is not known yet
         EXPECT_FALSE(pooler.final_answers.contains(unknown));
         pooler.serve(unknown);
         RequestId early = pooler.request(request_class, 32ms);
@@ -66,7 +68,7 @@
         EXPECT_FALSE(pooler.final_answers.contains(full));
         pooler.end_attempt(full, AttemptStatus::ok);
     }
-    // However long answers take, an attempt with half of its objective left is admitted.
+    // An attempt with half of its latency objective left is admitted, however long answers take.
     for (int i = 0; i < 100; ++i) {
         RequestId slow = pooler.request(kWrite, 3s);
         pooler.advance(900ms);
@@ -76,30 +78,31 @@
     EXPECT_FALSE(pooler.final_answers.contains(id));
 }
 
-// The short timeout of some clients may become the usual one; first attempts of the others are no late ones.
-TEST(Admission, AFirstAttemptHasAllItsTimeWhereClientsMarkRetries) {
+// The short timeout of some clients may become the usual one. First attempts of other clients must not be
+// taken for late retries because of that.
+TEST(Admission, AnUnmarkedRequestHasItsWholeObjectiveWhereClientsMarkRetries) {
     EmulatedPooler pooler;
     pooler.add_group(3);
-    pooler.feed(RequestArrival{RequestId{900}, ClassId{kBounded}, GroupId{1}, 60ms, {}, {}, true});
+    pooler.deliver(RequestArrival{RequestId{900}, ClassId{kBounded}, GroupId{1}, 60ms, {}, {}, true});
     for (int i = 0; i < 20; ++i) pooler.request(kBounded, 60ms);
     RequestId first = pooler.request(
-        kBounded, 550ms);  // 450 ms of the deadline would have passed, longer than the objective
+        kBounded, 550ms);  // as a retry, 450 ms of its deadline would have passed: more than the objective
     EXPECT_FALSE(pooler.final_answers.contains(first));
 }
 
-TEST(Admission, ATimeoutThatJittersIsNoLateRetry) {
+TEST(Admission, ATimeoutWithJitterIsNotTakenForALateRetry) {
     EmulatedPooler pooler;
     pooler.add_group(3);
     for (int i = 0; i < 40; ++i) {
         RequestId id = pooler.request(kBounded, 500ms + Duration(100 * (i * 7 % 40)));
-        EXPECT_FALSE(pooler.answered(id));
+        EXPECT_FALSE(pooler.has_final_answer(id));
         pooler.serve(id);
     }
-    RequestId late = pooler.request(kBounded, 300ms);  // 700 of 1000 ms have passed, the objective was 400
+    RequestId late = pooler.request(kBounded, 300ms);  // 700 of 1000 ms have passed; the objective is 400 ms
     EXPECT_EQ(pooler.final_answers[late], "rejected");
 }
 
-TEST(Admission, PriorityWeightDecidesWhoGetsThePrimaryFirst) {
+TEST(Admission, TheRequestWithTheHigherPriorityWeightGetsThePrimaryFirst) {
     Settings settings = usual_settings();
     settings.classes[kWrite].priority_weight = 6;
     EmulatedPooler pooler(settings);
@@ -113,15 +116,16 @@
     EXPECT_EQ(pooler.sends.front().id, write);
 }
 
-// Each pooler sees few answers of a group, some late for the work of the request alone.
-TEST(Admission, LateAnswersOfAFewRequestsRejectNoReads) {
+// In a large fleet each pooler gets few answers of a group. Some are late because the request itself takes
+// long, not because the endpoint is overloaded.
+TEST(Admission, AFewLateAnswersDoNotCauseRejections) {
     Settings settings = usual_settings();
     settings.fleet_size = 100;
     EmulatedPooler pooler(settings);
     pooler.add_group(4);
     for (int i = 0; i < 400; ++i) {
         RequestId id = pooler.request(kAny);
-        EXPECT_FALSE(pooler.answered(id));
+        EXPECT_FALSE(pooler.has_final_answer(id));
         pooler.now += i % 10 == 0 ? 600ms : 100ms;
         pooler.end_attempt(id, AttemptStatus::ok, Role::replica, pooler.now);
     }
@@ -130,14 +134,14 @@
 TEST(FinalAnswer, AQueuedWriteIsAnsweredBeforeItsDeadline) {
     EmulatedPooler pooler;
     pooler.apply_list(EndpointListKind::full,
-                      {EmulatedPooler::entry(1), EmulatedPooler::entry(2)});  // nobody is primary
+                      {EmulatedPooler::entry(1), EmulatedPooler::entry(2)});  // no endpoint is primary
     RequestId id = pooler.request(kWrite, 900ms);
     pooler.advance(899ms);
     EXPECT_EQ(pooler.final_answers[id], "rejected");
     EXPECT_EQ(pooler.last_attempt(id), nullptr);
 }
 
-TEST(FinalAnswer, AnUnansweredWriteFailsInTimeAndIsNotSentAgain) {
+TEST(FinalAnswer, AnUnansweredWriteFailsBeforeItsDeadlineAndIsNotRetried) {
     EmulatedPooler pooler;
     pooler.add_group(3);
     RequestId id = pooler.request(kWrite, 700ms);
@@ -148,17 +152,17 @@
     EXPECT_EQ(pooler.attempts[id], 1u);
 }
 
-TEST(FinalAnswer, NothingIsOwedToAClientThatLeft) {
+TEST(FinalAnswer, ACancelledRequestGetsNoFinalAnswer) {
     EmulatedPooler pooler;
     pooler.apply_list(EndpointListKind::full, {EmulatedPooler::entry(1)});
     RequestId id = pooler.request(kWrite, 900ms);
-    pooler.feed(RequestCancelled{id});
+    pooler.deliver(RequestCancelled{id});
     pooler.advance(2s);
-    EXPECT_FALSE(pooler.answered(id));
+    EXPECT_FALSE(pooler.has_final_answer(id));
     EXPECT_EQ(pooler.last_attempt(id), nullptr);
 }
 
-TEST(FinalAnswer, EmptyListUnknownGroupAndUnknownClassAreAnswered) {
+TEST(FinalAnswer, WithoutAListOrWithAnUnknownClassRequestsAreRejected) {
     EmulatedPooler pooler;
     pooler.apply_list(EndpointListKind::cached, {});
     std::vector<RequestId> ids;
@@ -169,14 +173,14 @@
     for (RequestId id : ids) EXPECT_EQ(pooler.final_answers[id], "rejected");
 }
 
-TEST(FinalAnswer, AnIdMayComeBackAfterItsRequestIsOver) {
+TEST(FinalAnswer, ARequestIdMayBeReusedAfterItsRequestHasFinished) {
     EmulatedPooler pooler;
     pooler.add_group(3);
     RequestId id = pooler.request(kBounded);
     pooler.serve(id);
     pooler.final_answers.clear();
     pooler.attempts.clear();
-    pooler.feed(RequestArrival{id, ClassId{kBounded}, GroupId{1}, 1s, {}, {}, false});
+    pooler.deliver(RequestArrival{id, ClassId{kBounded}, GroupId{1}, 1s, {}, {}, false});
     EXPECT_EQ(pooler.last_attempt(id)->attempt, 0u);
     pooler.serve(id);
     EXPECT_EQ(pooler.final_answers[id], "served");
@@ -195,8 +199,8 @@
     }
 }
 
-// An answer of old data, or a rejection behind a row, is no proof that a statement never ran.
-TEST(RetryPolicy, WhatIsKnownToHaveRunIsNeitherRetriedNorRejectedWhateverTheStatus) {
+// An answer with old data, or a rejection after a row, does not prove that the statement never ran.
+TEST(RetryPolicy, EvidenceOfExecutionPreventsRetryAndRejectionWhateverTheStatus) {
     struct Case {
         AttemptStatus status;
         Execution evidence;
@@ -216,7 +220,7 @@
     }
 }
 
-TEST(RetryPolicy, AnIdempotentReadWhoseAnswerWasTooOldGoesElsewhere) {
+TEST(RetryPolicy, AnIdempotentReadWithAStaleAnswerIsRetriedAtAnotherReplica) {
     EmulatedPooler pooler;
     pooler.add_group(3);
     RequestId id = pooler.request(kAny, 3s);
@@ -227,26 +231,26 @@
     EXPECT_NE(pooler.target(id), first);
 }
 
-TEST(RetryPolicy, AWriteRejectedBeforeItRanGoesToTheNewPrimary) {
+TEST(RetryPolicy, AWriteThatADemotedPrimaryDidNotExecuteGoesToTheNewPrimary) {
     EmulatedPooler pooler;
     pooler.add_group(3);
     RequestId id = pooler.request(kWrite, 3s);
     pooler.hosts[kPrimary] = {false, 0ms, true};
     pooler.end_attempt(id, AttemptStatus::miss, Role::replica, pooler.now);
     pooler.advance(500ms);
-    EXPECT_EQ(pooler.attempts[id], 1u);  // queued: nobody claims to be primary
-    pooler.hosts[EndpointId{2}].primary = true;
+    EXPECT_EQ(pooler.attempts[id], 1u);  // it is queued: no endpoint claims to be primary
+    pooler.hosts[EndpointId{2}].is_primary = true;
     pooler.advance(500ms);
     EXPECT_EQ(pooler.target(id), EndpointId{2});
 }
 
-TEST(RetryPolicy, AWriteWithAnIdempotencyKeyIsRetriedWithinItsWindowOnly) {
+TEST(RetryPolicy, AWriteWithAnIdempotencyKeyIsRetriedOnlyWithinItsDeduplicationWindow) {
     EmulatedPooler pooler(usual_settings(Idempotency::idempotency_key));
     pooler.add_group(3);
     RequestId id = pooler.request(kWrite, 3s);
     pooler.end_attempt(id, AttemptStatus::error, Role::primary, pooler.now);
     EXPECT_EQ(pooler.attempts[id], 2u);
-    // The second attempt is rejected after the window of the first has closed.
+    // The second attempt ends without execution after the deduplication window of the first has ended.
     pooler.now += 1100ms;
     pooler.end_attempt(id, AttemptStatus::miss, Role::primary, pooler.now);
     pooler.advance(1s);
@@ -254,22 +258,23 @@
     EXPECT_EQ(pooler.final_answers[id], "failed");
 }
 
-// The window closes while the write is queued, before a primary is found.
-TEST(RetryPolicy, AWriteWithAnIdempotencyKeyQueuedPastItsWindowIsNotSent) {
+// The deduplication window ends while the write is queued, before a primary is found. A retry after that
+// could run the write twice.
+TEST(RetryPolicy, AWriteWithAnIdempotencyKeyQueuedPastItsDeduplicationWindowIsNotSent) {
     EmulatedPooler pooler(usual_settings(Idempotency::idempotency_key));
     pooler.add_group(3);
     RequestId id = pooler.request(kWrite, 3s);
     pooler.hosts[kPrimary] = {false, 0ms, false};
-    pooler.feed(HealthCheckResult{kPrimary, AttemptStatus::unreachable, 1ms, {}});
+    pooler.deliver(HealthCheckResult{kPrimary, AttemptStatus::unreachable, 1ms, {}});
     pooler.end_attempt(id, AttemptStatus::reset);
     pooler.advance(1500ms);
-    pooler.hosts[EndpointId{1}].primary = true;
+    pooler.hosts[EndpointId{1}].is_primary = true;
     pooler.advance(1s);
     EXPECT_EQ(pooler.attempts[id], 1u);
     EXPECT_EQ(pooler.final_answers[id], "failed");
 }
 
-TEST(RetryPolicy, NeverTwoAttemptsInFlight) {
+TEST(RetryPolicy, AtMostOneAttemptIsInFlight) {
     EmulatedPooler pooler;
     pooler.add_group(4);
     RequestId id = pooler.request(kBounded);
@@ -277,7 +282,7 @@
     EXPECT_EQ(pooler.attempts[id], 1u);
 }
 
-TEST(RetryPolicy, AttemptsAreLimited) {
+TEST(RetryPolicy, NoMoreAttemptsAreSentThanTheSettingsAllow) {
     Settings settings = usual_settings();
     settings.max_attempts = 2;
     EmulatedPooler pooler(settings);
--- a/tests/policy/session_tokens_test.cpp
+++ b/tests/policy/session_tokens_test.cpp
@@ -17,7 +17,7 @@
     CHECK(store.token(std::nullopt) == Time{});
 }
 
-TEST_CASE("a token that is forgotten after a minute becomes a floor under all session reads") {
+TEST_CASE("a token that is forgotten after a minute becomes the floor of all session reads") {
     SessionTokenStore store;
     store.remember(SessionKey{1}, kStart, kStart);
     store.remember(SessionKey{2}, kStart + 61s, kStart + 61s);
@@ -28,7 +28,7 @@
     CHECK(store.snapshot().floor == kStart);
 }
 
-TEST_CASE("no more than 50000 tokens are remembered, and none is lost without raising the floor") {
+TEST_CASE("at most 50000 tokens are remembered, and a forgotten one raises the floor") {
     SessionTokenStore store;
     for (std::uint64_t i = 0; i < 50001; ++i) store.remember(SessionKey{i}, kStart + Duration(i), kStart);
     CHECK(store.snapshot().commits.size() == 50000);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -27,13 +27,13 @@
     CHECK_FALSE(in_slow_start(kStart, Settings{}, kStart));
 }
 
-TEST_CASE("the share grows linearly, and stays below what would overload the endpoint") {
+TEST_CASE("the available share grows linearly, and stays below what would overload the endpoint") {
     CHECK(available_share(kStart, ramp_settings(), kStart) == doctest::Approx(0.56 * 2 * 0.2));
     CHECK(available_share(kStart, ramp_settings(), kStart + 5s) == doctest::Approx(0.56 * 2 * 0.6));
     CHECK(available_share(kStart, ramp_settings(), kStart - 1s) == doctest::Approx(0.56 * 2 * 0.2));
 }
 
-TEST_CASE("an endpoint in slow start has capacity for the requests whose draw lies under its share") {
+TEST_CASE("an endpoint in slow start has capacity for requests whose random number is below its share") {
     EndpointTable table = make_table(3);
     ReplicaGroup& group = *table.find_group(GroupId{1});
     Endpoint& primary = *table.find(EndpointId{0});
@@ -44,14 +44,14 @@
     Request read = make_request(class_settings(Consistency::any), 4, 0.22);
     CHECK(has_capacity(primary, {group, &primary, 1}, write, ramp_settings(), kStart));
     CHECK(has_capacity(replica, {group, &primary, 2}, read, ramp_settings(), kStart));
-    // Drawn alone, a replica gets no more than its part of the group's reads.
+    // As the only candidate, a replica gets no more than its part of the group's reads.
     CHECK_FALSE(has_capacity(replica, {group, &primary, 1}, read, ramp_settings(), kStart));
     write.slow_start_draw = 0.23;
     CHECK_FALSE(has_capacity(primary, {group, &primary, 1}, write, ramp_settings(), kStart));
     CHECK(has_capacity(primary, {group, &primary, 1}, write, ramp_settings(), kStart + 5s));
 }
 
-TEST_CASE("a primary's window is open to reads by three quarters") {
+TEST_CASE("reads may use three quarters of a primary's window") {
     EndpointTable table = make_table(2);
     ReplicaGroup& group = *table.find_group(GroupId{1});
     Endpoint& primary = *table.find(EndpointId{0});
