--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -28,12 +28,12 @@
     /// Whether one more request fits. `share`: the part of the window, 0 to 1, that is open to this request.
     bool admits(int in_flight, double share) const { return in_flight < std::max(1.0, window_ * share); }
 
-    /// The end of an attempt. `answered`: it ended with an answer; otherwise with a timeout
+    /// The end of an attempt. `is_answered`: it ended with an answer; otherwise with a timeout
     /// or a cancellation.
     struct Sample {
         Duration latency;
         Duration latency_objective;
-        bool answered;
+        bool is_answered;
         int in_flight;  ///< at the endpoint, without this one
     };
     void record_latency(const Sample& sample, Time now);
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -62,10 +62,10 @@
         endpoint.started = entry.started;
         endpoint.limit.restart();
     }
-    bool ready = entry.state == EndpointState::ready;
-    bool gone = entry.state == EndpointState::gone;
-    endpoint.is_draining = entry.state == EndpointState::draining || (endpoint.is_draining && gone);
-    endpoint.is_listed = ready || (gone && !removal_binds && !endpoint.is_draining);
+    bool is_ready = entry.state == EndpointState::ready;
+    bool is_gone = entry.state == EndpointState::gone;
+    endpoint.is_draining = entry.state == EndpointState::draining || (endpoint.is_draining && is_gone);
+    endpoint.is_listed = is_ready || (is_gone && !removal_binds && !endpoint.is_draining);
 }
 
 void EndpointTable::forget_endpoints(Time now, const std::function<bool(const Endpoint&)>& is_referenced) {
@@ -73,9 +73,9 @@
         Endpoint& endpoint = it->second;
         if (endpoint.is_listed) endpoint.unlisted_since.reset();
         if (!endpoint.is_listed && !endpoint.unlisted_since) endpoint.unlisted_since = now;
-        bool expired = endpoint.unlisted_since && now - *endpoint.unlisted_since > kUnlistedRetention;
-        bool idle = endpoint.in_flight == 0 && !endpoint.health_check.is_in_flight();
-        if (expired && idle && !is_referenced(endpoint)) {
+        bool is_expired = endpoint.unlisted_since && now - *endpoint.unlisted_since > kUnlistedRetention;
+        bool is_idle = endpoint.in_flight == 0 && !endpoint.health_check.is_in_flight();
+        if (is_expired && is_idle && !is_referenced(endpoint)) {
             std::erase(group_of(endpoint).endpoints, &endpoint);
             it = endpoints_.erase(it);
         } else {
--- a/src/policy/engine.cpp
+++ b/src/policy/engine.cpp
@@ -32,12 +32,12 @@
 void Engine::handle(Time now, const Event& event, Actions& out) {
     now_ = now;
     actions_ = &out;
-    start();
+    start_list_polling();
     std::visit([this](const auto& typed_event) { on_event(typed_event); }, event);
 }
 
 /// The first event starts the poll of the endpoint list, if it has to be polled.
-void Engine::start() {
+void Engine::start_list_polling() {
     if (has_started_) return;
     has_started_ = true;
     if (settings_.endpoint_list_mode.value_or(EndpointListMode::pushed) == EndpointListMode::polled)
@@ -118,12 +118,12 @@
     Endpoint* endpoint = endpoints_.find(outcome.endpoint);
     if (!endpoint) return;
     Request* request = requests_.find(outcome.id);
-    bool response_started = request && request->has_response_started();
+    bool has_response_started_before = request && request->has_response_started();
     RequestClass* request_class = request ? request->request_class.get() : nullptr;
-    if (!response_started) endpoint->in_flight = std::max(0, endpoint->in_flight - 1);
+    if (!has_response_started_before) endpoint->in_flight = std::max(0, endpoint->in_flight - 1);
     observe_answer(*endpoint, outcome, request_class);
-    bool failed = outcome.status == AttemptStatus::error || outcome.status == AttemptStatus::reset;
-    if (!response_started || failed) observe_health(*endpoint, outcome, request_class);
+    bool has_failed = outcome.status == AttemptStatus::error || outcome.status == AttemptStatus::reset;
+    if (!has_response_started_before || has_failed) observe_health(*endpoint, outcome, request_class);
     ReplicaGroup& group = endpoints_.group_of(*endpoint);
     if (request) complete_attempt(group, *request, outcome);
     dispatch_queued(group);
@@ -139,13 +139,13 @@
 void Engine::on_event(const HealthCheckResult& result) {
     Endpoint* endpoint = endpoints_.find(result.endpoint);
     if (!endpoint) return;
-    bool unreachable = endpoint->health_check.record_result(result.status);
-    bool ok = result.status == AttemptStatus::ok;
-    if (ok) {
+    bool is_unreachable = endpoint->health_check.record_result(result.status);
+    bool is_ok = result.status == AttemptStatus::ok;
+    if (is_ok) {
         endpoint->round_trip.record(result.latency);
         observe_report(*endpoint, result.report);
     }
-    apply_ejection_change(*endpoint, endpoint->ejection.record_health_check(ok, unreachable, now_));
+    apply_ejection_change(*endpoint, endpoint->ejection.record_health_check(is_ok, is_unreachable, now_));
     dispatch_queued(endpoints_.group_of(*endpoint));
 }
 
--- a/src/policy/engine.hpp
+++ b/src/policy/engine.hpp
@@ -49,7 +49,7 @@
 
   private:
     // Events.
-    void start();
+    void start_list_polling();
     void on_event(const EndpointList& list);
     void on_event(const RequestArrival& arrival);
     void on_event(const AttemptOutcome& outcome);
--- a/src/policy/engine_maintenance.cpp
+++ b/src/policy/engine_maintenance.cpp
@@ -25,10 +25,10 @@
 void Engine::maintain_groups() {
     for (ReplicaGroup* group : maintained_groups_) {
         maintain(*group);
-        bool busy =
+        bool is_busy =
             std::ranges::any_of(group->endpoints, [](const Endpoint* it) { return it->in_flight > 0; });
         group->is_maintained =
-            busy || !group->queue.empty() ||
+            is_busy || !group->queue.empty() ||
             is_in_steady_use(*group, health_check_interval_, health_check_cost(settings_), now_);
     }
     std::erase_if(maintained_groups_, [](const ReplicaGroup* group) { return !group->is_maintained; });
--- a/src/policy/engine_observations.cpp
+++ b/src/policy/engine_observations.cpp
@@ -29,8 +29,8 @@
     ReplicationState& replication = endpoint.replication;
     if (report.position) {
         replication.record_position(*report.position, now_);
-        bool tells_load = report.cpu_utilization || report.in_flight;
-        if (tells_load && &endpoint != known_primary(endpoints_.group_of(endpoint)))
+        bool has_load = report.cpu_utilization || report.in_flight;
+        if (has_load && &endpoint != known_primary(endpoints_.group_of(endpoint)))
             endpoint.limit.record_replication_lag(report, strictest_bound(health_check_interval_),
                                                   endpoint.in_flight, now_);
     }
@@ -61,17 +61,18 @@
 }
 
 void Engine::observe_latency(Endpoint& endpoint, const AttemptOutcome& outcome, RequestClass& request_class) {
-    bool answered = outcome.status == AttemptStatus::ok;
-    bool given_up = outcome.status == AttemptStatus::timeout || outcome.status == AttemptStatus::cancelled;
-    if (!answered && !given_up) return;
-    if (answered) request_class.record_latency(to_milliseconds(outcome.latency));
+    bool is_answered = outcome.status == AttemptStatus::ok;
+    bool was_given_up =
+        outcome.status == AttemptStatus::timeout || outcome.status == AttemptStatus::cancelled;
+    if (!is_answered && !was_given_up) return;
+    if (is_answered) request_class.record_latency(to_milliseconds(outcome.latency));
     endpoint.limit.record_latency(
-        {outcome.latency, request_class.latency_objective, answered, endpoint.in_flight}, now_);
+        {outcome.latency, request_class.latency_objective, is_answered, endpoint.in_flight}, now_);
 }
 
 void Engine::eject(Endpoint& endpoint, Fault fault) {
-    bool newly = endpoint.ejection.eject(fault, now_);
-    apply_ejection_change(endpoint, {false, newly});
+    bool is_new = endpoint.ejection.eject(fault, now_);
+    apply_ejection_change(endpoint, {false, is_new});
 }
 
 void Engine::apply_ejection_change(Endpoint& endpoint, const EjectionChange& change) {
--- a/src/policy/engine_requests.cpp
+++ b/src/policy/engine_requests.cpp
@@ -95,12 +95,12 @@
 /// of a write that failed but may have run counts as a commit now.
 void Engine::remember_write(const Request& request, const AttemptOutcome& outcome) {
     if (!request.session || !request.is_write_of(*request.session)) return;
-    bool ok = outcome.status == AttemptStatus::ok;
-    bool unresolved =
-        !endpoints_check_staleness(settings_) && !ok && outcome.execution() != Execution::never_ran;
-    if (unresolved)
+    bool is_ok = outcome.status == AttemptStatus::ok;
+    bool may_have_committed =
+        !endpoints_check_staleness(settings_) && !is_ok && outcome.execution() != Execution::never_ran;
+    if (may_have_committed)
         session_tokens_.remember(*request.session, now_, now_);
-    else if (outcome.is_request_finished && ok && outcome.position)
+    else if (outcome.is_request_finished && is_ok && outcome.position)
         session_tokens_.remember(*request.session, *outcome.position, now_);
 }
 
@@ -108,8 +108,8 @@
 /// sets the timer again.
 void Engine::review(Request& request) {
     if (request.phase() == Request::Phase::finished || request.has_response_started()) return;
-    bool queued = request.phase() == Request::Phase::queued;
-    Time next = queued ? queue_deadline(request) : request.answer_due();
+    bool is_queued = request.phase() == Request::Phase::queued;
+    Time next = is_queued ? queue_deadline(request) : request.answer_due();
     if (now_ >= next || now_ >= request.answer_due())
         send_final_answer(request);
     else
@@ -119,11 +119,11 @@
 /// Gives the final answer immediately: a rejection if a retry by the client is harmless, else a failure.
 void Engine::send_final_answer(Request& request) {
     cancel_attempts(request);
-    bool late = now_ >= request.answer_due();
+    bool is_past_deadline = now_ >= request.answer_due();
     if (rejection_is_harmless(request))
-        append_action(RejectRequest{request.id, retry_after(settings_), late});
+        append_action(RejectRequest{request.id, retry_after(settings_), is_past_deadline});
     else
-        append_action(FailRequest{request.id, late});
+        append_action(FailRequest{request.id, is_past_deadline});
     finish(request);
 }
 
--- a/tests/policy/link_example.cpp
+++ b/tests/policy/link_example.cpp
@@ -1,4 +1,4 @@
-// The example of README.md, compiled and run as a test.
+// A minimal user of the routing policy, which links nothing else of this project. Compiled and run as a test.
 #include <gtest/gtest.h>
 
 #include "policy/routing_policy.hpp"
@@ -33,8 +33,8 @@
     policy.handle(now, read, actions);
 
     bool sent = false;
-    for (const Action& action :
-         actions)  // a pooler performs them all: sends, health checks, timers, final answers
+    // A pooler performs all actions: sends, health checks, timers, final answers.
+    for (const Action& action : actions)
         if (const auto* send = std::get_if<SendAttempt>(&action)) sent = send->endpoint == EndpointId{2};
     EXPECT_TRUE(sent);
 }
