--- a/src/policy/events.hpp
+++ b/src/policy/events.hpp
@@ -25,14 +25,17 @@
     std::optional<double> cpu_utilization;  ///< share of its cores in use, 0 to 1
 };
 
+/// What an EndpointList contains.
 enum class EndpointListKind {
     changes,  ///< only the entries that changed
     full,     ///< the complete list, from discovery
     cached,   ///< a complete list from a cache, which may be old
     failed    ///< the list could not be retrieved; no entries
 };
+/// What the list says about an endpoint: it takes new requests, only finishes those in flight, or has left.
 enum class EndpointState { ready, draining, gone };
 
+/// One endpoint in an endpoint list.
 struct EndpointEntry {
     EndpointId endpoint{};
     GroupId group{};
@@ -48,6 +51,7 @@
     std::vector<EndpointEntry> entries;
 };
 
+/// A client's request has arrived. It leads to exactly one final answer.
 struct RequestArrival {
     RequestId id{};
     ClassId request_class{};
@@ -59,6 +63,7 @@
     bool is_retry = false;                     ///< the client marks this request as a retry of its own
 };
 
+/// An attempt has ended.
 struct AttemptOutcome {
     RequestId id{};
     std::uint32_t attempt = 0;  ///< index of the request's SendAttempt, from 0
@@ -113,7 +118,7 @@
 /// The last commit of each session, the oldest first, as another process of the same pooler remembers them.
 struct SessionTokens {
     std::vector<std::pair<SessionKey, Time>> commits;
-    Time floor{};  ///< position that reads of all other sessions must see
+    Time floor{};  ///< position that all session reads must see, also of sessions without a commit here
 };
 
 /// Another pooler reports that the endpoint acts as primary.
--- a/src/policy/request_state.hpp
+++ b/src/policy/request_state.hpp
@@ -23,6 +23,7 @@
 
 /// One attempt of a request at an endpoint.
 struct Attempt {
+    /// `response_started`: the client receives the answer.
     enum class Progress { awaiting_response, response_started, ended };
 
     Endpoint* endpoint;
@@ -41,6 +42,7 @@
     int count = 0;  ///< checks sent for this read so far
 };
 
+/// A request with its attempts. Times are on the caller's clock.
 class Request {
   public:
     enum class Phase { arrived, queued, in_flight, finished };
--- a/src/policy/settings.hpp
+++ b/src/policy/settings.hpp
@@ -27,6 +27,7 @@
     std::optional<double> late_share;
 };
 
+/// All settings of a RoutingPolicy.
 struct Settings {
     std::vector<ClassSettings> classes;       ///< by ClassId
     std::optional<std::uint32_t> fleet_size;  ///< poolers that send to the same endpoints; default 1
