--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -10,22 +10,25 @@
 
 using std::chrono::milliseconds;
 
-/// Of a request's time: rejected later, it leaves its client no time to come again.
-constexpr double kQueueShare = 0.45;
-/// Enough for an on-demand check of a replica or two: else a class of slow answers would be rejected on
-/// arrival.
-constexpr Duration kLeastQueueTime = milliseconds(50);
-/// Usual answer times that a queued read keeps in hand.
-constexpr double kAnswerTimesInHand = 4;
-/// A read is to be on a connection after this part of what is left of its objective.
-constexpr int kStartsPerObjective = 4;
-constexpr Duration kLeastStartTime = milliseconds(25);
-/// A replication lag or a primary change lasts longer.
+/// Share of the client's timeout for which a request may be queued. The rest leaves the client
+/// time for a retry.
+constexpr double kMaxQueueShare = 0.45;
+/// Every read may be queued for this long, which suffices for on-demand checks of one or two replicas.
+/// Without it, all reads of a class with slow answers would be rejected on arrival.
+constexpr Duration kMinQueueTime = milliseconds(50);
+/// A read is queued only while at least this many usual latencies are left of its latency objective.
+constexpr double kReservedAnswerTimes = 4;
+/// A read must be on a connection within 1 / kStartPartsPerObjective of the time left until its
+/// latency objective.
+constexpr int kStartPartsPerObjective = 4;
+/// A read has at least this long to be on a connection.
+constexpr Duration kMinStartTime = milliseconds(25);
+/// Retry-After of rejections. Replication lag and a change of the primary last longer than this.
 constexpr Duration kRetryAfter = milliseconds(250);
 
 Time latest_useful_dispatch(const Request& request) {
     return request.arrived +
-           from_milliseconds(to_milliseconds(request.deadline - request.arrived) * kQueueShare);
+           from_milliseconds(to_milliseconds(request.deadline - request.arrived) * kMaxQueueShare);
 }
 
 Duration usual_latency(const Request& request) {
@@ -54,16 +57,17 @@
 Time queue_deadline(const Request& request) {
     if (request.request_class->needs_primary())
         return std::min(request.answer_due() - usual_latency(request), latest_useful_dispatch(request));
-    Duration in_hand = from_milliseconds(request.request_class->usual_latency_ms * kAnswerTimesInHand);
-    return std::max(request.arrived + kLeastQueueTime, request.latency_objective - in_hand);
+    Duration in_hand = from_milliseconds(request.request_class->usual_latency_ms * kReservedAnswerTimes);
+    return std::max(request.arrived + kMinQueueTime, request.latency_objective - in_hand);
 }
 
 Time attempt_start_deadline(const Request& request, Time now) {
     Time start_by = std::min(latest_useful_dispatch(request), retry_deadline(request));
-    // Others can serve a read within its objective: it does not wait out a connection that does not come up.
+    // Another replica can serve a read within its objective, so it does not wait for a connection that
+    // is not established.
     if (!request.request_class->needs_primary()) {
-        Duration part = (request.latency_objective - now) / kStartsPerObjective;
-        start_by = std::min(start_by, now + std::max(kLeastStartTime, part));
+        Duration part = (request.latency_objective - now) / kStartPartsPerObjective;
+        start_by = std::min(start_by, now + std::max(kMinStartTime, part));
     }
     return start_by;
 }
@@ -80,7 +84,7 @@
 }
 
 std::optional<Duration> retry_after(const Settings& settings) {
-    if (!settings.retry_after.value_or(false)) return std::nullopt;
+    if (!settings.may_send_retry_after.value_or(false)) return std::nullopt;
     return std::min(kRetryAfter, settings.max_retry_after.value_or(kRetryAfter));
 }
 
--- a/src/policy/endpoint_capacity.cpp
+++ b/src/policy/endpoint_capacity.cpp
@@ -7,7 +7,7 @@
 namespace indigovane::policy {
 namespace {
 
-/// Of a primary's window, the share open to reads that no replica could serve.
+/// Share of a primary's window that is open to reads which no replica can serve.
 constexpr double kReadShareOfPrimary = 0.75;
 
 }  // namespace
@@ -15,16 +15,16 @@
 bool has_capacity(const Endpoint& endpoint, const CapacityContext& context, const Request& request,
                   const Settings& settings, Time now) {
     bool needs_primary = request.request_class->needs_primary();
-    // An ejected endpoint gets trials alone, which outlier_ejection.hpp counts out.
-    if (!endpoint.ejection.ejected()) {
+    // An ejected endpoint gets only trials, whose number outlier ejection limits.
+    if (!endpoint.ejection.is_ejected()) {
         double share = needs_primary || &endpoint != context.primary ? 1 : kReadShareOfPrimary;
         if (!endpoint.limit.admits(endpoint.in_flight, share)) return false;
     }
     if (!in_slow_start(endpoint.started, settings, now)) return true;
-    double share = ready_share(*endpoint.started, settings, now);
-    if (needs_primary) return request.draw < share;
-    double replicas = double(std::ranges::count_if(context.group.endpoints, &Endpoint::listed)) - 1.0;
-    return request.draw < share * std::min(1.0, double(context.candidates) / replicas);
+    double share = available_share(*endpoint.started, settings, now);
+    if (needs_primary) return request.slow_start_draw < share;
+    double replicas = double(std::ranges::count_if(context.group.endpoints, &Endpoint::is_listed)) - 1.0;
+    return request.slow_start_draw < share * std::min(1.0, double(context.candidates) / replicas);
 }
 
 }  // namespace indigovane::policy
--- a/src/policy/engine.cpp
+++ b/src/policy/engine.cpp
@@ -32,16 +32,16 @@
 void Engine::handle(Time now, const Event& event, Actions& out) {
     now_ = now;
     actions_ = &out;
-    start();
+    start_list_polling();
     std::visit([this](const auto& typed_event) { on_event(typed_event); }, event);
 }
 
-/// Timers begin with the first event, which is the list.
-void Engine::start() {
-    if (started_) return;
-    started_ = true;
+/// The first event starts the poll of the endpoint list, if it has to be polled.
+void Engine::start_list_polling() {
+    if (has_started_) return;
+    has_started_ = true;
     if (settings_.endpoint_list_mode.value_or(EndpointListMode::pushed) == EndpointListMode::polled)
-        act(SetTimer{kEndpointListTimer, EndpointListPoll::first_delay(fleet_size(), random_)});
+        append_action(SetTimer{kEndpointListTimer, EndpointListPoll::first_delay(fleet_size(), random_)});
 }
 
 double Engine::fleet_size() const {
@@ -50,14 +50,14 @@
 
 void Engine::log(std::string text) {
     if (logged_at_ && now_ - *logged_at_ < kLogInterval) return;
-    act(LogMessage{std::move(text)});
+    append_action(LogMessage{std::move(text)});
     logged_at_ = now_;
 }
 
 void Engine::on_event(const EndpointList& list) {
     if (list.kind == EndpointListKind::failed) {
-        act(SetTimer{kEndpointListTimer, list_poll_.retry_delay(random_)});
-        log("list call failed; keeping the last list");
+        append_action(SetTimer{kEndpointListTimer, list_poll_.retry_delay(random_)});
+        log("endpoint list request failed; keeping the last list");
         return;
     }
     list_poll_.record_list(list.kind);
@@ -69,7 +69,7 @@
 void Engine::forget_endpoints() {
     endpoints_.forget_endpoints(now_,
                                 [this](const Endpoint& endpoint) { return requests_.refers_to(endpoint); });
-    std::erase_if(maintained_groups_, [](const ReplicaGroup* group) { return group->forgettable(); });
+    std::erase_if(maintained_groups_, [](const ReplicaGroup* group) { return group->is_forgettable(); });
     endpoints_.forget_groups();
 }
 
@@ -78,8 +78,10 @@
     bool class_is_known = class_index < classes_.size();
     ReplicaGroup* group = class_is_known ? endpoints_.find_group(arrival.group) : nullptr;
     if (!group) {
-        // No list has named an endpoint of the group: the request never ran.
-        act(RejectRequest{arrival.id, class_is_known ? retry_after(settings_) : std::nullopt, false});
+        // No list has named an endpoint of the group, or the class is unknown. The request never ran, so that
+        // a rejection is harmless.
+        append_action(
+            RejectRequest{arrival.id, class_is_known ? retry_after(settings_) : std::nullopt, false});
         return;
     }
     const std::shared_ptr<RequestClass>& request_class = classes_[class_index];
@@ -91,12 +93,13 @@
                                  elapsed, uniform(random_), now_));
     health_check_budget_.record_request(health_check_cost(settings_));
     record_use(*group, request);
-    if (!should_admit(request, now_)) return conclude(request);
+    if (!should_admit(request, now_)) return send_final_answer(request);
     enqueue(*group, request);
     dispatch_queued(*group);
 }
 
-/// The endpoint has done its work; what is left is to carry the answer over, at the client's pace.
+/// The endpoint has done its work. The transfer of the answer is left, and its speed depends on the client,
+/// so that the attempt no longer counts as in flight at the endpoint.
 void Engine::on_event(const ResponseStarted& started) {
     Endpoint* endpoint = endpoints_.find(started.endpoint);
     Request* request = requests_.find(started.id);
@@ -115,12 +118,12 @@
     Endpoint* endpoint = endpoints_.find(outcome.endpoint);
     if (!endpoint) return;
     Request* request = requests_.find(outcome.id);
-    bool response_started = request && request->response_started();
+    bool has_response_started_before = request && request->has_response_started();
     RequestClass* request_class = request ? request->request_class.get() : nullptr;
-    if (!response_started) endpoint->in_flight = std::max(0, endpoint->in_flight - 1);
+    if (!has_response_started_before) endpoint->in_flight = std::max(0, endpoint->in_flight - 1);
     observe_answer(*endpoint, outcome, request_class);
-    bool failed = outcome.status == AttemptStatus::error || outcome.status == AttemptStatus::reset;
-    if (!response_started || failed) observe_health(*endpoint, outcome, request_class);
+    bool has_failed = outcome.status == AttemptStatus::error || outcome.status == AttemptStatus::reset;
+    if (!has_response_started_before || has_failed) observe_health(*endpoint, outcome, request_class);
     ReplicaGroup& group = endpoints_.group_of(*endpoint);
     if (request) complete_attempt(group, *request, outcome);
     dispatch_queued(group);
@@ -136,17 +139,17 @@
 void Engine::on_event(const HealthCheckResult& result) {
     Endpoint* endpoint = endpoints_.find(result.endpoint);
     if (!endpoint) return;
-    bool unreachable = endpoint->health_check.record_result(result.status);
-    bool ok = result.status == AttemptStatus::ok;
-    if (ok) {
+    bool is_unreachable = endpoint->health_check.record_result(result.status);
+    bool is_ok = result.status == AttemptStatus::ok;
+    if (is_ok) {
         endpoint->round_trip.record(result.latency);
         observe_report(*endpoint, result.report);
     }
-    apply(*endpoint, endpoint->ejection.record_health_check(ok, unreachable, now_));
+    apply_ejection_change(*endpoint, endpoint->ejection.record_health_check(is_ok, is_unreachable, now_));
     dispatch_queued(endpoints_.group_of(*endpoint));
 }
 
-/// Gossip proves nothing: it is worth a health check of one's own.
+/// Gossip is no proof of the role: it only triggers a health check by this pooler.
 void Engine::on_event(const PrimaryGossip& gossip) {
     Endpoint* endpoint = endpoints_.find(gossip.endpoint);
     if (endpoint && known_primary(endpoints_.group_of(*endpoint)) != endpoint)
@@ -161,9 +164,9 @@
 void Engine::on_event(const SettingsChanged& change) {
     auto classes_before = std::exchange(classes_, {});
     apply_settings(change.settings);
-    for (std::size_t i = 0; i < std::min(classes_.size(), change.continues.size()); ++i) {
-        if (!change.continues[i]) continue;
-        auto before = std::size_t(*change.continues[i]);
+    for (std::size_t i = 0; i < std::min(classes_.size(), change.previous_classes.size()); ++i) {
+        if (!change.previous_classes[i]) continue;
+        auto before = std::size_t(*change.previous_classes[i]);
         if (before < classes_before.size())
             classes_[i]->usual_latency_ms = classes_before[before]->usual_latency_ms;
     }
@@ -175,10 +178,10 @@
         maintain_groups();
     } else if (expired.id == kEndpointListTimer) {
         list_poll_.record_request();
-        act(WatchEndpoints{});
+        append_action(WatchEndpoints{});
     } else if (Request* request = requests_.find(request_of(expired.id))) {
-        if (request->timer && *request->timer > now_) return;
-        request->timer.reset();
+        if (request->review_at && *request->review_at > now_) return;
+        request->review_at.reset();
         review(*request);
     }
 }
--- a/src/policy/engine_maintenance.cpp
+++ b/src/policy/engine_maintenance.cpp
@@ -7,7 +7,8 @@
 
 namespace indigovane::policy {
 
-/// A group's first use checks its endpoints. From then on it is maintained until it is idle.
+/// The first use of a group sends health checks to its endpoints. Each use starts maintenance of the group,
+/// which goes on until the group is idle.
 void Engine::record_use(ReplicaGroup& group, const Request& request) {
     if (!group.first_used) {
         group.first_used = now_;
@@ -15,23 +16,23 @@
             check_health(*endpoint, HealthCheckPurpose::scheduled);
     }
     if (required_position_of(request)) group.position_reads.record(now_);
-    if (group.maintained) return;
-    group.maintained = true;
+    if (group.is_maintained) return;
+    group.is_maintained = true;
     maintained_groups_.push_back(&group);
-    if (maintained_groups_.size() == 1) act(SetTimer{kMaintenanceTimer, kMaintenanceInterval});
+    if (maintained_groups_.size() == 1) append_action(SetTimer{kMaintenanceTimer, kMaintenanceInterval});
 }
 
 void Engine::maintain_groups() {
     for (ReplicaGroup* group : maintained_groups_) {
         maintain(*group);
-        bool busy =
+        bool is_busy =
             std::ranges::any_of(group->endpoints, [](const Endpoint* it) { return it->in_flight > 0; });
-        group->maintained =
-            busy || !group->queue.empty() ||
+        group->is_maintained =
+            is_busy || !group->queue.empty() ||
             is_in_steady_use(*group, health_check_interval_, health_check_cost(settings_), now_);
     }
-    std::erase_if(maintained_groups_, [](const ReplicaGroup* group) { return !group->maintained; });
-    if (!maintained_groups_.empty()) act(SetTimer{kMaintenanceTimer, kMaintenanceInterval});
+    std::erase_if(maintained_groups_, [](const ReplicaGroup* group) { return !group->is_maintained; });
+    if (!maintained_groups_.empty()) append_action(SetTimer{kMaintenanceTimer, kMaintenanceInterval});
 }
 
 void Engine::maintain(ReplicaGroup& group) {
@@ -40,26 +41,28 @@
             eject(*endpoint, Fault::unresponsive);
     Endpoint* primary = known_primary(group);
     if (primary && group.logged_primary != primary->id) {
-        log("primary is member " + std::to_string(std::uint32_t(primary->id)));
+        log("primary is endpoint " + std::to_string(std::uint32_t(primary->id)));
         group.logged_primary = primary->id;
     }
     HealthCheckSchedule schedule(group, primary, health_check_interval_, health_check_cost(settings_), now_);
     for (Endpoint* endpoint : group.endpoints) {
-        if (!endpoint->listed) continue;
-        bool trial_due = schedule.trial_due(*endpoint);
-        if (!trial_due && !schedule.check_due(*endpoint)) continue;
+        if (!endpoint->is_listed) continue;
+        bool trial_due = schedule.is_trial_due(*endpoint);
+        if (!trial_due && !schedule.is_check_due(*endpoint)) continue;
         if (trial_due) endpoint->ejection.start_trial(now_);
         check_health(*endpoint, HealthCheckPurpose::scheduled);
     }
     dispatch_queued(group);
 }
 
-/// Every health check goes through here: one in flight an endpoint, none that the budget doesn't pay for.
+/// Sends a health check, unless one is in flight at the endpoint, the budget is used up, or the settings or
+/// the endpoint list do not allow it. All health checks are sent here.
 void Engine::check_health(Endpoint& endpoint, HealthCheckPurpose purpose) {
-    if (!health_checks_allowed(settings_) || endpoint.health_check.in_flight() || !endpoint.listed) return;
+    if (!health_checks_allowed(settings_) || endpoint.health_check.is_in_flight() || !endpoint.is_listed)
+        return;
     if (!health_check_budget_.spend(purpose, health_check_cost(settings_))) return;
     endpoint.health_check.record_sent(now_);
-    act(CheckHealth{endpoint.id});
+    append_action(CheckHealth{endpoint.id});
 }
 
 }  // namespace indigovane::policy
--- a/src/policy/engine_observations.cpp
+++ b/src/policy/engine_observations.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-/// Position and role, as the answer tells them.
+/// Records the load report, the position and the role that came with an answer.
 void Engine::observe_answer(Endpoint& endpoint, const AttemptOutcome& outcome,
                             const RequestClass* request_class) {
     observe_report(endpoint, outcome.report);
@@ -29,13 +29,14 @@
     ReplicationState& replication = endpoint.replication;
     if (report.position) {
         replication.record_position(*report.position, now_);
-        bool tells_load = report.cpu_utilization || report.in_flight;
-        if (tells_load && &endpoint != known_primary(endpoints_.group_of(endpoint)))
+        bool has_load = report.cpu_utilization || report.in_flight;
+        if (has_load && &endpoint != known_primary(endpoints_.group_of(endpoint)))
             endpoint.limit.record_replication_lag(report, strictest_bound(health_check_interval_),
                                                   endpoint.in_flight, now_);
     }
     if (!report.primary) return;
-    // A primary's position is the time of its report.
+    // The position of a primary is the time of its report, by which the reports of several
+    // endpoints are ordered.
     Time as_of = report.position.value_or(now_);
     if (*report.primary)
         replication.record_primary(as_of);
@@ -43,11 +44,12 @@
         replication.record_replica(as_of);
 }
 
-/// What an attempt's end tells of the endpoint: whether it answers, whether it errs, how loaded it is.
+/// Records what the end of an attempt shows about the endpoint: whether it answers, whether it returns
+/// errors, and how loaded it is.
 void Engine::observe_health(Endpoint& endpoint, const AttemptOutcome& outcome, RequestClass* request_class) {
     AttemptStatus status = outcome.status;
     if (status == AttemptStatus::ok) endpoint.rejection_backoff.record_success();
-    apply(endpoint, endpoint.ejection.record_attempt_end(status, now_));
+    apply_ejection_change(endpoint, endpoint.ejection.record_attempt_end(status, now_));
     if (status == AttemptStatus::unreachable || status == AttemptStatus::reset)
         check_health(endpoint, HealthCheckPurpose::scheduled);
     if (status == AttemptStatus::not_started) endpoint.rejection_backoff.record_no_connection(now_);
@@ -59,26 +61,27 @@
 }
 
 void Engine::observe_latency(Endpoint& endpoint, const AttemptOutcome& outcome, RequestClass& request_class) {
-    bool answered = outcome.status == AttemptStatus::ok;
-    bool given_up = outcome.status == AttemptStatus::timeout || outcome.status == AttemptStatus::cancelled;
-    if (!answered && !given_up) return;
-    if (answered) request_class.record_latency(to_milliseconds(outcome.latency));
+    bool is_answered = outcome.status == AttemptStatus::ok;
+    bool was_given_up =
+        outcome.status == AttemptStatus::timeout || outcome.status == AttemptStatus::cancelled;
+    if (!is_answered && !was_given_up) return;
+    if (is_answered) request_class.record_latency(to_milliseconds(outcome.latency));
     endpoint.limit.record_latency(
-        {outcome.latency, request_class.latency_objective, answered, endpoint.in_flight}, now_);
+        {outcome.latency, request_class.latency_objective, is_answered, endpoint.in_flight}, now_);
 }
 
 void Engine::eject(Endpoint& endpoint, Fault fault) {
-    bool newly = endpoint.ejection.eject(fault, now_);
-    apply(endpoint, {false, newly});
+    bool is_new = endpoint.ejection.eject(fault, now_);
+    apply_ejection_change(endpoint, {false, is_new});
 }
 
-void Engine::apply(Endpoint& endpoint, const EjectionChange& change) {
-    if (change.readmitted) {
-        log("member " + endpoint_text(endpoint.id) + " is back");
+void Engine::apply_ejection_change(Endpoint& endpoint, const EjectionChange& change) {
+    if (change.was_readmitted) {
+        log("endpoint " + endpoint_text(endpoint.id) + " readmitted");
         endpoint.limit.recover();
     }
-    if (change.ejected)
-        log("member " + endpoint_text(endpoint.id) + " " + describe(endpoint.ejection.fault()));
+    if (change.was_ejected)
+        log("endpoint " + endpoint_text(endpoint.id) + " " + describe(endpoint.ejection.fault()));
 }
 
 }  // namespace indigovane::policy
--- a/src/policy/engine_requests.cpp
+++ b/src/policy/engine_requests.cpp
@@ -13,7 +13,8 @@
     group.queue.push_back(request.id);
 }
 
-/// Sends what is queued, as far as endpoints have capacity.
+/// Sends the queued requests for which an endpoint has capacity; the others stay queued or get
+/// their final answer.
 void Engine::dispatch_queued(ReplicaGroup& group) {
     if (group.queue.empty()) return;
     std::vector<Request*> queue;
@@ -25,14 +26,15 @@
 }
 
 void Engine::dispatch(ReplicaGroup& group, Request& request) {
-    // The deduplication window of a retry may have closed while it was queued.
-    if (!may_retry(request, now_)) return conclude(request);
+    // The deduplication window may have ended while a retry was queued.
+    if (!may_retry(request, now_)) return send_final_answer(request);
     Selection selection = select_endpoint(group, request);
-    if (selection.kind == Selection::Kind::send) return send(request, *selection.endpoint);
-    if (selection.kind == Selection::Kind::check_health) start_on_demand_check(request, *selection.endpoint);
-    if (selection.kind == Selection::Kind::reject) return conclude(request);
+    if (selection.decision == Selection::Decision::send) return send(request, *selection.endpoint);
+    if (selection.decision == Selection::Decision::check_health)
+        start_on_demand_check(request, *selection.endpoint);
+    if (selection.decision == Selection::Decision::reject) return send_final_answer(request);
     Time give_up_at = queue_deadline(request);
-    if (now_ >= give_up_at) return conclude(request);
+    if (now_ >= give_up_at) return send_final_answer(request);
     group.queue.push_back(request.id);
     set_review_timer(request, give_up_at);
 }
@@ -57,12 +59,14 @@
     request.start_attempt(endpoint, now_);
     endpoint.ejection.record_attempt_sent(endpoint.in_flight, request.request_class->usual_latency_ms, now_);
     ++endpoint.in_flight;
-    act(SendAttempt{request.id, endpoint.id, std::nullopt, required_position_of(request), start_by - now_});
+    append_action(
+        SendAttempt{request.id, endpoint.id, std::nullopt, required_position_of(request), start_by - now_});
     set_review_timer(request, request.answer_due());
 }
 
-/// As the client carries it, or as it is remembered now: a session may write while a read of it is queued.
-/// Where endpoints don't check positions, a write in flight may have been answered already.
+/// The token that the client sent, or the one that is remembered now: the session may have written since this
+/// read was queued. Where endpoints do not check positions, a write of the session in flight may have been
+/// answered already; then the token is the present time.
 Time Engine::session_token(const Request& request) const {
     if (settings_.token_source.value_or(TokenSource::carried) == TokenSource::carried)
         return request.carried_token;
@@ -79,54 +83,56 @@
 void Engine::complete_attempt(ReplicaGroup& group, Request& request, const AttemptOutcome& outcome) {
     request.end_attempt(outcome.attempt, outcome.execution());
     remember_write(request, outcome);
-    if (outcome.finished || request.phase() == Request::Phase::finished) return finish(request);
+    if (outcome.is_request_finished || request.phase() == Request::Phase::finished) return finish(request);
     if (request.attempts_in_flight() > 0) return;
     if (may_retry(request, now_))
         enqueue(group, request);
     else
-        conclude(request);
+        send_final_answer(request);
 }
 
-/// A write's commit, or, where endpoints don't check positions, that a write may have committed up to now.
+/// Remembers the commit of a write as its session's token. Where endpoints do not check positions, an attempt
+/// of a write that failed but may have run counts as a commit now.
 void Engine::remember_write(const Request& request, const AttemptOutcome& outcome) {
     if (!request.session || !request.is_write_of(*request.session)) return;
-    bool ok = outcome.status == AttemptStatus::ok;
-    bool unresolved =
-        !endpoints_check_staleness(settings_) && !ok && outcome.execution() != Execution::never_ran;
-    if (unresolved)
+    bool is_ok = outcome.status == AttemptStatus::ok;
+    bool may_have_committed =
+        !endpoints_check_staleness(settings_) && !is_ok && outcome.execution() != Execution::never_ran;
+    if (may_have_committed)
         session_tokens_.remember(*request.session, now_, now_);
-    else if (outcome.finished && ok && outcome.position)
+    else if (outcome.is_request_finished && is_ok && outcome.position)
         session_tokens_.remember(*request.session, *outcome.position, now_);
 }
 
-/// An open request is looked at again: its time is up, or it may be.
+/// Called when the request's timer expires. Gives the final answer if the request's time is over, or else
+/// sets the timer again.
 void Engine::review(Request& request) {
-    if (request.phase() == Request::Phase::finished || request.response_started()) return;
-    bool queued = request.phase() == Request::Phase::queued;
-    Time next = queued ? queue_deadline(request) : request.answer_due();
+    if (request.phase() == Request::Phase::finished || request.has_response_started()) return;
+    bool is_queued = request.phase() == Request::Phase::queued;
+    Time next = is_queued ? queue_deadline(request) : request.answer_due();
     if (now_ >= next || now_ >= request.answer_due())
-        conclude(request);
+        send_final_answer(request);
     else
         set_review_timer(request, next);
 }
 
-/// The final answer, at once: none is held back once it is decided.
-void Engine::conclude(Request& request) {
+/// Gives the final answer immediately: a rejection if a retry by the client is harmless, else a failure.
+void Engine::send_final_answer(Request& request) {
     cancel_attempts(request);
-    bool late = now_ >= request.answer_due();
+    bool is_past_deadline = now_ >= request.answer_due();
     if (rejection_is_harmless(request))
-        act(RejectRequest{request.id, retry_after(settings_), late});
+        append_action(RejectRequest{request.id, retry_after(settings_), is_past_deadline});
     else
-        act(FailRequest{request.id, late});
+        append_action(FailRequest{request.id, is_past_deadline});
     finish(request);
 }
 
-/// Nobody waits for their answers any more.
+/// Cancels the attempts in flight, whose answers nobody waits for any more, where the settings allow it.
 void Engine::cancel_attempts(const Request& request) {
-    if (!settings_.cancels.value_or(false)) return;
+    if (!settings_.may_cancel_attempts.value_or(false)) return;
     std::uint32_t number = 0;
     for (const Attempt& attempt : request.attempts()) {
-        if (attempt.in_flight()) act(CancelAttempt{request.id, number});
+        if (attempt.is_in_flight()) append_action(CancelAttempt{request.id, number});
         ++number;
     }
 }
@@ -138,12 +144,13 @@
     if (request.attempts_in_flight() == 0) requests_.erase(request.id);
 }
 
-/// Keeps an earlier timer that is still to come.
+/// Sets the request's timer, but not after its final answer is due. An earlier timer that has
+/// not expired stays.
 void Engine::set_review_timer(Request& request, Time at) {
     at = std::max(std::min(at, request.answer_due()), now_);
-    if (request.timer && *request.timer <= at && *request.timer > now_) return;
-    request.timer = at;
-    act(SetTimer{request_timer(request.id), at - now_});
+    if (request.review_at && *request.review_at <= at && *request.review_at > now_) return;
+    request.review_at = at;
+    append_action(SetTimer{request_timer(request.id), at - now_});
 }
 
 }  // namespace indigovane::policy
--- a/tests/policy/link_example.cpp
+++ b/tests/policy/link_example.cpp
@@ -1,4 +1,4 @@
-// The example of README.md, compiled and run by the tests.
+// A minimal user of the routing policy, which links nothing else of this project. Compiled and run as a test.
 #include <gtest/gtest.h>
 
 #include "policy/routing_policy.hpp"
@@ -6,10 +6,10 @@
 using namespace indigovane::policy;
 using namespace std::chrono_literals;
 
-TEST(LinkExample, AProxyServesARead) {
+TEST(LinkExample, APoolerSendsAReadToAReplica) {
     Settings settings;
     settings.fleet_size = 1;
-    settings.health_checks = true;
+    settings.may_check_health = true;
     ClassSettings lookups;
     lookups.consistency = Consistency::any;
     lookups.idempotency = Idempotency::idempotent;
@@ -33,7 +33,8 @@
     policy.handle(now, read, actions);
 
     bool sent = false;
-    for (const Action& action : actions)  // a proxy carries these out: sends, probes, timers, answers
+    // A pooler performs all actions: sends, health checks, timers, final answers.
+    for (const Action& action : actions)
         if (const auto* send = std::get_if<SendAttempt>(&action)) sent = send->endpoint == EndpointId{2};
     EXPECT_TRUE(sent);
 }
