--- a/src/program/client_diversion.cpp
+++ b/src/program/client_diversion.cpp
@@ -3,14 +3,14 @@
 namespace indigovane::program {
 
 namespace {
-// Health checkers ask every 100 ms, and send clients for up to 200 ms after a check has failed.
-constexpr auto kCheckersNotice = std::chrono::milliseconds(400);
+// Health checkers check every 100 ms and still send clients for up to 200 ms after a check has failed.
+constexpr auto kCheckerReactionTime = std::chrono::milliseconds(400);
 }  // namespace
 
 adapters::Operations::Reply ClientDiversion::set(bool on) {
     PhaseMachine& phases = services_.phases;
     if (!phases.is_diverting() && !phases.is_regular())
-        return {false, std::string("it is ") + name(phases.current())};
+        return {false, std::string("not possible in this phase: ") + name(phases.current())};
     if (on != phases.is_diverting()) {
         if (on)
             begin();
@@ -23,7 +23,7 @@
 void ClientDiversion::begin() {
     for (auto& front : services_.fronts) front->fail_checks();
     services_.phases.enter(Phase::failing_checks);
-    timer_.expires_after(kCheckersNotice);
+    timer_.expires_after(kCheckerReactionTime);
     timer_.async_wait([this](const boost::system::error_code& error) {
         if (error || !services_.phases.is(Phase::failing_checks)) return;
         for (auto& front : services_.fronts) front->close_idle();
--- a/src/program/client_diversion.hpp
+++ b/src/program/client_diversion.hpp
@@ -1,6 +1,6 @@
-// Operators divert clients to other poolers while this process goes on (the control call `drain`): health
-// checks fail first, and once the checkers have noticed, connections close between requests. What comes
-// nevertheless is served. All of it can be undone.
+// Operators divert clients to other poolers while this process keeps running (control calls `drain-on` and
+// `drain-off`). Health checks fail first; once the health checkers have noticed, connections close between
+// requests. Requests that still arrive are served. The diversion can be undone at any time.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -13,7 +13,8 @@
   public:
     explicit ClientDiversion(Services& services) : services_(services), timer_(services.io) {}
 
-    // Repeatable. Refused while the process starts or stops; the reply names the phase.
+    // Begins or ends the diversion; a repeated call changes nothing. Fails while the process starts or stops,
+    // and the reply then names the phase.
     adapters::Operations::Reply set(bool on);
 
   private:
--- a/src/program/command_line.hpp
+++ b/src/program/command_line.hpp
@@ -1,4 +1,4 @@
-// What the subcommands' command lines have in common.
+// Parses the command lines of subcommands.
 #pragma once
 
 #include <boost/program_options.hpp>
@@ -7,10 +7,10 @@
 
 namespace indigovane::program {
 
-// Parses `arguments`, whose operands go to the option `positional` (the first
-// `most_positional` of them; -1: all). Throws boost::program_options::error.
+// Parses `arguments`. Their operands become values of the option `positional`: the first `max_positional` of
+// them, or all if that is -1. Throws boost::program_options::error.
 boost::program_options::variables_map parse_arguments(
-    const std::vector<std::string>& arguments, const boost::program_options::options_description& described,
-    const char* positional, int most_positional = -1);
+    const std::vector<std::string>& arguments, const boost::program_options::options_description& description,
+    const char* positional, int max_positional = -1);
 
 }  // namespace indigovane::program
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -1,4 +1,4 @@
-// Operators' files against the platform's configuration.
+// Checks operators' files against the platform's configuration.
 #include "program/config.hpp"
 
 namespace indigovane::program {
@@ -7,29 +7,33 @@
 
 namespace {
 
-// The class of this name; ConfigError, with `where` as the place in the file, where there is none.
+// Returns the class of this name. Throws ConfigError, with `where` as the place in the file, if there is
+// none.
 const adapters::ClassInfo& find_class(const Config& config, const std::string& name, const char* where,
                                       const std::string& path) {
     const adapters::ClassInfo* request_class = config.classes.find(name);
     if (!request_class)
-        throw ConfigError(path, std::string(where) + ": the settings have no class '" + name + "'");
+        throw ConfigError(path,
+                          std::string(where) + ": the platform's settings have no class '" + name + "'");
     return *request_class;
 }
 
-// Bounds on staleness of the operator's file: the tighter of both counts.
+// Applies the file's staleness bounds. If the settings have a bound for the class, too, the tighter applies.
 void apply_bounds(const statement::Rules& rules, const std::string& path, Config& config) {
     for (const statement::ClassRule& rule : rules.classes()) {
         const adapters::ClassInfo& request_class = find_class(config, rule.name, "[[class]]", path);
         if (rule.bound_us == 0) continue;
         policy::ClassSettings& settings = config.settings.classes[std::size_t(request_class.id)];
         if (settings.consistency != Consistency::bounded)
-            throw ConfigError(path, "[[class]] " + rule.name + ": a bound is for a class of bounded reads");
+            throw ConfigError(
+                path, "[[class]] " + rule.name + ": 'bound' is allowed only for a class of bounded reads");
         auto bound = policy::Duration(std::int64_t(rule.bound_us));
         settings.staleness_bound = std::min(settings.staleness_bound.value_or(bound), bound);
     }
 }
 
-// A default class must exist, and be of writes or of reads as its use demands.
+// Throws ConfigError unless the class exists and, as `writes` says, is a class of writes or of reads. An
+// empty name is accepted.
 void check_default_class(const Config& config, const std::string& name, const char* where, bool writes,
                          const std::string& path) {
     if (name.empty() || find_class(config, name, where, path).write == writes) return;
@@ -37,7 +41,7 @@
                                 (writes ? "' is none of writes" : "' is one of writes"));
 }
 
-// Cached statements are chosen with another seed than routing decisions.
+// Gives the statement cache another seed than routing decisions have.
 constexpr std::uint64_t kStatementSeedMask = 0x9e3779b97f4a7c15u;
 
 }  // namespace
@@ -59,9 +63,10 @@
 
 void set_peers(PeerConfig peering, const std::string& path, Config& config) {
     if (!config.peers_permitted)
-        throw ConfigError(path, "the platform's settings permit no messages between poolers");
+        throw ConfigError(
+            path, "the platform's 'settings.allowed.peerMessages' does not permit messages between poolers");
     if (!config.peer_listen || config.peers.empty())
-        throw ConfigError(path, "the platform's configuration names no 'peer_listen' or no 'peers'");
+        throw ConfigError(path, "the platform's configuration has no 'peer_listen' or no 'peers'");
     config.peering = std::move(peering);
 }
 
--- a/src/program/config.hpp
+++ b/src/program/config.hpp
@@ -1,5 +1,5 @@
 // The configuration of the process: the platform's JSON file with its environment variables, and the
-// operator's files beside it. Where its parts are read:
+// operator's files. Where the parts are read:
 //
 //   platform's file           program/platform_config.cpp
 //   REST front (JSON)         program/rest_config.cpp
@@ -29,66 +29,71 @@
 
 namespace indigovane::program {
 
-// The protocol that database hosts are spoken to in.
+// The protocol of the connections to database hosts.
 enum class Wire { pg, rest };
 
-// The REST front's file.
+// The settings of the REST front's file.
 struct RestConfig {
     bool enabled = false;
     transport::SocketAddress listen;
-    std::uint32_t page_size = 50;  // items, where the request names no number
-    std::uint32_t page_size_most = 500;
-    std::size_t connections = 256;                   // of clients
-    std::optional<transport::SocketAddress> syslog;  // a collector on this machine
+    std::uint32_t page_size = 50;  // items of a page if the request names no number
+    std::uint32_t max_page_size = 500;
+    std::size_t max_connections = 256;               // of clients
+    std::optional<transport::SocketAddress> syslog;  // a syslog collector on this machine
 };
 
 struct Config {
     std::string name = "indigovane";
     transport::SocketAddress listen;
     transport::SocketAddress discovery;
-    std::optional<transport::SocketAddress> control;  // for operators alone; none: that front is off
+    // The control address for operators; without it the control front is off.
+    std::optional<transport::SocketAddress> control;
     std::uint64_t seed = 0;
-    std::size_t memory_mb = 192;
-    std::size_t sockets = 1024;      // descriptors
-    routing::EndpointListing known;  // the endpoint list until the discovery service has sent its own
+    std::size_t memory_mb = 192;  // MiB that the process may use
+    std::size_t sockets = 1024;   // descriptors that the process may have open
+    // The endpoint list used until the discovery service has sent its list.
+    routing::EndpointListing known_endpoints;
     policy::Settings settings;
     std::vector<std::string> zones;
     adapters::Classes classes;
     routing::Duration connect_timeout = std::chrono::milliseconds(250);
     routing::Duration idle_limit = std::chrono::seconds(30);
-    routing::Duration longest_deadline{};  // of all classes
-    Wire members = Wire::pg;               // how database hosts are spoken to
+    routing::Duration longest_deadline{};  // the longest of all classes
+    Wire members = Wire::pg;
     RestConfig rest;
-    std::optional<StoreConfig> store;           // none: nothing outlasts the process
-    std::optional<StatementConfig> statements;  // none: the package is off
-    // Other poolers, where the platform permits datagrams between them and names them.
+    std::optional<StoreConfig> store;           // without it nothing outlasts the process
+    std::optional<StatementConfig> statements;  // without it there are no statement rules or limits
+    // Whether the platform permits datagrams between poolers.
     bool peers_permitted = false;
+    // The addresses of the other poolers, and the address where this pooler receives their datagrams.
     std::vector<transport::SocketAddress> peers;
     std::optional<transport::SocketAddress> peer_listen;
-    std::optional<PeerConfig> peering;  // none: no gossip is sent or received
-    std::optional<SiteConfig> sites;    // none: sites are not watched
-    // The keys that the file holds, by path, with the type of each: a file read again must hold them all.
+    std::optional<PeerConfig> peering;  // without it no gossip is sent or received
+    std::optional<SiteConfig> sites;    // without it sites are not watched
+    // The keys of the platform's file by path, with the type of each (see json_config.hpp). At a reload the
+    // file must have all of them.
     std::map<std::string, char> key_types;
-    // The text of all that only a start applies; a reload warns where it differs.
+    // The text of the settings that only a restart applies. A reload warns if it differs.
     std::string restart_only;
 };
 
-// The platform's file; LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_CONTROL fill in what it leaves out. Throws
-// ConfigError.
+// Reads the platform's file. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_CONTROL replace keys that it lacks.
+// Throws ConfigError.
 Config read_platform_config(const std::string& path);
 Config parse_platform_config(const std::string& text);
-// Throws ConfigError where `fresh` lacks a key that `old` holds: half a file, or one of another kind.
-void check_complete(const Config& fresh, const Config& old);
+// Throws ConfigError if `new_config` lacks a key of `old_config` or has another type there. Guards a reload
+// against a file that is truncated or of another kind.
+void check_complete(const Config& new_config, const Config& old_config);
 
-// The REST front's file, read into `config`. Throws ConfigError.
+// Reads the REST front's file into `config`. Throws ConfigError.
 void read_rest_config(const std::string& path, Config& config);
 void parse_rest_config(const std::string& text, Config& config);
 
-// Each of these checks an operator's file, which was read from `path`, against the platform's configuration
-// and adds it to that. Throws ConfigError.
+// Each of these functions checks the content of an operator's file, which was read from `path`, against the
+// platform's configuration and adds it to `config`. Each throws ConfigError.
 //
-// Statements: what the file says of classes; its bounds on staleness are combined with those of the settings
-// (the tighter counts).
+// Statements: the classes that the file names must exist. Of two staleness bounds of a class, the file's and
+// the platform's, the tighter applies.
 void set_statements(StatementConfig statements, const std::string& path, Config& config);
 // Peers: the platform must permit and name them.
 void set_peers(PeerConfig peering, const std::string& path, Config& config);
--- a/src/program/config_error.cpp
+++ b/src/program/config_error.cpp
@@ -8,21 +8,21 @@
 
 namespace {
 
-std::string all_texts(const std::vector<ConfigMistake>& mistakes) {
-    std::string all;
+std::string join_texts(const std::vector<ConfigMistake>& mistakes) {
+    std::string joined;
     for (const ConfigMistake& mistake : mistakes) {
-        if (!all.empty()) all += "\n";
-        all += mistake.text();
+        if (!joined.empty()) joined += "\n";
+        joined += mistake.text();
     }
-    return all;
+    return joined;
 }
 
 }  // namespace
 
 std::string ConfigMistake::text() const {
-    std::string place = file;
-    if (line > 0) place += ":" + std::to_string(line) + ":" + std::to_string(column);
-    return place.empty() ? what : place + ": " + what;
+    std::string location = file;
+    if (line > 0) location += ":" + std::to_string(line) + ":" + std::to_string(column);
+    return location.empty() ? what : location + ": " + what;
 }
 
 ConfigError::ConfigError(const std::string& what)
@@ -32,7 +32,7 @@
     : ConfigError(std::vector<ConfigMistake>{{file, 0, 0, what}}) {}
 
 ConfigError::ConfigError(std::vector<ConfigMistake> mistakes)
-    : std::runtime_error(all_texts(mistakes)), mistakes_(std::move(mistakes)) {}
+    : std::runtime_error(join_texts(mistakes)), mistakes_(std::move(mistakes)) {}
 
 ConfigError ConfigError::in_file(const std::string& file) const {
     std::vector<ConfigMistake> located = mistakes_;
--- a/src/program/config_error.hpp
+++ b/src/program/config_error.hpp
@@ -1,4 +1,4 @@
-// Errors in configuration files, of every kind: JSON of the platform's, TOML of the operator's.
+// Errors in configuration files: the platform's JSON files and the operator's TOML files.
 #pragma once
 
 #include <cstdint>
@@ -8,18 +8,19 @@
 
 namespace indigovane::program {
 
-// One mistake, and its place as far as it is known.
+// One mistake in a configuration file.
 struct ConfigMistake {
-    std::string file;          // empty: unknown
-    std::uint32_t line = 0;    // from 1; 0: the mistake has no place in the file
-    std::uint32_t column = 0;  // from 1
+    std::string file;          // empty if unknown
+    std::uint32_t line = 0;    // counted from 1; 0 if unknown
+    std::uint32_t column = 0;  // counted from 1
     std::string what;
 
-    std::string text() const;  // "file:line:column: what", without the parts that are unknown
+    // Returns "file:line:column: what", without the parts that are unknown.
+    std::string text() const;
 };
 
-// A configuration can't be read, contradicts itself, or asks for what this machine doesn't have. what() has
-// one mistake a line.
+// Thrown if a configuration can't be read, contradicts itself, or requires what this machine doesn't have.
+// what() has one line for each mistake.
 class ConfigError : public std::runtime_error {
   public:
     explicit ConfigError(const std::string& what);
@@ -27,17 +28,17 @@
     explicit ConfigError(std::vector<ConfigMistake> mistakes);
 
     const std::vector<ConfigMistake>& mistakes() const { return mistakes_; }
-    // The same mistakes, of a file that was not yet known where they were found.
+    // Returns the same mistakes with `file` as their file, which was not known where they were found.
     ConfigError in_file(const std::string& file) const;
 
   private:
     std::vector<ConfigMistake> mistakes_;
 };
 
-// The name that other folders' tests use.
+// Redundant: an alias of the class for itself.
 using ConfigError = ConfigError;
 
-// The file's text. Throws ConfigError with `failure`, such as "it can't be read".
+// Returns the file's text. Throws `failure` if the file can't be read.
 std::string read_config_file(const std::string& path, const ConfigError& failure);
 
 }  // namespace indigovane::program
--- a/src/program/configuration_files.cpp
+++ b/src/program/configuration_files.cpp
@@ -12,29 +12,29 @@
 
 namespace {
 
-options::options_description described_options() {
+options::options_description describe_options() {
     const char* from_environment = std::getenv("LB_CONFIG");
-    options::options_description described("options");
-    described.add_options()(
+    options::options_description description("options");
+    description.add_options()(
         "config", options::value<std::string>()->default_value(from_environment ? from_environment : ""),
-        "the platform's configuration; $LB_CONFIG by default")(
+        "the platform's configuration file; $LB_CONFIG by default")(
         "rest", options::value<std::string>(),
-        "the REST front's configuration; without it that front is off")(
+        "the REST front's configuration file; without it the front is off")(
         "statements", options::value<std::string>(),
-        "the operator's file of statements and limits; without it both are off")(
+        "the operator's file of statement rules and limits; without it both are off")(
         "store", options::value<std::string>(),
-        "the operator's file of the store; without it nothing outlasts the process")(
+        "the operator's store file; without it no state outlasts the process")(
         "peers", options::value<std::string>(),
-        "the operator's file of the links between poolers; without it there are none")(
+        "the operator's file of links between poolers; without it there are none")(
         "sites", options::value<std::string>(),
-        "the operator's file of sites; without it the loss of one is not watched for");
-    return described;
+        "the operator's file of sites; without it sites are not watched");
+    return description;
 }
 
 options::variables_map parse_options(const std::vector<std::string>& arguments) {
-    options::options_description described = described_options();
+    options::options_description description = describe_options();
     options::variables_map values;
-    options::store(options::command_line_parser(arguments).options(described).run(), values);
+    options::store(options::command_line_parser(arguments).options(description).run(), values);
     options::notify(values);
     return values;
 }
@@ -46,7 +46,7 @@
 
 std::string store_text(const Config& config) {
     if (!config.store) return "off";
-    return config.store->folder + (config.store->in_memory ? " (warning: it is in memory)" : "");
+    return config.store->folder + (config.store->is_in_memory ? " (warning: the folder is in memory)" : "");
 }
 
 std::string peers_text(const Config& config) {
@@ -65,21 +65,22 @@
 
 }  // namespace
 
-// Later files are checked against what the earlier ones have set.
+// The order matters: later files are checked against the settings of earlier ones.
 Config read_configuration(const std::vector<std::string>& arguments) {
     options::variables_map values = parse_options(arguments);
     std::string path = values["config"].as<std::string>();
     if (path.empty()) throw UsageError("no configuration: give --config FILE or set LB_CONFIG");
     Config config = read_platform_config(path);
-    auto with_file = [&](const char* option, const std::function<void(const std::string&)>& read) {
+    auto read_if_given = [&](const char* option, const std::function<void(const std::string&)>& read) {
         if (values.count(option)) read(values[option].as<std::string>());
     };
-    with_file("rest", [&](const std::string& file) { read_rest_config(file, config); });
-    with_file("store", [&](const std::string& file) { config.store = read_store_config(file); });
-    with_file("peers", [&](const std::string& file) { set_peers(read_peer_config(file), file, config); });
-    with_file("sites", [&](const std::string& file) { set_sites(read_site_config(file), file, config); });
-    with_file("statements",
-              [&](const std::string& file) { set_statements(read_statement_config(file), file, config); });
+    read_if_given("rest", [&](const std::string& file) { read_rest_config(file, config); });
+    read_if_given("store", [&](const std::string& file) { config.store = read_store_config(file); });
+    read_if_given("peers", [&](const std::string& file) { set_peers(read_peer_config(file), file, config); });
+    read_if_given("sites", [&](const std::string& file) { set_sites(read_site_config(file), file, config); });
+    read_if_given("statements", [&](const std::string& file) {
+        set_statements(read_statement_config(file), file, config);
+    });
     return config;
 }
 
@@ -88,7 +89,7 @@
     text << "name       " << config.name << "\n"
          << "listen     " << config.listen << "\n"
          << "discovery  " << config.discovery << "\n"
-         << "members    " << config.known.members.size() << " known\n"
+         << "members    " << config.known_endpoints.members.size() << " known\n"
          << "classes    " << config.settings.classes.size() << "\n"
          << "sockets    " << config.sockets << "\n"
          << "REST front " << (config.rest.enabled ? "on" : "off") << "\n"
--- a/src/program/configuration_files.hpp
+++ b/src/program/configuration_files.hpp
@@ -1,4 +1,4 @@
-// The configuration files that `serve` and `check-config` name on their command line.
+// The configuration files named on the command lines of `serve` and `check-config`.
 #pragma once
 
 #include <stdexcept>
@@ -9,16 +9,16 @@
 
 namespace indigovane::program {
 
-// A command line that names no configuration.
+// Thrown if the command line names no configuration.
 struct UsageError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// Reads all files; $LB_CONFIG names the platform's where --config doesn't. Throws
-// boost::program_options::error or UsageError on the command line, ConfigError on a file.
+// Reads all configuration files. Without --config, $LB_CONFIG names the platform's file. Throws
+// boost::program_options::error or UsageError if the command line is wrong, ConfigError if a file is.
 Config read_configuration(const std::vector<std::string>& arguments);
 
-// What the configuration means, one line a topic.
+// Describes the configuration for operators, one line for each topic.
 std::string describe_configuration(const Config& config);
 
 }  // namespace indigovane::program
--- a/src/program/crash_marker_file.hpp
+++ b/src/program/crash_marker_file.hpp
@@ -1,5 +1,5 @@
-// The crash marker of store/positions.hpp on disk: a file of one digit in the memory-backed scratch folder,
-// so it outlasts the process and not the machine.
+// The file of the crash marker (store/positions.hpp): one digit, in the memory-backed scratch folder. The
+// marker outlasts the process but not a restart of the machine.
 #pragma once
 
 #include <string>
@@ -10,12 +10,14 @@
 
 class CrashMarkerFile {
   public:
-    // An empty folder: there is nowhere to store one.
+    // If `folder` is empty, no marker can be stored.
     CrashMarkerFile(const std::string& folder, const std::string& name);
 
-    // Lapsed where it is unknown: nothing proves that there was none.
+    // Returns CrashMarker::none if there is no file, and CrashMarker::beyond_lease if the marker is unknown:
+    // then nothing proves that no commit is missing.
     store::CrashMarker read() const;
-    // In place and small, which never waits for a disk. False: it could not be stored.
+    // Writes the file in place, which never waits for a disk. Returns false if the marker could not be
+    // stored.
     bool write(store::CrashMarker marker) const;
 
   private:
--- a/src/program/endpoint_list_text.hpp
+++ b/src/program/endpoint_list_text.hpp
@@ -1,5 +1,5 @@
-// The endpoint list as it is stored for the next process: JSON in the discovery service's form, so that
-// routing::read_endpoint_listing() reads it back.
+// The endpoint list as it is stored for the next process: JSON in the discovery service's form, which
+// routing::read_endpoint_listing() reads.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace indigovane::program {
 
-// Endpoints whose zone is not one of `zones` are written without a zone.
+// An endpoint's zone is its index in `zones`. An endpoint with another zone is written without a zone.
 std::string write_endpoint_list(const std::vector<routing::EndpointInfo>& endpoints,
                                 const std::vector<std::string>& zones, std::int64_t revision);
 
--- a/src/program/excluded_endpoints.cpp
+++ b/src/program/excluded_endpoints.cpp
@@ -15,15 +15,15 @@
 
 namespace {
 
-// Locked while the file is read, changed and replaced: operators may call two processes at once. Closing the
-// descriptor unlocks it.
+// Locks the file at `path`. The lock is held while the set is read, changed and replaced, because operators
+// may call two processes at once. Closing the descriptor unlocks the file.
 transport::Descriptor lock_file(const std::string& path) {
     transport::Descriptor file(::open(path.c_str(), O_CREAT | O_RDWR | O_CLOEXEC, 0600));
     if (!file || ::flock(file.get(), LOCK_EX) != 0) throw std::runtime_error("can't lock '" + path + "'");
     return file;
 }
 
-// Differs once another process has replaced the file.
+// A text that changes when another process replaces the file; empty if there is no file.
 std::string file_version(const std::string& path) {
     struct stat status {};
     if (::stat(path.c_str(), &status) != 0) return {};
@@ -49,28 +49,28 @@
 bool ExcludedEndpoints::load() {
     loaded_version_ = file_version(path_);
     std::set<std::string> stored;
-    std::ifstream in(path_);
-    for (std::string line; std::getline(in, line);)
+    std::ifstream input(path_);
+    for (std::string line; std::getline(input, line);)
         if (!line.empty()) stored.insert(line);
     bool changed = stored != uids_;
     uids_ = std::move(stored);
     return changed;
 }
 
-// Replaced as a whole: a reader sees the old set or the new one.
+// Replaces the file as a whole, so that a reader sees either the old set or the new one.
 void ExcludedEndpoints::store(const std::set<std::string>& uids) {
-    std::string fresh = path_ + ".new";
+    std::string new_path = path_ + ".new";
     {
-        std::ofstream file(fresh, std::ios::trunc);
+        std::ofstream file(new_path, std::ios::trunc);
         for (const std::string& uid : uids) file << uid << "\n";
         file.flush();
-        if (!file) throw std::runtime_error("can't write '" + fresh + "'");
+        if (!file) throw std::runtime_error("can't write '" + new_path + "'");
     }
-    if (std::rename(fresh.c_str(), path_.c_str()) != 0)
+    if (std::rename(new_path.c_str(), path_.c_str()) != 0)
         throw std::runtime_error("can't replace '" + path_ + "'");
 }
 
-bool ExcludedEndpoints::stored() const {
+bool ExcludedEndpoints::has_stored_set() const {
     return !path_.empty() && ::access(path_.c_str(), F_OK) == 0;
 }
 
--- a/src/program/excluded_endpoints.hpp
+++ b/src/program/excluded_endpoints.hpp
@@ -1,5 +1,5 @@
-// The database hosts that operators have excluded, stored in $TMPDIR: both processes of an upgrade honour
-// them. The file has one endpoint id a line.
+// The database hosts that operators have excluded. They are stored in $TMPDIR, so that both processes of an
+// upgrade exclude them. The file has one endpoint id a line.
 #pragma once
 
 #include <set>
@@ -7,19 +7,20 @@
 
 namespace indigovane::program {
 
-// Not synchronized; several processes may have one each on the same file.
+// Not synchronized. Several processes may use the same file.
 class ExcludedEndpoints {
   public:
-    // An empty folder: the set is in memory alone.
+    // If `folder` is empty, the set is kept in memory only.
     ExcludedEndpoints(const std::string& folder, const std::string& name);
 
     const std::set<std::string>& uids() const { return uids_; }
-    // Adds the endpoint to the stored set, or removes it, and loads what other processes have stored. It is
-    // stored when this returns. Throws std::runtime_error where it can't be, and has changed nothing then.
+    // Adds the endpoint to the stored set or removes it, and loads the changes of other processes. The file
+    // has been written when this returns. Throws std::runtime_error if it can't be written; the set is then
+    // unchanged.
     void change(const std::string& uid, bool excluded);
-    // This machine's scratch folder has a set, even an empty one.
-    bool stored() const;
-    // Loads what another process has stored; true: that has changed the set.
+    // Whether the scratch folder has a stored set, even an empty one.
+    bool has_stored_set() const;
+    // Loads the changes of other processes. Returns true if they changed the set.
     bool refresh();
 
   private:
@@ -28,7 +29,8 @@
 
     std::string path_;
     std::set<std::string> uids_;
-    std::string loaded_version_;  // of the file when it was loaded
+    // file_version() when the file was loaded.
+    std::string loaded_version_;
 };
 
 }  // namespace indigovane::program
--- a/src/program/graceful_shutdown.cpp
+++ b/src/program/graceful_shutdown.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-// Clients may still connect for so long after the signal: those who send them here notice late.
+// Clients may still connect for this long after the signal: load balancers notice the stop late.
 constexpr auto kLinger = milliseconds(500);
-// Requests in flight get the longest deadline of all classes, at least this, and the slack.
+// Requests in flight get the longest deadline of all classes, but at least kMinDrain, and kDrainSlack more.
 constexpr auto kMinDrain = std::chrono::seconds(3);
-// A kill comes 700 ms after the longest deadline at the earliest; kLinger is 500 of them.
+// The process is killed 700 ms after the longest deadline at the earliest; kLinger takes 500 ms of that.
 constexpr auto kDrainSlack = milliseconds(100);
-// For the answers to requests that are ended at the deadline.
+// Time to send the answers to requests that are ended at the deadline.
 constexpr auto kFinalAnswers = milliseconds(50);
 constexpr auto kDrainCheckInterval = milliseconds(5);
 
@@ -30,7 +30,7 @@
     if (phases.is_stopping()) return;
     if (phases.is(Phase::inheriting)) return phases.enter(Phase::stopped);
     phases.enter(Phase::lingering);
-    if (services_.process_handover->successor_ready()) return on_successor_ready();
+    if (services_.process_handover->is_successor_ready()) return on_successor_ready();
     timer_.expires_after(kLinger);
     timer_.async_wait([this](const boost::system::error_code& error) {
         if (!error && services_.phases.is(Phase::lingering)) begin_drain();
@@ -42,7 +42,7 @@
     timer_.cancel();
     set_deadline();
     for (auto& front : services_.fronts) front->stop_accepting();
-    // From now on the successor can open the store; it receives what is still committed here, and writes it.
+    // The successor can now open the store. It receives later commits of this process and stores them.
     if (services_.persistent_state) services_.persistent_state->close();
     services_.phases.enter(Phase::handing_over);
 }
@@ -56,8 +56,8 @@
     if (services_.phases.is(Phase::draining)) stop_if_drained();
 }
 
-// A request that comes late has less time than it asked for; those that are left at the deadline are answered
-// nevertheless.
+// A request that arrives late gets less time than its client timeout. Requests still in flight at the
+// deadline are answered as well.
 void GracefulShutdown::set_deadline() {
     deadline_ = services_.clock.now() + std::max<Duration>(services_.config.longest_deadline, kMinDrain) +
                 kDrainSlack;
@@ -80,12 +80,13 @@
         });
     stop_if_drained();
     if (services_.phases.is(Phase::stopped))
-        services_.log.log(Level::notice, "handover", "clients' connections went to the other process",
+        services_.log.log(Level::notice, "handover",
+                          "client connections were handed over to the other process",
                           {{"count", std::to_string(clients_handed_over_)}});
 }
 
 bool GracefulShutdown::is_drained() const {
-    if (!services_.idle()) return false;
+    if (!services_.is_idle()) return false;
     for (const auto& front : services_.fronts)
         if (front->connections() > 0 || front->lingering() > 0) return false;
     return !services_.phases.is(Phase::handing_over) || services_.process_handover->all_sent();
@@ -101,7 +102,8 @@
     services_.phases.enter(Phase::stopped);
 }
 
-// One wait at a time: a second one would cancel the first, whose end wakes the loop, which would begin anew.
+// At most one wait is pending. A second one would cancel the first, whose completion wakes the loop and
+// schedules a wait again: the loop would spin.
 void GracefulShutdown::schedule_check() {
     if (std::exchange(check_scheduled_, true)) return;
     timer_.expires_after(kDrainCheckInterval);
--- a/src/program/graceful_shutdown.hpp
+++ b/src/program/graceful_shutdown.hpp
@@ -1,4 +1,4 @@
-// The end of the process: it lingers, then either hands its clients over to a successor or drains, and stops.
+// The end of the process: it lingers, then hands its clients over to a successor or drains, and then stops.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -7,18 +7,19 @@
 
 namespace indigovane::program {
 
-// Belongs to the loop's thread.
+// Not synchronized: use it on the event loop's thread only.
 class GracefulShutdown {
   public:
     explicit GracefulShutdown(Services& services) : services_(services), timer_(services.io) {}
 
-    // SIGTERM or SIGINT; repeatable.
+    // Begins the end (SIGTERM or SIGINT). Further calls change nothing.
     void stop();
-    // A successor serves. Before stop() nothing happens: the successor may still be given up.
+    // Called when a successor serves. Does nothing before stop(): the successor may still end.
     void on_successor_ready();
-    // No other process is left; clients that were to go to it are served here until drained.
+    // Called when no other process is left. Clients that were not handed over are served here until drained.
     void on_successor_lost();
-    // After each batch of the loop: hands over or drains what is ready for it, and stops when all is done.
+    // Called after each batch of the loop. Hands over or drains the clients that are ready for it, and stops
+    // when none is left.
     void advance();
 
   private:
@@ -31,7 +32,8 @@
 
     Services& services_;
     boost::asio::steady_timer timer_;
-    routing::Time deadline_{};  // for what is in flight when the drain or the handover begins
+    // When requests in flight must end; set when the drain or the handover begins.
+    routing::Time deadline_{};
     std::size_t clients_handed_over_ = 0;
     bool check_scheduled_ = false;
 };
--- a/src/program/handover_messages.cpp
+++ b/src/program/handover_messages.cpp
@@ -22,7 +22,7 @@
     client = 'C',
 };
 
-// Appends a message's fields to its type.
+// Builds a message: the type, then the fields that are appended.
 class Encoder {
   public:
     explicit Encoder(Type type) : bytes_(1, char(type)) {}
@@ -32,19 +32,20 @@
         bytes_.append(reinterpret_cast<const char*>(&value), sizeof value);
         return *this;
     }
-    // Steady clock: one for all processes of a machine.
+    // A time of the steady clock, which all processes of a machine share.
     Encoder& time(Time at) { return integer(std::int64_t(at.time_since_epoch().count())); }
     Encoder& text(std::string_view text) {
         bytes_ += text;
         return *this;
     }
-    std::string take() { return std::move(bytes_); }
+    std::string release_bytes() { return std::move(bytes_); }
 
   private:
     std::string bytes_;
 };
 
-// Reads fields off the front of a body; each returns false where the body ends before it.
+// Reads a message's fields one after the other. Each function returns false if the body ends before its
+// field.
 class Decoder {
   public:
     explicit Decoder(std::string_view body) : body_(body) {}
@@ -62,7 +63,7 @@
         at = Time(Duration(count));
         return true;
     }
-    std::string_view rest() const { return body_; }
+    std::string_view remaining() const { return body_; }
 
   private:
     std::string_view body_;
@@ -70,34 +71,36 @@
 
 struct EncodeVisitor {
     std::string operator()(const Hello& hello) const {
-        return Encoder(Type::hello).integer(hello.version).take();
+        return Encoder(Type::hello).integer(hello.version).release_bytes();
     }
     std::string operator()(const ListeningSocket& socket) const {
-        return Encoder(Type::listening_socket).text(socket.front).take();
+        return Encoder(Type::listening_socket).text(socket.front).release_bytes();
     }
     std::string operator()(const Commits& commits) const {
         Encoder encoder(Type::commits);
         for (const auto& [session, at] : commits.commits) encoder.integer(std::uint64_t(session)).time(at);
-        return encoder.take();
+        return encoder.release_bytes();
     }
     std::string operator()(const CommitFloor& floor) const {
-        return Encoder(Type::commit_floor).time(floor.at).take();
+        return Encoder(Type::commit_floor).time(floor.at).release_bytes();
     }
     std::string operator()(const Readmission& readmission) const {
-        return Encoder(Type::readmission).time(readmission.at).text(readmission.uid).take();
+        return Encoder(Type::readmission).time(readmission.at).text(readmission.uid).release_bytes();
     }
-    std::string operator()(const StateComplete&) const { return Encoder(Type::state_complete).take(); }
-    std::string operator()(const Serving&) const { return Encoder(Type::serving).take(); }
+    std::string operator()(const StateComplete&) const {
+        return Encoder(Type::state_complete).release_bytes();
+    }
+    std::string operator()(const Serving&) const { return Encoder(Type::serving).release_bytes(); }
     std::string operator()(const ClientNote& note) const {
-        return Encoder(Type::client_note).text(note.note).take();
+        return Encoder(Type::client_note).text(note.note).release_bytes();
     }
     std::string operator()(const Client& client) const {
         return Encoder(Type::client)
             .integer(std::uint8_t(client.front.size()))
             .text(client.front)
             .integer(client.state)
-            .text(client.read)
-            .take();
+            .text(client.unhandled_bytes)
+            .release_bytes();
     }
 };
 
@@ -107,7 +110,7 @@
     return hello;
 }
 
-// As many as there are whole ones.
+// Reads the complete commits; a truncated last one is dropped.
 Message decode_commits(Decoder body) {
     Commits commits;
     std::uint64_t session = 0;
@@ -125,19 +128,19 @@
 std::optional<Message> decode_readmission(Decoder body) {
     Readmission readmission;
     if (!body.time(readmission.at)) return std::nullopt;
-    readmission.uid = body.rest();
+    readmission.uid = body.remaining();
     return readmission;
 }
 
 Message decode_client(Decoder body) {
     Client client;
     std::uint8_t length = 0;
-    std::string_view rest;
-    if (body.integer(length)) rest = body.rest();
-    if (rest.size() <= length) return client;
-    client.front = rest.substr(0, length);
-    client.state = rest[length];
-    client.read = rest.substr(length + std::size_t(1));
+    std::string_view remaining;
+    if (body.integer(length)) remaining = body.remaining();
+    if (remaining.size() <= length) return client;
+    client.front = remaining.substr(0, length);
+    client.state = remaining[length];
+    client.unhandled_bytes = remaining.substr(length + std::size_t(1));
     return client;
 }
 
@@ -154,7 +157,7 @@
         case Type::hello:
             return decode_hello(body);
         case Type::listening_socket:
-            return ListeningSocket{std::string(body.rest())};
+            return ListeningSocket{std::string(body.remaining())};
         case Type::commits:
             return decode_commits(body);
         case Type::commit_floor:
@@ -166,7 +169,7 @@
         case Type::serving:
             return Serving{};
         case Type::client_note:
-            return ClientNote{std::string(body.rest())};
+            return ClientNote{std::string(body.remaining())};
         case Type::client:
             return decode_client(body);
     }
--- a/src/program/handover_messages.hpp
+++ b/src/program/handover_messages.hpp
@@ -1,7 +1,7 @@
 // The messages that two processes of one pooler exchange during an upgrade, and their bytes. A message is one
-// type character and a body; integers are in the byte order of the machine, which the messages never leave.
-// Versions of the program may differ between the two processes: a receiver ignores types that it doesn't
-// know, and no type may change its bytes (tests/program/handover_messages_test.cpp).
+// type character followed by a body. Integers have the machine's byte order, because messages never leave the
+// machine. The two processes may run different versions of the program: a receiver ignores types that it
+// doesn't know, and the bytes of a type never change (tests/program/handover_messages_test.cpp).
 #pragma once
 
 #include <cstdint>
@@ -15,50 +15,52 @@
 
 namespace indigovane::program::handover {
 
-// Successor: the first message; a predecessor of another version closes the channel.
+// The successor's first message. A predecessor of another version closes the channel.
 struct Hello {
-    std::uint32_t version = 0;  // 0: it was cut short
+    std::uint32_t version = 0;  // 0: the message was truncated
 };
-// Predecessor: a front's listening socket, which comes as the message's descriptor.
+// From the predecessor: a front's listening socket, sent as the message's descriptor.
 struct ListeningSocket {
     std::string front;
 };
-// Either process: the last commits of sessions.
+// From either process: sessions' last commits.
 struct Commits {
     std::vector<std::pair<policy::SessionKey, routing::Time>> commits;
 };
-// Predecessor: what sessions without a commit of their own must see.
+// From the predecessor: the commit that reads of sessions without a commit of their own must see.
 struct CommitFloor {
     routing::Time at{};
 };
-// Predecessor: an endpoint that operators readmitted, and when.
+// From the predecessor: an endpoint that operators readmitted, and when.
 struct Readmission {
     std::string uid;
     routing::Time at{};
 };
-// Predecessor: its whole state has been sent.
+// From the predecessor: its whole state has been sent.
 struct StateComplete {};
-// Successor: it serves; clients may be sent.
+// From the successor: it serves, and clients may be sent to it.
 struct Serving {};
-// Predecessor: what its front knows beside the state of the client that comes next.
+// From the predecessor: what the front knows, beside the connection's state, of the client in the next Client
+// message.
 struct ClientNote {
     std::string note;
 };
-// Predecessor: a client, whose connection comes as the message's descriptor.
+// From the predecessor: a client, whose connection is sent as the message's descriptor.
 struct Client {
-    std::string front;  // empty: the message was cut short
-    char state = 0;     // of the front's protocol
-    std::string read;   // bytes that were read and not yet handled
+    std::string front;            // empty: the message was truncated
+    char state = 0;               // the connection's state in the front's protocol
+    std::string unhandled_bytes;  // received from the client
 };
 
 using Message = std::variant<Hello, ListeningSocket, Commits, CommitFloor, Readmission, StateComplete,
                              Serving, ClientNote, Client>;
 
+// The version of these messages, sent in Hello.
 constexpr std::uint32_t kVersion = 1;
 
-// The bytes of a message. A front's name has at most 255 bytes.
+// Returns the bytes of a message. A front's name has at most 255 bytes.
 std::string encode(const Message& message);
-// Nothing: a type of another version, or a body that is cut short.
+// Returns nothing if the type is unknown or the body is truncated.
 std::optional<Message> decode(std::string_view bytes);
 
 }  // namespace indigovane::program::handover
--- a/src/program/handover_state.cpp
+++ b/src/program/handover_state.cpp
@@ -21,21 +21,21 @@
     services_.core->merge_readmission(uid, at);
 }
 
-// A client of a front that this process doesn't have is closed.
+// The connection of a client whose front this process doesn't have is closed.
 void HandoverState::inherit_client(const std::string& front_name, routing::ClientHandover client) {
     for (auto& front : services_.fronts)
         if (front->name() == front_name) return front->take_over(std::move(client));
     transport::Descriptor closed(client.socket);
 }
 
-// Two processes count as one pooler: each has half of its resources while there are two.
+// Two processes count as one pooler: while both run, each has half of the pooler's resources.
 void HandoverState::on_process_change() {
-    bool shared = services_.process_handover->another_process();
+    bool shared = services_.process_handover->has_other_process();
     std::size_t processes = shared ? 2 : 1;
     services_.core->limit(services_.budget.core.links / processes, services_.budget.core.bytes / processes);
     services_.apply_shared_limits();
     services_.log.log(routing::Level::notice, "handover",
-                      shared ? "another process serves as well" : "this process serves alone", {});
+                      shared ? "another process serves as well" : "no other process serves", {});
     if (!shared) shutdown_.on_successor_lost();
 }
 
--- a/src/program/handover_state.hpp
+++ b/src/program/handover_state.hpp
@@ -1,4 +1,5 @@
-// What this process hands over in an upgrade, and what it does with what it inherits.
+// Connects an upgrade's handover with the services of this process: it provides the state to hand over and
+// applies the state that is inherited.
 #pragma once
 
 #include "program/graceful_shutdown.hpp"
--- a/src/program/json_config.hpp
+++ b/src/program/json_config.hpp
@@ -1,4 +1,4 @@
-// What the JSON configuration files have in common.
+// Functions for reading the JSON configuration files.
 #pragma once
 
 #include <map>
@@ -9,21 +9,22 @@
 
 namespace indigovane::program {
 
-// The file's text; ConfigError where it can't be read.
+// Returns the file's text. Throws ConfigError if the file can't be read.
 std::string read_json_file(const std::string& path);
-// ConfigError where the text is no JSON object.
+// Throws ConfigError if the text is not a JSON object.
 nlohmann::json parse_json_object(const std::string& text);
-// `what` names the key in the error. Throws ConfigError.
-transport::SocketAddress parse_address(const std::string& text, const char* what);
-// The number at a key of `object`; ConfigError, with `where` as the object's path, where it is none above 0.
-double positive_number(const nlohmann::json& object, const char* key, const std::string& where);
+// Parses "address:port". Throws ConfigError, which names the key `key`.
+transport::SocketAddress parse_address(const std::string& text, const char* key);
+// Returns the number at a key of `object`, whose path is `path`. Throws ConfigError if it is not above 0.
+double positive_number(const nlohmann::json& object, const char* key, const std::string& path);
 
-// The settings in the form of the simulator's first message: " path=value" for each. Read by the same code as
-// that message, they can't come to mean something else here.
+// Returns the settings in the form of the simulator's first message: " path=value" for each. The same code
+// reads both, so that a setting has the same meaning in the simulator and here.
 std::string flatten_settings(const nlohmann::json& settings);
 
-// Each key below `value` by its path (".a.b", with "[]" for an array's items), and its type: n(umber),
-// o(bject), a(rray), s(tring) or b (any other). Of an array's items, the keys that all of them have.
+// Returns each key below `value` by its path (".a.b", with "[]" for an array's items) with its type:
+// n(umber), o(bject), a(rray), s(tring) or b (any other). Of an array's items, only the keys that all items
+// have count.
 std::map<std::string, char> key_types(const nlohmann::json& value);
 
 }  // namespace indigovane::program
--- a/src/program/lifecycle.cpp
+++ b/src/program/lifecycle.cpp
@@ -9,7 +9,7 @@
 using routing::Level;
 
 namespace {
-// A successor waits so long for the discovery service's list before it serves with the one that it has.
+// A successor waits at most this long for the discovery service's list. Then it serves with the list it has.
 constexpr auto kListTimeout = std::chrono::seconds(3);
 }  // namespace
 
@@ -42,7 +42,7 @@
     open_control_front(services_, operator_calls_);
     open_syslog(services_);
     record_commits(services_);
-    services_.started = services_.clock.now();
+    services_.started_at = services_.clock.now();
     if (services_.process_handover->request_state())
         services_.phases.enter(Phase::inheriting);
     else
@@ -69,11 +69,11 @@
     shutdown_.advance();
 }
 
-// A successor announces itself only with all that it needs: listeners, sessions' commits, endpoint list.
+// A successor announces itself only once it has listeners, sessions' commits and an endpoint list.
 bool Lifecycle::may_serve() const {
-    if (services_.process_handover->inheriting()) return false;
+    if (services_.process_handover->is_inheriting()) return false;
     return services_.discovery_client->has_complete_list() ||
-           services_.clock.now() >= services_.started + kListTimeout;
+           services_.clock.now() >= services_.started_at + kListTimeout;
 }
 
 void Lifecycle::serve() {
@@ -81,7 +81,7 @@
     services_.phases.enter(Phase::serving);
     try {
         services_.process_handover->announce();
-    } catch (const std::exception& error) {  // serving does not depend on it
+    } catch (const std::exception& error) {  // clients are served without a handover, too
         services_.log.log(Level::warning, "handover", error.what(), {});
     }
 }
--- a/src/program/lifecycle.hpp
+++ b/src/program/lifecycle.hpp
@@ -1,4 +1,4 @@
-// The process from start to exit: signals, the loop, and the parts that act in each phase
+// The process from start to exit: signals, the event loop, and the parts that act in each phase
 // (program/phase.hpp).
 //
 //   start             program/startup.hpp, in the order of Lifecycle::start()
@@ -19,17 +19,18 @@
 
 namespace indigovane::program {
 
-// All of it runs on the thread that calls run().
+// Runs entirely on the thread that calls run().
 class Lifecycle {
   public:
-    // `read_config` reads the configuration again, as it is by then; it throws ConfigError where it is bad.
+    // `read_config` reads the configuration files again at a reload. It throws ConfigError if they are
+    // invalid.
     Lifecycle(const Config& config, ConfigReader read_config, Log& log);
     ~Lifecycle();
     Lifecycle(const Lifecycle&) = delete;
     Lifecycle& operator=(const Lifecycle&) = delete;
 
-    // Serves until SIGTERM or SIGINT; returns the exit status. Throws ConfigError or
-    // boost::system::system_error where the process can't start.
+    // Serves until SIGTERM or SIGINT and returns the exit status. Throws ConfigError or
+    // boost::system::system_error if the process can't start.
     int run();
     Phase phase() const { return services_.phases.current(); }
 
--- a/src/program/log.cpp
+++ b/src/program/log.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-constexpr int kLinesPerSecond = 10;  // of one message id
-// An enterprise number for examples and documentation (RFC 5612): the project has none of its own.
+constexpr int kLinesPerSecond = 10;  // for each message id
+// The structured data's name. Its enterprise number is the one for examples and documentation (RFC 5612),
+// because the project has no number of its own.
 constexpr const char* kElement = "indigovane@32473";
 
 std::int64_t unix_microseconds() {
@@ -45,19 +46,19 @@
 Log::Log(std::string name, std::string process, Sink sink)
     : name_(std::move(name)), process_(std::move(process)), sink_(std::move(sink)) {}
 
-// When a new second begins, the lines dropped in the one before are reported.
+// Returns the message id's quota. When a new second has begun, the lines dropped before are reported first.
 Log::Quota& Log::current_quota(const char* id) {
     Quota& quota = quotas_[id];
     std::int64_t second = steady_seconds();
     if (second == quota.second) return quota;
     if (quota.dropped > 0)
-        write(syslog::Severity::notice, "suppressed", "lines were left out",
+        write(syslog::Severity::notice, "suppressed", "lines were dropped: too many in one second",
               {{"of", id}, {"count", std::to_string(quota.dropped)}});
     quota = {second, 0, 0};
     return quota;
 }
 
-// Nothing: this second's lines are used up, and this one counts as dropped.
+// Returns a null pointer, and counts the line as dropped, if the quota of this second is used up.
 Log::Quota* Log::available_quota(const char* id) {
     Quota& quota = current_quota(id);
     if (quota.written < kLinesPerSecond) return &quota;
@@ -89,11 +90,11 @@
     if (accepted && lost_lines_ > 0) report_lost_lines();
 }
 
-// The sink accepts lines again, and gets the number of those that it has missed. If it does not accept this
-// line, it gets it later.
+// Reports the number of lost lines once the sink accepts lines again. If the sink loses the report, too, the
+// number is reported later.
 void Log::report_lost_lines() {
     std::uint64_t missed = std::exchange(lost_lines_, 0);
-    write(syslog::Severity::warning, "lost", "the log's reader did not take lines",
+    write(syslog::Severity::warning, "lost", "lines were lost: the log's reader did not accept them",
           {{"count", std::to_string(missed)}});
     if (lost_lines_ > 0) lost_lines_ = missed;
 }
--- a/src/program/log.hpp
+++ b/src/program/log.hpp
@@ -1,4 +1,5 @@
-// Log lines: RFC 5424 with structured data, a limited number a second of each message id.
+// The operators' log: lines in the format of RFC 5424 with structured data. The number of lines a second is
+// limited for each message id.
 #pragma once
 
 #include <functional>
@@ -10,24 +11,25 @@
 
 namespace indigovane::program {
 
-// Not synchronized: belongs to the loop's thread.
+// Not synchronized: use it on the event loop's thread only.
 class Log : public routing::Logger {
   public:
-    // False: the line is lost.
+    // Writes a line. Returns false if the line is lost.
     using Sink = std::function<bool(const std::string& line)>;
     using SecondSink = std::function<void(const std::string& line)>;
 
-    // `name` and `process` are the host and process fields of each line.
+    // `name` is the host field and `process` the process field of each line.
     Log(std::string name, std::string process, Sink sink);
     virtual ~Log() = default;
-    // Gets all lines as well, until another takes its place; empty: none.
+    // Sets a further sink that gets all lines. An empty function removes it.
     void set_second_sink(SecondSink sink) { second_sink_ = std::move(sink); }
     void log(routing::Level level, const char* id, const std::string& text, const Data& data) override;
     bool wants(const char* id) override { return available_quota(id) != nullptr; }
 
   private:
     struct Quota {
-        std::int64_t second = 0;  // of the steady clock: a step of the wall clock changes no limit
+        // The second of the steady clock that is counted: steps of the wall clock don't affect the limit.
+        std::int64_t second = 0;
         int written = 0;
         int dropped = 0;
     };
@@ -41,7 +43,7 @@
     std::string process_;
     Sink sink_;
     SecondSink second_sink_;
-    std::uint64_t lost_lines_ = 0;         // that the sink did not accept, not yet reported
+    std::uint64_t lost_lines_ = 0;         // not accepted by the sink and not yet reported
     std::map<std::string, Quota> quotas_;  // by message id
 };
 
--- a/src/program/log_output.cpp
+++ b/src/program/log_output.cpp
@@ -8,19 +8,19 @@
 
 namespace indigovane::program {
 
-bool LogOutput::has_capacity() const {
+bool LogOutput::is_writable() const {
     pollfd polled{descriptor_, POLLOUT, 0};
     int ready = ::poll(&polled, 1, 0);
-    if (ready < 0) return errno == EINTR;  // interrupted: the write itself tells
+    if (ready < 0) return errno == EINTR;  // interrupted: write() will show it
     return ready > 0;
 }
 
 bool LogOutput::write_line(std::string_view line) {
-    std::string bytes(line.substr(0, kLongest - 1));
+    std::string bytes(line.substr(0, kMaxLineBytes - 1));
     bytes += '\n';
     std::size_t written = 0;
     while (written < bytes.size()) {
-        if (!has_capacity()) return false;
+        if (!is_writable()) return false;
         ssize_t count = ::write(descriptor_, bytes.data() + written, bytes.size() - written);
         if (count < 0 && errno == EINTR) continue;
         if (count <= 0) return false;
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -1,4 +1,4 @@
-// indigovane: its command line.
+// The command line of indigovane.
 #include <unistd.h>
 
 #include <boost/program_options.hpp>
@@ -24,16 +24,16 @@
     "usage: indigovane COMMAND [options]\n"
     "\n"
     "  serve         serve clients until SIGTERM; SIGHUP reads the configuration again\n"
-    "  check-config  read the configuration, say what it means, and exit\n"
+    "  check-config  check the configuration, print a summary, and exit\n"
     "  shapes        classify statements from standard input, or explain one\n"
-    "  site          what the loss of a site would mean: plan\n"
-    "  store         look at a store on disk: dump, stat, verify, compact, load, get\n"
+    "  site          plan: show the effects of the loss of a site\n"
+    "  store         inspect or change a store on disk: dump, stat, verify, compact, load, get\n"
     "  version       print the version\n"
-    "  help          print this\n"
+    "  help          print this text\n"
     "\n";
 
-// Blocks SIGHUP until release(): one that comes before the loop listens would end the process, or be lost
-// after an older file has been read.
+// Blocks SIGHUP until release(). Before the event loop handles the signal, it would end the process, or the
+// reload would be missed although an older file has been read.
 class BlockedReload {
   public:
     BlockedReload() {
--- a/src/program/offline_store.cpp
+++ b/src/program/offline_store.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr std::size_t kBatchBytes = 1u << 20;  // at most, unless one record has more
-constexpr std::size_t kGroupBytes = 4u << 20;  // batches are written together from this size on
+constexpr std::size_t kBatchBytes = 1u << 20;  // a batch is larger only if it has one larger record
+constexpr std::size_t kGroupBytes = 4u << 20;  // a group of batches above this size is written
 
 std::uint64_t unix_milliseconds() {
     return std::uint64_t(std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -21,11 +21,11 @@
                              .count());
 }
 
-void require(const IoStatus& status) {
+void throw_on_error(const IoStatus& status) {
     if (!status.ok()) throw OfflineStoreError(status.text());
 }
 
-// Writes records as batches of limited size, in groups of them.
+// Writes records in batches of limited size, and several batches together as a group.
 class BatchWriter {
   public:
     BatchWriter(Writer& writer, std::uint64_t sequence) : writer_(writer), sequence_(sequence) {}
@@ -56,13 +56,13 @@
     }
     void write_group() {
         if (group_.empty()) return;
-        require(writer_.write(group_));
+        throw_on_error(writer_.write(group_));
         group_.clear();
         group_bytes_ = 0;
     }
 
     Writer& writer_;
-    std::uint64_t sequence_;  // of the next batch's first record
+    std::uint64_t sequence_;  // the sequence number of the next batch's first record
     Batch batch_;
     std::size_t batch_bytes_ = 0;
     std::vector<Batch> group_;
@@ -72,14 +72,15 @@
 }  // namespace
 
 OfflineStore::OfflineStore(const std::string& folder, bool salvage, Access access) {
-    if (access != Access::create) require(store::check_folder(folder).status);
-    require(store::open_folder(folder, environment_));
-    IoStatus locked = environment_->lock(lock_, access != Access::read);
-    if (locked.is(std::errc::operation_would_block)) throw OfflineStoreError("another process has it open");
-    require(locked);
+    if (access != Access::create) throw_on_error(store::check_folder(folder).status);
+    throw_on_error(store::open_folder(folder, environment_));
+    IoStatus lock_status = environment_->lock(lock_, access != Access::read);
+    if (lock_status.is(std::errc::operation_would_block))
+        throw OfflineStoreError("another process has the store open");
+    throw_on_error(lock_status);
     recover_entries(salvage);
     if (recovered_.outcome == store::RecoveryResult::Outcome::no_store && access != Access::create)
-        throw OfflineStoreError("there is no store in it");
+        throw OfflineStoreError("the folder has no store");
 }
 
 void OfflineStore::recover_entries(bool salvage) {
@@ -99,13 +100,13 @@
 
 std::uint64_t OfflineStore::rewrite(std::vector<Record> records, std::uint64_t store_number) {
     Writer writer(*environment_, {});
-    require(recovered_.salvaged ? writer.begin_salvaged(recovered_, store_number)
-                                : writer.begin(recovered_, store_number));
-    require(writer.begin_generation(recovered_.next_sequence));
+    throw_on_error(recovered_.salvaged ? writer.begin_salvaged(recovered_, store_number)
+                                       : writer.begin(recovered_, store_number));
+    throw_on_error(writer.begin_generation(recovered_.next_sequence));
     BatchWriter batches(writer, recovered_.next_sequence);
     for (Record& record : records) batches.add(std::move(record));
     batches.finish();
-    require(writer.end_generation());
+    throw_on_error(writer.end_generation());
     return writer.bytes();
 }
 
--- a/src/program/offline_store.hpp
+++ b/src/program/offline_store.hpp
@@ -1,5 +1,5 @@
-// A store that no process of the pooler has open, for the command line: its records as recovery finds them,
-// and a rewrite of all of them. Reading never writes to the folder, whatever its state.
+// A store that no pooler has open, for the command line: gives the records that recovery finds, and can
+// rewrite them all. Reading never writes to the folder, whatever its state.
 #pragma once
 
 #include <map>
@@ -14,7 +14,7 @@
 
 namespace indigovane::program {
 
-// what() says why, without the folder's name.
+// what() gives the reason without the folder's name.
 struct OfflineStoreError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -24,7 +24,7 @@
     enum class Access {
         read,
         rewrite,
-        create  // as rewrite; the folder may be empty, or not there yet
+        create  // as rewrite, but the folder may be empty or missing
     };
     struct Entry {
         store::Record record;
@@ -32,17 +32,17 @@
     };
     using Key = std::pair<store::Space, std::string>;
 
-    // Locks the folder for as long as this lives. `salvage`: recovery goes past damage. Throws
-    // OfflineStoreError where the folder can't be opened, or another process has it.
+    // Locks the folder until this object is destroyed. With `salvage`, recovery skips damaged parts. Throws
+    // OfflineStoreError if the folder can't be opened or another process has the store open.
     OfflineStore(const std::string& folder, bool salvage, Access access);
 
-    // Complete only where recovered().usable().
-    const std::map<Key, Entry>& entries() const { return entries_; }  // without expired ones
+    // The live records without expired ones. They are complete only if recovered().usable().
+    const std::map<Key, Entry>& entries() const { return entries_; }
     const store::RecoveryResult& recovered() const { return recovered_; }
 
-    // Puts a new generation with these records in the place of the old one: after a crash there is the one or
-    // the other. `store_number` is for a store that is new. Returns its bytes on disk; throws
-    // OfflineStoreError.
+    // Replaces the store's generation by a new one with these records. After a crash the folder has either
+    // the old or the new generation. `store_number` is used only for a new store. Returns the new
+    // generation's bytes on disk. Throws OfflineStoreError.
     std::uint64_t rewrite(std::vector<store::Record> records, std::uint64_t store_number);
 
   private:
--- a/src/program/operator_calls.cpp
+++ b/src/program/operator_calls.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 
-// On one line; bytes that are no UTF-8 are replaced.
+// The JSON on one line. Bytes that are not valid UTF-8 are replaced.
 std::string one_line(const ordered_json& json) {
     return json.dump(-1, ' ', false, ordered_json::error_handler_t::replace);
 }
 
-// The name of a request that has no statement of its own: those of the REST front and the known forms.
+// The name shown for a request without a statement text (the REST front's and the known forms), or an empty
+// string for any other shape.
 std::string fixed_shape_name(const limits::ShapeId& id) {
     using Verb = routing::ClientRequest::Verb;
     for (auto [verb, name] :
@@ -27,8 +28,8 @@
     return {};
 }
 
-template <typename Line>
-ordered_json shape_json(const Line& line, const adapters::Statements& statements) {
+template <typename ShapeLine>
+ordered_json shape_json(const ShapeLine& line, const adapters::Statements& statements) {
     statement::Shape shape{line.shape.high, line.shape.low};
     const auto* known = statements.known(shape);
     ordered_json json;
@@ -56,9 +57,9 @@
     ExcludedEndpoints& excluded_endpoints = services_.excluded_endpoints;
     try {
         excluded_endpoints.refresh();
-        // One that has left the list may still be readmitted: it was excluded under this id.
+        // An excluded endpoint may be readmitted even if it has left the endpoint list.
         if (!services_.core->knows(uid) && !excluded_endpoints.uids().count(uid))
-            return {false, "no host has this id"};
+            return {false, "no host with this id is known"};
         excluded_endpoints.change(uid, excluded);
     } catch (const std::exception& error) {
         return {false, error.what()};
@@ -70,17 +71,17 @@
             services_.persistent_state->store_excluded_endpoints(
                 services_.excluded_endpoints.uids(), services_.core->readmissions(),
                 [text, answer = std::move(answer)](bool on_disk) {
-                    answer(on_disk ? text : text + " (not on disk: see the log)");
+                    answer(on_disk ? text : text + " (not written to disk: see the log)");
                 });
         };
     return reply;
 }
 
-OperatorCalls::Reply OperatorCalls::shapes(std::size_t most) {
-    if (!services_.limited_admission) return {false, "limits by cost are off"};
+OperatorCalls::Reply OperatorCalls::shapes(std::size_t max_shapes) {
+    if (!services_.limited_admission) return {false, "limits by cost are switched off"};
     limits::Time now(services_.clock.now().time_since_epoch());
     ordered_json lines = ordered_json::array();
-    for (const auto& line : services_.limited_admission->limiter().top(most, now))
+    for (const auto& line : services_.limited_admission->limiter().top(max_shapes, now))
         lines.push_back(shape_json(line, *services_.statements));
     return {true, one_line(lines)};
 }
@@ -92,7 +93,7 @@
     return {true, status_json(sites->manager(), services_.config.zones, now).dump(), {}};
 }
 
-// Made of what this pooler has seen of its own traffic.
+// The plan is computed from the traffic that this pooler has seen.
 OperatorCalls::Reply OperatorCalls::site_plan(const std::string& zone_name) {
     const SiteController* sites = services_.core->sites();
     if (!sites) return Operations::site_plan(zone_name);
@@ -109,7 +110,7 @@
     auto zone = zone_number(services_.config.zones, zone_name);
     if (!zone) return {false, "no zone has this name", {}};
     if (!services_.core->drain_site(*zone, on)) return {true, "nothing to do", {}};
-    return {true, on ? "its load is sent away" : "its load comes back", {}};
+    return {true, on ? "its load moves to other sites" : "its load returns", {}};
 }
 
 }  // namespace indigovane::program
--- a/src/program/peer_config.hpp
+++ b/src/program/peer_config.hpp
@@ -1,4 +1,4 @@
-// The operator's file of the links between poolers: TOML. The addresses come from the platform's
+// The operator's TOML file of the links between poolers. The poolers' addresses are in the platform's
 // configuration.
 #pragma once
 
@@ -10,9 +10,12 @@
 namespace indigovane::program {
 
 struct PeerConfig {
-    std::string cluster;                                      // messages of another one are ignored
-    limits::Duration again = std::chrono::milliseconds(250);  // each message is sent a second time after this
-    limits::Duration gather = std::chrono::milliseconds(20);  // what happens within it goes into one message
+    // Messages of other clusters are ignored.
+    std::string cluster;
+    // Each message is sent a second time after this delay.
+    limits::Duration resend_delay = std::chrono::milliseconds(250);
+    // Changes within this time are sent in one message.
+    limits::Duration gather_window = std::chrono::milliseconds(20);
 };
 
 // Throws ConfigError.
--- a/src/program/persistent_state.cpp
+++ b/src/program/persistent_state.cpp
@@ -24,16 +24,18 @@
 
 namespace {
 
-constexpr auto kTickInterval = std::chrono::milliseconds(100);  // of leases and expiry
+// How often leases are extended and expired records removed.
+constexpr auto kTickInterval = std::chrono::milliseconds(100);
 constexpr auto kOpenRetryInterval = std::chrono::milliseconds(20);
-constexpr std::size_t kListOverhead = 64;  // bytes of a stored list beside the endpoints
-constexpr const char* kListKey = "members";
+constexpr std::size_t kListRecordOverhead = 64;  // bytes of a stored list's record beside the list
+constexpr const char* kEndpointListKey = "members";
 
-// Of host records.
-constexpr const char* kExcluded = "out";
-constexpr const char* kReadmitted = "back ";  // and the Unix time in us
+// Values of host records.
+constexpr const char* kExcludedValue = "out";
+constexpr const char* kReadmittedPrefix = "back ";  // followed by the Unix time in us
 
-// Empty where the machine does not say: every start then counts as another boot's.
+// The id of the machine's boot. Empty if it can't be read: every start then counts as a start after another
+// boot.
 std::string boot_id() {
     std::ifstream in("/proc/sys/kernel/random/boot_id");
     std::string id;
@@ -67,25 +69,25 @@
 
 // ---- open and close ----------------------------------------------------------------------------
 
-void PersistentState::open(bool wait) {
-    if (config_.in_memory)
-        logger_.log(Level::warning, "store", "the folder is in memory: nothing there outlasts the machine",
-                    {});
-    try_open(!wait);
+void PersistentState::open(bool wait_until_unlocked) {
+    if (config_.is_in_memory)
+        logger_.log(Level::warning, "store",
+                    "the store's folder is in memory: its records are lost when the machine restarts", {});
+    try_open(!wait_until_unlocked);
 }
 
 store::OpenOptions PersistentState::open_options() const {
     store::OpenOptions options;
-    options.log_worker.writer.segment_bytes = config_.segment;
-    options.log_worker.max_log_bytes = config_.budget;
-    options.log_worker.compact_bytes_per_second = config_.compact_per_second;
+    options.log_worker.writer.segment_bytes = config_.segment_bytes;
+    options.log_worker.max_log_bytes = config_.max_log_bytes;
+    options.log_worker.compact_bytes_per_second = config_.compact_bytes_per_second;
     options.sync_interval_us = std::uint64_t(config_.sync_interval.count());
     options.salvage = config_.salvage;
     options.new_store_number = random_store_number();
     return options;
 }
 
-// Called on the store's thread.
+// A function that the store's thread calls to make the event loop flush.
 std::function<void()> PersistentState::wake_loop() {
     return [this, alive = std::weak_ptr<bool>(alive_)] {
         boost::asio::post(io_, [this, alive] {
@@ -110,7 +112,8 @@
     bool locked = found.outcome == store::RecoveryResult::Outcome::no_store &&
                   error.kind == store::OpenError::Kind::locked;
     if (final_attempt || !locked) throw ConfigError(config_.folder, error.text);
-    // Until this process has it, what is acknowledged here is in no store: the next start must know.
+    // Until this process has opened the store, commits acknowledged here are stored nowhere. The crash marker
+    // tells the next start.
     crash_marker_.write(CrashMarker::beyond_lease);
     retry_open_later();
 }
@@ -118,11 +121,11 @@
 void PersistentState::retry_open_later() {
     timer_.expires_after(kOpenRetryInterval);
     timer_.async_wait([this](const boost::system::error_code& error) {
-        if (error || closed_) return;
+        if (error || is_closed_) return;
         try {
             try_open(false);
-        } catch (const std::exception& failure) {
-            logger_.log(Level::error, "store", failure.what(), {{"served", "from memory"}});
+        } catch (const std::exception& open_error) {
+            logger_.log(Level::error, "store", open_error.what(), {{"served", "from memory"}});
         }
     });
 }
@@ -141,9 +144,9 @@
         tokens.commits.emplace_back(policy::SessionKey{session}, clock_.from_unix(std::int64_t(commit)));
     core_.take_over(std::move(tokens));
     log_start(found, start);
-    // What this process has received while another had the store.
-    SessionTokens before = std::exchange(inherited_, {});
-    inherit(before);
+    // Commits received while another process had the store open.
+    SessionTokens received = std::exchange(inherited_, {});
+    inherit(received);
     flush();
     start_ticking();
 }
@@ -175,20 +178,20 @@
     notify_durable();
 }
 
-// A callback may begin another wait.
+// Callbacks may add further waits to `durable_waits_`, so its entries are moved out first.
 void PersistentState::notify_durable() {
     auto waits = std::exchange(durable_waits_, {});
     for (DurableWait& wait : waits)
         if (thread_ && thread_->store().durable() >= wait.ticket)
-            wait.then(true);
+            wait.on_durable(true);
         else if (!thread_ || thread_->store().failing())
-            wait.then(false);
+            wait.on_durable(false);
         else
             durable_waits_.push_back(std::move(wait));
 }
 
 void PersistentState::close() {
-    closed_ = true;
+    is_closed_ = true;
     timer_.cancel();
     if (!thread_) return;
     flush();
@@ -198,7 +201,7 @@
     bool complete = thread_->store().durable() >= thread_->store().ticket() - 1;
     positions_->tick(now_us());
     logger_.log(complete ? Level::notice : Level::warning, "store",
-                complete ? "closed" : "closed without all being on disk", {});
+                complete ? "closed" : "closed, but not all records are on disk", {});
     thread_.reset();
     notify_durable();
 }
@@ -208,9 +211,9 @@
 void PersistentState::commit(std::uint64_t session, Time commit) {
     if (positions_ && thread_)
         positions_->write_committed(session, unix_us(commit), now_us());
-    else if (closed_)
-        crash_marker_.write(
-            CrashMarker::beyond_lease);  // the successor receives it, stores it, and lowers the marker then
+    else if (is_closed_)
+        // The successor receives this commit, stores it, and then lowers the marker.
+        crash_marker_.write(CrashMarker::beyond_lease);
     else
         inherited_.commits.emplace_back(policy::SessionKey{session}, commit);
 }
@@ -239,32 +242,32 @@
 std::map<std::string, std::string> PersistentState::host_records(
     const std::set<std::string>& excluded, const std::map<std::string, Time>& readmissions) const {
     std::map<std::string, std::string> records;
-    for (const std::string& uid : excluded) records[uid] = kExcluded;
+    for (const std::string& uid : excluded) records[uid] = kExcludedValue;
     for (const auto& [uid, at] : readmissions)
-        if (!excluded.count(uid)) records[uid] = kReadmitted + std::to_string(clock_.to_unix(at));
+        if (!excluded.count(uid)) records[uid] = kReadmittedPrefix + std::to_string(clock_.to_unix(at));
     return records;
 }
 
 void PersistentState::store_excluded_endpoints(const std::set<std::string>& excluded,
                                                const std::map<std::string, Time>& readmissions,
-                                               OnDurable then) {
+                                               OnDurable on_durable) {
     if (!thread_) {
-        if (then) then(false);
+        if (on_durable) on_durable(false);
         return;
     }
-    std::map<std::string, std::string> wanted = host_records(excluded, readmissions);
+    std::map<std::string, std::string> required_records = host_records(excluded, readmissions);
     std::map<std::string, std::string> stored;
     thread_->store().each(Space::hosts,
                           [&](const std::string& uid, const std::string& value) { stored[uid] = value; });
     std::vector<Record> changes;
-    for (const auto& [uid, value] : wanted)
+    for (const auto& [uid, value] : required_records)
         if (uid.size() <= store::kMaxKeyBytes && (!stored.count(uid) || stored[uid] != value))
             changes.push_back({Record::Type::put, Space::hosts, uid, value, 0});
     for (const auto& [uid, value] : stored)
-        if (!wanted.count(uid)) changes.push_back({Record::Type::remove, Space::hosts, uid, "", 0});
-    std::uint64_t ticket = 0;  // durable already
+        if (!required_records.count(uid)) changes.push_back({Record::Type::remove, Space::hosts, uid, "", 0});
+    std::uint64_t ticket = 0;  // of a change that is on disk already
     if (!changes.empty()) ticket = thread_->store().write(std::move(changes), Durability::strict);
-    if (then) durable_waits_.push_back({ticket, std::move(then)});
+    if (on_durable) durable_waits_.push_back({ticket, std::move(on_durable)});
     flush();
 }
 
@@ -272,7 +275,7 @@
     std::set<std::string> excluded;
     if (!thread_) return excluded;
     thread_->store().each(Space::hosts, [&](const std::string& uid, const std::string& value) {
-        if (value == kExcluded) excluded.insert(uid);
+        if (value == kExcludedValue) excluded.insert(uid);
     });
     return excluded;
 }
@@ -301,15 +304,15 @@
 // ---- the endpoint list -------------------------------------------------------------------------
 
 void PersistentState::store_endpoint_list(const std::string& list, std::int64_t revision) {
-    if (!thread_ || list.size() > store::kMaxValueBytes - kListOverhead) return;
+    if (!thread_ || list.size() > store::kMaxValueBytes - kListRecordOverhead) return;
     json record{{"revision", revision}, {"told_ms", now_ms()}, {"members", list}};
-    thread_->store().put(Space::list, kListKey, record.dump());
+    thread_->store().put(Space::list, kEndpointListKey, record.dump());
     thread_->flush();
 }
 
 std::optional<std::string> PersistentState::newer_endpoint_list(std::int64_t revision) const {
     if (!thread_) return std::nullopt;
-    auto text = thread_->store().get(Space::list, kListKey);
+    auto text = thread_->store().get(Space::list, kEndpointListKey);
     if (!text) return std::nullopt;
     json record = json::parse(*text, nullptr, false);
     if (!record.is_object() || !record.contains("revision") || !record["revision"].is_number_integer() ||
--- a/src/program/persistent_state.hpp
+++ b/src/program/persistent_state.hpp
@@ -1,7 +1,7 @@
-// What outlasts the process, by way of the store: sessions' commits, excluded endpoints, cost of statement
-// shapes, the endpoint list. Opened before anything is served and closed at the end. In an upgrade the
-// predecessor closes the store when it is told to stop, and the successor opens it as soon as it can; until
-// then the crash marker (store/positions.hpp) says that commits may be missing.
+// The state that outlasts the process in the store: sessions' commits, excluded endpoints, costs of statement
+// shapes and the endpoint list. The store is opened before anything is served and closed at the end. In an
+// upgrade the predecessor closes the store when it is asked to stop, and the successor opens it as soon as it
+// can. Until then the crash marker (store/positions.hpp) records that commits may be missing.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,12 +22,13 @@
 
 namespace indigovane::program {
 
-// Belongs to the loop's thread; the store writes on a thread of its own.
+// Not synchronized: use it on the event loop's thread only. The store writes on a thread of its own.
 class PersistentState {
   public:
+    // `on_disk` is false if the records can't be written to disk for now.
     using OnDurable = std::function<void(bool on_disk)>;
 
-    // `scratch`: memory-backed folder, for the crash marker.
+    // `scratch` is the memory-backed folder for the crash marker.
     PersistentState(boost::asio::io_context& io, const routing::Clock& clock, StoreConfig config,
                     const std::string& scratch, const std::string& name, routing::Core& core,
                     routing::Logger& logger);
@@ -35,38 +36,41 @@
     PersistentState(const PersistentState&) = delete;
     PersistentState& operator=(const PersistentState&) = delete;
 
-    // `wait`: where another process has it open, it is tried again until that has closed it. Throws
-    // ConfigError where it can't be used for another reason.
-    void open(bool wait);
+    // Opens the store. If another process has it open and `wait_until_unlocked` is set, opening is retried
+    // until that process has closed it. Throws ConfigError if the store can't be used.
+    void open(bool wait_until_unlocked);
     bool is_open() const { return thread_ != nullptr; }
-    void flush();  // after each batch of the loop
-    void close();  // all that was acknowledged is on disk then
+    // Called after each batch of the loop.
+    void flush();
+    // Closes the store. All acknowledged records are on disk then, unless the log line says otherwise.
+    void close();
 
-    void commit(std::uint64_t session, routing::Time commit);  // before the client is notified
+    // Called before the client is notified of the commit.
+    void commit(std::uint64_t session, routing::Time commit);
     void begin_write(std::uint64_t session);
     void end_write(std::uint64_t session);
-    // What another process has committed for sessions that go on here.
+    // Records commits of another process for sessions that continue here.
     void inherit(const policy::SessionTokens& tokens);
 
-    // Strict: `then` is called once it is on disk (true), or can't be for now (false); at once where nothing
-    // changes. `readmissions`: when each endpoint was last readmitted.
+    // Calls `on_durable` once the change is on disk or can't be written for now; at once if nothing changes.
+    // `readmissions` says when each endpoint was last readmitted.
     void store_excluded_endpoints(const std::set<std::string>& excluded,
                                   const std::map<std::string, routing::Time>& readmissions,
-                                  OnDurable then = {});
-    // `list` as program/endpoint_list_text.hpp writes it.
+                                  OnDurable on_durable = {});
+    // `list` has the form that write_endpoint_list() writes.
     void store_endpoint_list(const std::string& list, std::int64_t revision);
     void store_shape_costs(const std::vector<limits::ShapePrior>& priors);
 
-    // What earlier processes have stored; empty while the store is not open.
+    // What earlier processes have stored. All are empty while the store is not open.
     std::vector<limits::ShapePrior> shape_costs() const;
     std::set<std::string> excluded_endpoints() const;
-    // The endpoint list, if it is newer than `revision`.
+    // The stored endpoint list, if it is newer than `revision`.
     std::optional<std::string> newer_endpoint_list(std::int64_t revision) const;
 
   private:
     struct DurableWait {
         std::uint64_t ticket = 0;
-        OnDurable then;
+        OnDurable on_durable;
     };
 
     void try_open(bool final_attempt);
@@ -90,13 +94,14 @@
     CrashMarkerFile crash_marker_;
     routing::Core& core_;
     routing::Logger& logger_;
-    std::unique_ptr<store::StoreThread> thread_;  // none: not open
+    std::unique_ptr<store::StoreThread> thread_;  // empty while the store is not open
     std::unique_ptr<store::Positions> positions_;
     boost::asio::steady_timer timer_;
     std::vector<DurableWait> durable_waits_;
-    policy::SessionTokens inherited_;  // until it is open
+    // Commits received before the store is open.
+    policy::SessionTokens inherited_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-    bool closed_ = false;
+    bool is_closed_ = false;
 };
 
 }  // namespace indigovane::program
--- a/src/program/phase.cpp
+++ b/src/program/phase.cpp
@@ -15,27 +15,27 @@
 
 constexpr Transition kTransitions[] = {
     {Phase::starting, Phase::inheriting},          // a predecessor was found
-    {Phase::starting, Phase::serving},             // none
-    {Phase::inheriting, Phase::serving},           // its state and the endpoint list are here
-    {Phase::inheriting, Phase::stopped},           // told to stop
+    {Phase::starting, Phase::serving},             // no predecessor was found
+    {Phase::inheriting, Phase::serving},           // the predecessor's state and the endpoint list arrived
+    {Phase::inheriting, Phase::stopped},           // stop was requested
     {Phase::serving, Phase::reloading},            // a new configuration names another discovery service
-    {Phase::reloading, Phase::serving},            // its list has come
+    {Phase::reloading, Phase::serving},            // the new discovery service sent its list
     {Phase::serving, Phase::failing_checks},       // operators divert clients
-    {Phase::reloading, Phase::failing_checks},     //
+    {Phase::reloading, Phase::failing_checks},     // operators divert clients
     {Phase::failing_checks, Phase::closing_idle},  // health checkers have noticed
-    {Phase::failing_checks, Phase::serving},       // operators take the diversion back
-    {Phase::failing_checks, Phase::reloading},     //
-    {Phase::closing_idle, Phase::serving},         //
-    {Phase::closing_idle, Phase::reloading},       //
-    {Phase::serving, Phase::lingering},            // told to stop
-    {Phase::reloading, Phase::lingering},          //
-    {Phase::failing_checks, Phase::lingering},     //
-    {Phase::closing_idle, Phase::lingering},       //
+    {Phase::failing_checks, Phase::serving},       // operators end the diversion
+    {Phase::failing_checks, Phase::reloading},     // operators end the diversion
+    {Phase::closing_idle, Phase::serving},         // operators end the diversion
+    {Phase::closing_idle, Phase::reloading},       // operators end the diversion
+    {Phase::serving, Phase::lingering},            // stop was requested
+    {Phase::reloading, Phase::lingering},          // stop was requested
+    {Phase::failing_checks, Phase::lingering},     // stop was requested
+    {Phase::closing_idle, Phase::lingering},       // stop was requested
     {Phase::lingering, Phase::draining},           // no successor is ready in time
     {Phase::lingering, Phase::handing_over},       // a successor is ready
-    {Phase::handing_over, Phase::draining},        // the successor is gone
-    {Phase::handing_over, Phase::stopped},         // all clients went to it
-    {Phase::draining, Phase::stopped},             // nothing is in flight, or time is up
+    {Phase::handing_over, Phase::draining},        // the successor ended
+    {Phase::handing_over, Phase::stopped},         // all clients went to the successor
+    {Phase::draining, Phase::stopped},             // nothing is in flight, or the drain deadline has passed
 };
 
 }  // namespace
--- a/src/program/phase.hpp
+++ b/src/program/phase.hpp
@@ -1,4 +1,4 @@
-// The phases of the process from start to exit, as a state machine with a table of legal transitions.
+// The phases of the process from start to exit: a state machine with a table of legal transitions.
 #pragma once
 
 #include <cstdint>
@@ -8,39 +8,49 @@
 namespace indigovane::program {
 
 enum class Phase {
-    starting,        // nothing listens yet
-    inheriting,      // a predecessor serves; its listeners and state, or the endpoint list, are yet to come
-    serving,         // the regular state
-    reloading,       // serving by a new configuration, whose discovery service has not sent its list yet
-    failing_checks,  // operators divert clients: serves them all, but health checks fail
-    closing_idle,    // likewise, and connections close between requests
-    lingering,       // told to stop: still accepts and serves, until health checkers have noticed
-    handing_over,    // told to stop in an upgrade: clients without a request go to the successor
-    draining,        // accepts nothing new; finishes what is in flight
+    // Nothing listens yet.
+    starting,
+    // A predecessor process serves. This process waits for its listeners and state, or for the endpoint list.
+    inheriting,
+    // The regular state.
+    serving,
+    // Serves with a new configuration whose discovery service has not sent its endpoint list yet.
+    reloading,
+    // Operators divert clients: all clients are served, but health checks fail.
+    failing_checks,
+    // As failing_checks, and client connections close between requests.
+    closing_idle,
+    // Stop was requested. The process still accepts and serves until health checkers have noticed.
+    lingering,
+    // Stop was requested in an upgrade: clients without a request in flight go to the successor process.
+    handing_over,
+    // No new connections are accepted; requests in flight finish.
+    draining,
     stopped
 };
 
-// As logs and operators' replies have it.
+// The phase's name in log lines and in replies to control calls.
 const char* name(Phase phase);
 
-// Whether the process may go from one phase directly to the other.
+// Whether the process may change from phase `from` directly to phase `to`.
 bool is_legal_transition(Phase from, Phase to);
 
-// The current phase. All changes of it go through enter(), which logs them (message id "phase"). Not
-// synchronized: belongs to the loop's thread.
+// Holds the current phase. Every change goes through enter(), which logs it (message id "phase"). Not
+// synchronized: use it on the event loop's thread only.
 class PhaseMachine {
   public:
     explicit PhaseMachine(routing::Logger& logger) : logger_(logger) {}
 
     Phase current() const { return phase_; }
     bool is(Phase phase) const { return phase_ == phase; }
-    // Accepts clients and nobody has asked it to stop or to divert them.
+    // The process accepts clients and was asked neither to stop nor to divert them.
     bool is_regular() const { return is(Phase::serving) || is(Phase::reloading); }
     bool is_diverting() const { return is(Phase::failing_checks) || is(Phase::closing_idle); }
     bool is_stopping() const;
 
+    // Changes to `phase`, even if the table does not have this transition.
     void enter(Phase phase);
-    // Transitions that the table does not have; each was made nevertheless.
+    // The number of transitions made that the table does not have.
     std::uint64_t violations() const { return violations_; }
 
   private:
--- a/src/program/platform_config.cpp
+++ b/src/program/platform_config.cpp
@@ -1,4 +1,4 @@
-// The platform's configuration file, section by section.
+// Reads the platform's configuration file, section by section.
 #include <cstdlib>
 #include <set>
 
@@ -17,9 +17,10 @@
 namespace {
 
 constexpr std::size_t kMinSockets = 64;
-constexpr auto kDefaultDeadline = std::chrono::seconds(1);  // of a class whose settings name none
+// The deadline of a class whose settings name none.
+constexpr auto kDefaultDeadline = std::chrono::seconds(1);
 
-std::string variable(const char* name) {
+std::string environment_variable(const char* name) {
     const char* value = std::getenv(name);
     return value ? value : "";
 }
@@ -31,17 +32,18 @@
 }
 
 void read_identity(const json& root, Config& config) {
-    config.name = root.value(keys::kName, variable(keys::kNameVariable));
-    config.listen = parse_address(root.value(keys::kListen, variable(keys::kListenVariable)), keys::kListen);
-    config.discovery =
-        parse_address(root.value(keys::kDiscovery, variable(keys::kDiscoveryVariable)), keys::kDiscovery);
-    std::string control = root.value(keys::kControl, variable(keys::kControlVariable));
+    config.name = root.value(keys::kName, environment_variable(keys::kNameVariable));
+    config.listen =
+        parse_address(root.value(keys::kListen, environment_variable(keys::kListenVariable)), keys::kListen);
+    config.discovery = parse_address(
+        root.value(keys::kDiscovery, environment_variable(keys::kDiscoveryVariable)), keys::kDiscovery);
+    std::string control = root.value(keys::kControl, environment_variable(keys::kControlVariable));
     if (!control.empty()) config.control = parse_address(control, keys::kControl);
     if (root.contains(keys::kSeed)) config.seed = read_seed(root[keys::kSeed]);
 }
 
-// Peers are a list of addresses, or an object of them by name. What has another form names nobody: only an
-// operator's file switches the links on, and reports it then.
+// Peers are an array of addresses or an object of addresses by name. Anything else is ignored: only an
+// operator's file switches the links on, and set_peers() then reports that there are no peers.
 void read_peer_addresses(const json& root, Config& config) {
     auto address = [](const json& value) {
         return value.is_string() ? transport::parse_socket_address(value.get<std::string>()) : std::nullopt;
@@ -61,16 +63,17 @@
     config.sockets = std::size_t(limits.value(keys::kDescriptors, 1024.0));
 }
 
-// Each array of the family's information has one entry a class.
+// Each array of `familyInfo` must have one entry for each class.
 void check_family(const json& settings) {
     if (!settings.contains(keys::kFamily)) return;
     const json& family = settings[keys::kFamily];
     for (const char* key : {keys::kConsistency, keys::kStalenessBoundMs})
         if (family.contains(key) && family[key].size() != settings[keys::kClasses].size())
-            throw ConfigError(std::string("settings.familyInfo.") + key + ": one entry a class is wanted");
+            throw ConfigError(std::string("settings.familyInfo.") + key +
+                              ": expected one entry for each class");
 }
 
-// What the routing policy would understand otherwise than it was meant.
+// Rejects values that the routing policy would accept but interpret differently from what they say.
 void check_settings(const json& settings) {
     if (settings.contains(keys::kPermissions) && settings[keys::kPermissions].contains(keys::kAttempts))
         positive_number(settings[keys::kPermissions], keys::kAttempts, "settings.allowed");
@@ -79,7 +82,7 @@
     for (const json& request_class : settings[keys::kClasses]) {
         std::string name = request_class.value(keys::kClassName, std::string());
         if (name.empty() || !names.insert(name).second)
-            throw ConfigError("settings.classes: each class has a name of its own");
+            throw ConfigError("settings.classes: each class must have a name, and no two the same name");
         for (const char* key : {keys::kDeadlineMs, keys::kLatencyObjectiveMs})
             if (request_class.contains(key)) positive_number(request_class, key, "settings.classes." + name);
     }
@@ -100,7 +103,7 @@
     read_milliseconds(permissions, keys::kIdleTimeoutMs, config.idle_limit);
 }
 
-// What fronts need of each class.
+// Reads the settings of each class that fronts need.
 void read_classes(const json& settings, Config& config) {
     std::vector<adapters::ClassInfo> classes;
     const json list = settings.contains(keys::kClasses) ? settings[keys::kClasses] : json::array();
@@ -123,14 +126,15 @@
     const json settings = root.value(keys::kSettings, json::object());
     check_settings(settings);
     std::string flat = "SETTINGS" + flatten_settings(settings);
-    config.settings = simulator::read_settings(simulator::Line(flat));  // a line keeps views into its text
+    config.settings = simulator::read_settings(simulator::Line(flat));  // Line refers to `flat`
     if (settings.contains(keys::kZones))
         for (const json& zone : settings[keys::kZones]) config.zones.push_back(zone.get<std::string>());
     read_permissions(settings, config);
     read_classes(settings, config);
 }
 
-// For later reloads: the keys that a complete file has, and the text that only a start applies.
+// Retains what later reloads compare: the keys that a complete file has, and the text of the settings that
+// only a restart applies.
 void retain_for_reload(json root, Config& config) {
     for (const char* key : {keys::kKnownEndpoints, keys::kSeed}) root.erase(key);
     config.key_types = key_types(root);
@@ -144,7 +148,7 @@
     read_limits(root, config);
     read_settings(root, config);
     if (root.contains(keys::kKnownEndpoints))
-        config.known = routing::read_endpoint_listing(root[keys::kKnownEndpoints], config.zones);
+        config.known_endpoints = routing::read_endpoint_listing(root[keys::kKnownEndpoints], config.zones);
     retain_for_reload(root, config);
 }
 
@@ -160,7 +164,7 @@
     } catch (const std::exception& error) {  // a value of the wrong type
         throw ConfigError(error.what());
     }
-    if (config.sockets < kMinSockets) throw ConfigError("limits.sockets: at least 64 are needed");
+    if (config.sockets < kMinSockets) throw ConfigError("limits.sockets: at least 64 descriptors are needed");
     return config;
 }
 
@@ -172,11 +176,13 @@
     }
 }
 
-void check_complete(const Config& fresh, const Config& old) {
-    for (const auto& [path, type] : old.key_types) {
-        auto it = fresh.key_types.find(path);
-        if (it == fresh.key_types.end()) throw ConfigError("the key '" + path.substr(1) + "' is missing");
-        if (it->second != type) throw ConfigError("the key '" + path.substr(1) + "' is of another type");
+void check_complete(const Config& new_config, const Config& old_config) {
+    for (const auto& [path, type] : old_config.key_types) {
+        auto it = new_config.key_types.find(path);
+        if (it == new_config.key_types.end())
+            throw ConfigError("the key '" + path.substr(1) + "' is missing");
+        if (it->second != type)
+            throw ConfigError("the key '" + path.substr(1) + "' has another type than before");
     }
 }
 
--- a/src/program/platform_keys.hpp
+++ b/src/program/platform_keys.hpp
@@ -1,10 +1,10 @@
-// The platform's own names in its configuration file and environment, each mapped once to the standard term.
-// The names of `settings` that the simulator's first message has as well are mapped in simulator/codec.
+// The platform's names in its configuration file and environment, each mapped once to the project's term.
+// Names of `settings` that are also in the simulator's first message are mapped in simulator/codec.
 #pragma once
 
 namespace indigovane::program::platform_keys {
 
-// The file.
+// Top-level keys of the file, and keys of `limits`.
 inline constexpr const char* kName = "name";
 inline constexpr const char* kListen = "listen";
 inline constexpr const char* kDiscovery = "discovery";
@@ -18,7 +18,7 @@
 inline constexpr const char* kKnownEndpoints = "known";
 inline constexpr const char* kSettings = "settings";
 
-// `settings`.
+// Keys of `settings`.
 inline constexpr const char* kZones = "azs";
 inline constexpr const char* kPermissions = "allowed";
 inline constexpr const char* kAttempts = "tryLimit";
@@ -33,7 +33,7 @@
 inline constexpr const char* kConsistency = "consistency";
 inline constexpr const char* kStalenessBoundMs = "oldestDataMs";
 
-// Environment variables, each in place of a key that the file lacks.
+// Environment variables. Each replaces a key that the file lacks.
 inline constexpr const char* kNameVariable = "LB_NAME";
 inline constexpr const char* kListenVariable = "LB_LISTEN";
 inline constexpr const char* kDiscoveryVariable = "LB_DISCOVERY";
--- a/src/program/process_handover.cpp
+++ b/src/program/process_handover.cpp
@@ -18,13 +18,13 @@
 constexpr std::size_t kCommitsPerMessage = 1000;
 }  // namespace
 
-// What a predecessor may send; other types are ignored.
-struct ProcessHandover::PredecessorMessage {
+// Handles the messages that a predecessor may send. Other types are ignored.
+struct ProcessHandover::PredecessorMessageHandler {
     ProcessHandover& handover;
     Descriptor descriptor;
 
     void operator()(handover::ListeningSocket& socket) {
-        if (descriptor && handover.inheriting())
+        if (descriptor && handover.is_inheriting())
             handover.handover_owner_.inherit_socket(socket.front, std::move(descriptor));
     }
     void operator()(handover::CommitFloor& floor) { handover.handover_owner_.inherit_tokens({{}, floor.at}); }
@@ -32,7 +32,7 @@
         handover.handover_owner_.inherit_readmission(readmission.uid, readmission.at);
     }
     void operator()(handover::StateComplete&) {
-        if (handover.inheriting()) handover.predecessor_state_ = State::sharing;
+        if (handover.is_inheriting()) handover.predecessor_state_ = State::sharing;
         handover.timer_.cancel();
     }
     void operator()(handover::ClientNote& note) { handover.client_note_ = std::move(note.note); }
@@ -43,8 +43,8 @@
     void operator()(Other&) {}
 };
 
-// What a successor may send; other types are ignored.
-struct ProcessHandover::SuccessorMessage {
+// Handles the messages that a successor may send. Other types are ignored.
+struct ProcessHandover::SuccessorMessageHandler {
     ProcessHandover& handover;
 
     void operator()(handover::Hello& hello) { handover.receive_hello(hello); }
@@ -79,8 +79,8 @@
     predecessor_->send(encode(handover::Hello{handover::kVersion}));
     timer_.expires_after(state_timeout_);
     timer_.async_wait([this](const boost::system::error_code& error) {
-        // Guards the start against a predecessor that hangs, or that is no such program.
-        if (!error && inheriting()) on_closed(*predecessor_);
+        // The start must not wait for a predecessor that hangs, or for a listener that is another program.
+        if (!error && is_inheriting()) on_closed(*predecessor_);
     });
     handover_owner_.on_process_change();
     return true;
@@ -93,7 +93,7 @@
         io_, folder_, name_, [this](Descriptor socket) { accept_successor(std::move(socket)); });
 }
 
-// A newer successor takes the place of the one before.
+// A newer successor replaces the previous one.
 void ProcessHandover::accept_successor(Descriptor socket) {
     if (successor_) on_closed(*successor_);
     successor_ = std::make_shared<Channel>(io_, std::move(socket), static_cast<Channel::Handler&>(*this));
@@ -113,11 +113,11 @@
 }
 
 void ProcessHandover::send_tokens(const SessionTokens& tokens) {
-    for (std::size_t from = 0; from < tokens.commits.size(); from += kCommitsPerMessage) {
-        std::size_t to = std::min(tokens.commits.size(), from + kCommitsPerMessage);
-        handover::Commits part;
-        for (std::size_t i = from; i < to; ++i) part.commits.emplace_back(tokens.commits[i]);
-        successor_->send(encode(part));
+    for (std::size_t first = 0; first < tokens.commits.size(); first += kCommitsPerMessage) {
+        std::size_t end = std::min(tokens.commits.size(), first + kCommitsPerMessage);
+        handover::Commits batch;
+        for (std::size_t i = first; i < end; ++i) batch.commits.emplace_back(tokens.commits[i]);
+        successor_->send(encode(batch));
     }
     successor_->send(encode(handover::CommitFloor{tokens.floor}));
 }
@@ -131,7 +131,7 @@
 
 void ProcessHandover::send_client(const std::string& front, ClientHandover client) {
     Descriptor socket(client.socket);
-    if (!successor_ready()) return;
+    if (!is_successor_ready()) return;
     if (!client.note.empty()) successor_->send(encode(handover::ClientNote{client.note}));
     successor_->send(encode(handover::Client{front, client.state, client.read}), std::move(socket));
 }
@@ -142,12 +142,12 @@
     if (auto* commits = std::get_if<handover::Commits>(&*message))
         receive_commits(channel, bytes, *commits);
     else if (&channel == predecessor_.get())
-        std::visit(PredecessorMessage{*this, std::move(descriptor)}, *message);
+        std::visit(PredecessorMessageHandler{*this, std::move(descriptor)}, *message);
     else
-        std::visit(SuccessorMessage{*this}, *message);
+        std::visit(SuccessorMessageHandler{*this}, *message);
 }
 
-// From either side; the other side learns of them as well.
+// Passes commits received from one side on to the other side as well.
 void ProcessHandover::receive_commits(Channel& channel, std::string_view bytes,
                                       const handover::Commits& commits) {
     SessionTokens tokens;
@@ -162,7 +162,7 @@
     if (hello.version == handover::kVersion)
         send_state();
     else
-        on_closed(*successor_);  // it starts as if there were no predecessor
+        on_closed(*successor_);  // the successor then starts as if there were no predecessor
 }
 
 void ProcessHandover::receive_client(handover::Client client, Descriptor socket) {
@@ -170,14 +170,14 @@
     if (client.front.empty() || !socket) return;
     ClientHandover inherited;
     inherited.state = client.state;
-    inherited.read = std::move(client.read);
+    inherited.read = std::move(client.unhandled_bytes);
     inherited.socket = socket.release();
     inherited.note = std::move(note);
     handover_owner_.inherit_client(client.front, std::move(inherited));
 }
 
-// Closed by the other side, or given up here. A successor whose predecessor has not sent its whole state goes
-// on with what it has.
+// The other side closed the channel, or this side gives it up. A successor that has not received the whole
+// state continues with the part it has.
 void ProcessHandover::on_closed(Channel& channel) {
     channel.close();
     if (&channel == predecessor_.get()) {
--- a/src/program/process_handover.hpp
+++ b/src/program/process_handover.hpp
@@ -1,5 +1,5 @@
 // The upgrade of a running pooler: its process hands listening sockets, state and clients over to the process
-// that takes its place. Both find each other by a socket in the scratch folder that they share; the messages
+// that replaces it. The two processes connect by a socket in the scratch folder that they share. The messages
 // between them are in program/handover_messages.hpp.
 #pragma once
 
@@ -16,59 +16,63 @@
 
 namespace indigovane::program {
 
-// One process's channels: to its predecessor, which it found at its start, and to its successor, which found
-// it. States of a channel:
-//   to the predecessor: none, inheriting (its state is on its way), sharing
-//   to the successor:   none, waiting (for its hello), sharing, ready (it serves: clients may be sent)
-// Belongs to the thread that runs `io`; callbacks come from there.
+// The channels of one process: to its predecessor, to which it connects at its start, and to its successor,
+// which connects to it. States of a channel:
+//   to the predecessor: none, inheriting (it sends its state), sharing (its state has arrived)
+//   to the successor:   none, waiting (for its Hello), sharing (it has this process's state),
+//                       ready (it serves: clients may be sent)
+// Not synchronized: use it on the thread that runs `io`, which also makes the callbacks.
 class ProcessHandover final : private transport::Channel::Handler {
   public:
-    // Time for a predecessor to send its whole state.
+    // The longest time in which a predecessor may send its whole state.
     static constexpr std::chrono::milliseconds kStateTimeout{2000};
 
-    // Provides what this process hands over, and receives what it inherits. Must outlive the handover.
+    // Provides what this process hands over and receives what it inherits. Must outlive the ProcessHandover.
     class HandoverOwner {
       public:
-        // By front; they remain the owner's.
+        // The listening sockets with the names of their fronts. The owner keeps the sockets.
         virtual std::vector<std::pair<std::string, int>> listening_sockets() = 0;
         virtual policy::SessionTokens tokens() = 0;
-        virtual std::map<std::string, routing::Time> readmissions() = 0;  // by uid
+        // When endpoints were last readmitted, by uid.
+        virtual std::map<std::string, routing::Time> readmissions() = 0;
 
         virtual void inherit_socket(const std::string& front, transport::Descriptor socket) = 0;
         virtual void inherit_tokens(policy::SessionTokens tokens) = 0;
         virtual void inherit_readmission(const std::string& uid, routing::Time at) = 0;
         virtual void inherit_client(const std::string& front, routing::ClientHandover client) = 0;
-        virtual void on_process_change() = 0;  // another_process() may answer otherwise than before
+        // The result of has_other_process() may have changed.
+        virtual void on_process_change() = 0;
+        // The successor serves: clients may be sent to it.
         virtual void on_successor_ready() = 0;
         virtual ~HandoverOwner() = default;
     };
 
-    // `folder` is shared by both processes; an empty one: there is never another process.
+    // `folder` is shared by both processes. An empty `folder` means that there is never another process.
     ProcessHandover(boost::asio::io_context& io, std::string folder, std::string name,
                     HandoverOwner& handover_owner, std::chrono::milliseconds state_timeout = kStateTimeout);
     virtual ~ProcessHandover();
 
-    // Connects to a predecessor and requests its state; false: there is none.
+    // Connects to a predecessor and requests its state. Returns false if there is no predecessor.
     bool request_state();
-    // This process serves: a predecessor may hand clients over, and a successor may connect. Throws
-    // std::runtime_error where no successor could connect.
+    // Announces that this process serves: a predecessor may hand clients over, and a successor may connect.
+    // Throws std::runtime_error if the listener for a successor can't be opened.
     void announce();
-    bool inheriting() const { return predecessor_state_ == State::inheriting; }
-    bool successor_ready() const { return successor_state_ == State::ready; }
-    // Another process of this pooler serves, or is about to.
-    bool another_process() const {
+    bool is_inheriting() const { return predecessor_state_ == State::inheriting; }
+    bool is_successor_ready() const { return successor_state_ == State::ready; }
+    // Whether another process of this pooler serves or is about to serve.
+    bool has_other_process() const {
         return predecessor_ || successor_state_ == State::sharing || successor_state_ == State::ready;
     }
     bool all_sent() const { return !successor_ || successor_->all_sent(); }
-    // To the processes on both sides.
+    // Sends a session's commit to the predecessor and the successor.
     void send_commit(std::uint64_t session, routing::Time at);
-    // To the successor. Without one that is ready the connection is closed.
+    // Sends a client to the successor. If no successor is ready, the client's connection is closed.
     void send_client(const std::string& front, routing::ClientHandover client);
 
   private:
     enum class State { none, waiting, inheriting, sharing, ready };
-    struct PredecessorMessage;  // visitors
-    struct SuccessorMessage;
+    struct PredecessorMessageHandler;
+    struct SuccessorMessageHandler;
 
     void on_message(transport::Channel& channel, std::string_view bytes,
                     transport::Descriptor descriptor) override;
@@ -89,7 +93,8 @@
     std::shared_ptr<transport::Channel> predecessor_;
     std::shared_ptr<transport::Channel> successor_;
     std::unique_ptr<transport::ChannelListener> listener_;
-    std::string client_note_;  // of the client that comes next
+    // The predecessor's note on the client that its next Client message carries.
+    std::string client_note_;
     State predecessor_state_ = State::none;
     State successor_state_ = State::none;
     boost::asio::steady_timer timer_;
--- a/src/program/resource_budget.cpp
+++ b/src/program/resource_budget.cpp
@@ -10,19 +10,21 @@
 
 constexpr std::size_t kBytesPerMegabyte = 1 << 20;
 
-// Descriptors for standard streams, the event loop, listeners, discovery, and connections just accepted;
-// beside them those that linger at each front.
+// Descriptors for standard streams, the event loop, listeners, discovery, and connections just accepted.
+// Those for connections that linger at each front are counted separately.
 constexpr std::size_t kReservedDescriptors = 24;
-// For clients and hosts; with fewer nobody would be served.
+// The fewest descriptors for clients and hosts with which clients can be served.
 constexpr std::size_t kMinUsableDescriptors = 24;
 
-// Fractions of the usable descriptors.
+// The fraction of the usable descriptors that is for connections to hosts.
 constexpr double kHostShare = 0.3;
-// Of all descriptors, for clients that have been served and may send another request. The platform's clients
-// occupy a third of them at most: at half of that, those that wait for a connection still get one.
+// The fraction of all descriptors that is for clients that have been served and may send another request. The
+// platform's clients occupy at most a third of all descriptors: with half of that, clients that wait for a
+// connection still get one.
 constexpr double kServedShare = 1.0 / 6;
 
-// Fractions of the memory. The rest is for what requests are read from and answered with.
+// Fractions of the memory. The remaining memory is for the buffers that requests are read into and answered
+// from.
 constexpr double kRequestShare = 0.25;
 constexpr double kLongStatementShare = 0.4;
 constexpr double kUnreadShare = 0.2;
@@ -43,7 +45,7 @@
     std::size_t reserved = reserved_descriptors(config);
     if (config.sockets < reserved + kMinUsableDescriptors)
         throw ConfigError("limits.sockets: at least " + std::to_string(reserved + kMinUsableDescriptors) +
-                          " are needed with the fronts that are on");
+                          " descriptors are needed for the fronts that are on");
     std::size_t usable = config.sockets - reserved;
 
     ResourceBudget budget;
@@ -53,9 +55,10 @@
     budget.core.links = std::size_t(double(usable) * kHostShare);
     budget.core.bytes = memory_share(config, kRequestShare);
 
-    std::size_t for_clients = usable - budget.core.links;
-    if (config.rest.enabled) budget.rest_clients = std::min(config.rest.connections, for_clients / 2);
-    budget.pg_clients = for_clients - budget.rest_clients;
+    std::size_t client_descriptors = usable - budget.core.links;
+    if (config.rest.enabled)
+        budget.rest_clients = std::min(config.rest.max_connections, client_descriptors / 2);
+    budget.pg_clients = client_descriptors - budget.rest_clients;
     budget.served_clients = std::size_t(double(config.sockets) * kServedShare);
 
     std::size_t fronts = budget.rest_clients > 0 ? 2 : 1;
--- a/src/program/resource_budget.hpp
+++ b/src/program/resource_budget.hpp
@@ -1,5 +1,5 @@
-// How the descriptors and the memory that the configuration grants are divided among clients, connections to
-// database hosts, and what is in flight.
+// Divides the descriptors and the memory that the configuration grants among clients, connections to database
+// hosts, and requests in flight.
 #pragma once
 
 #include "adapters/control_front.hpp"
@@ -8,19 +8,25 @@
 
 namespace indigovane::program {
 
-// Of the control address, whose descriptors are set aside.
+// The limits of the control front. Its descriptors are reserved.
 inline constexpr adapters::ControlLimits kControlLimits;
 
 struct ResourceBudget {
-    routing::CoreLimits core;              // connections to hosts and bytes of requests in flight, as well
-    std::size_t pg_clients = 0;            // connections
-    std::size_t rest_clients = 0;          // likewise; 0: that front is off
-    std::size_t served_clients = 0;        // of pg_clients: kept open after having been served
-    std::size_t unread_bytes = 0;          // of each front: incomplete requests and unread answers
-    std::size_t long_statement_bytes = 0;  // of long statements in transit
+    // Limits of the core, such as connections to hosts and bytes of requests in flight.
+    routing::CoreLimits core;
+    // Client connections of the PostgreSQL front.
+    std::size_t pg_clients = 0;
+    // Client connections of the REST front; 0 if the front is off.
+    std::size_t rest_clients = 0;
+    // How many of `pg_clients` may stay open after a request of theirs has been served.
+    std::size_t served_clients = 0;
+    // Bytes of incomplete requests and unread answers, for each front.
+    std::size_t unread_bytes = 0;
+    // Bytes of long statements in transit.
+    std::size_t long_statement_bytes = 0;
 };
 
-// Throws ConfigError where the descriptors don't suffice for the fronts that are on.
+// Throws ConfigError if there are too few descriptors for the fronts that are on.
 ResourceBudget make_resource_budget(const Config& config);
 
 }  // namespace indigovane::program
--- a/src/program/rest_config.cpp
+++ b/src/program/rest_config.cpp
@@ -1,4 +1,4 @@
-// The REST front's configuration file.
+// Reads the REST front's configuration file.
 #include "program/config.hpp"
 #include "program/json_config.hpp"
 
@@ -12,26 +12,26 @@
 
 void read_page_sizes(const json& root, RestConfig& rest) {
     rest.page_size = root.value("page_size", rest.page_size);
-    rest.page_size_most = root.value("page_size_most", rest.page_size_most);
+    rest.max_page_size = root.value("page_size_most", rest.max_page_size);
 }
 
 void check_page_sizes(const RestConfig& rest) {
-    if (rest.page_size == 0 || rest.page_size > rest.page_size_most || rest.page_size_most > kMaxPageSize)
-        throw ConfigError("page_size: between 1 and page_size_most, which is 10000 at most");
+    if (rest.page_size == 0 || rest.page_size > rest.max_page_size || rest.max_page_size > kMaxPageSize)
+        throw ConfigError("page_size: expected a number from 1 to page_size_most, which is at most 10000");
 }
 
 Wire read_host_protocol(const json& root) {
     std::string members = root.value("members", std::string("pg"));
-    if (members != "pg" && members != "rest") throw ConfigError("members: 'pg' or 'rest'");
+    if (members != "pg" && members != "rest") throw ConfigError("members: expected 'pg' or 'rest'");
     return members == "rest" ? Wire::rest : Wire::pg;
 }
 
-// Log lines don't leave the machine unencrypted.
+// Only a loopback address is allowed, because log lines must not leave the machine unencrypted.
 std::optional<transport::SocketAddress> read_syslog(const json& root) {
     if (!root.contains("syslog") || root["syslog"].is_null()) return std::nullopt;
-    auto at = parse_address(root["syslog"].get<std::string>(), "syslog");
-    if (!at.address().is_loopback()) throw ConfigError("syslog: a loopback address is wanted");
-    return at;
+    auto parsed_address = parse_address(root["syslog"].get<std::string>(), "syslog");
+    if (!parsed_address.address().is_loopback()) throw ConfigError("syslog: expected a loopback address");
+    return parsed_address;
 }
 
 void read_rest(const json& root, Config& config) {
@@ -39,7 +39,7 @@
     rest.enabled = root.value("enabled", false);
     rest.listen = parse_address(root.value("listen", std::string("127.0.0.1:8080")), "listen");
     read_page_sizes(root, rest);
-    rest.connections = root.value("connections", rest.connections);
+    rest.max_connections = root.value("connections", rest.max_connections);
     check_page_sizes(rest);
     config.members = read_host_protocol(root);
     if (auto syslog = read_syslog(root)) rest.syslog = syslog;
--- a/src/program/services.cpp
+++ b/src/program/services.cpp
@@ -17,7 +17,7 @@
 
 limits::Settings Services::shared_limits() const {
     limits::Settings limits = config.statements->limits;
-    if (process_handover->another_process()) limits.work /= 2;
+    if (process_handover->has_other_process()) limits.work /= 2;
     return limits;
 }
 
@@ -34,8 +34,8 @@
     return {config.open, config.group, config.read_class, config.primary_class, config.write_class};
 }
 
-std::string address_text(const transport::SocketAddress& at) {
-    return at.address().to_string() + ":" + std::to_string(at.port());
+std::string address_text(const transport::SocketAddress& socket_address) {
+    return socket_address.address().to_string() + ":" + std::to_string(socket_address.port());
 }
 
 }  // namespace indigovane::program
--- a/src/program/settings_log.cpp
+++ b/src/program/settings_log.cpp
@@ -66,7 +66,7 @@
             data.push_back({"repeat_scope", name_of(settings.deduplication_scope)});
             data.push_back({"repeat_window_ms", milliseconds(settings.deduplication_window)});
         }
-        logger.log(routing::Level::notice, "class", "settings in force", data);
+        logger.log(routing::Level::notice, "class", "class settings in force", data);
     }
 }
 
--- a/src/program/settings_log.hpp
+++ b/src/program/settings_log.hpp
@@ -1,5 +1,5 @@
-// Log lines that record which settings are in force: what each class promises decides whether a request of it
-// may be retried, and a report of an incident needs it.
+// Logs the settings in force. The guarantees of each class decide whether its requests may be retried;
+// reports of incidents need them.
 #pragma once
 
 #include "program/config.hpp"
@@ -7,7 +7,7 @@
 
 namespace indigovane::program {
 
-// One line a class (message id "class"), at the start and after each reload that took effect.
+// Logs one line for each class (message id "class"). Called at the start and after each successful reload.
 void log_classes(const Config& config, routing::Logger& logger);
 
 }  // namespace indigovane::program
--- a/src/program/shape_cost_record.hpp
+++ b/src/program/shape_cost_record.hpp
@@ -1,5 +1,6 @@
-// The cost of a statement shape as a record of the store. Key: the shape as 32 hex digits. Value: mean us,
-// baseline us, outcomes and Unix time in ms, as text with spaces between, so that a dump can be read.
+// The cost of a statement shape as a record of the store. The key is the shape as 32 hex digits. The value is
+// text, so that people can read a dump: mean in us, baseline in us, number of outcomes and Unix time in ms,
+// separated by spaces.
 #pragma once
 
 #include <cstdint>
@@ -10,12 +11,12 @@
 
 namespace indigovane::program {
 
-// Outdated costs mislead more than none.
+// Older records are ignored, because an outdated cost misleads more than an unknown one.
 inline constexpr std::uint64_t kShapeCostLifetimeMs = 3600'000;
 
 std::string shape_cost_key(const limits::ShapePrior& prior);
 std::string shape_cost_value(const limits::ShapePrior& prior, std::uint64_t now_unix_ms);
-// Nothing: it is no such record, or outdated.
+// Returns nothing if the record is malformed, outdated, or from the future.
 std::optional<limits::ShapePrior> read_shape_cost(const std::string& key, const std::string& value,
                                                   std::uint64_t now_unix_ms);
 
--- a/src/program/shapes_command.cpp
+++ b/src/program/shapes_command.cpp
@@ -17,7 +17,7 @@
 
 constexpr int kSuccess = 0;
 constexpr std::size_t kMaxPrintedText = 2000;  // bytes of a statement
-// Nobody waits here: each statement is parsed, whatever their number.
+// No client waits for the result, so every statement is parsed, whatever their number.
 constexpr double kUnlimitedParses = 1e18;  // a second
 
 std::string class_name(const StatementProfile& profile, const Rules& rules) {
@@ -65,8 +65,9 @@
         << "route     " << name(profile.route) << "\n"
         << "reason    " << profile.reason << "\n"
         << "class     "
-        << (profile.request_class >= 0 ? class_name(profile, analyzer.rules()) : "none by the rules") << "\n"
-        << "cost      " << estimate_cost(profile) << " us before it has ever run\n"
+        << (profile.request_class >= 0 ? class_name(profile, analyzer.rules()) : "none: no rule names one")
+        << "\n"
+        << "cost      " << estimate_cost(profile) << " us, estimated before its first run\n"
         << "tables   ";
     for (const std::string& table : profile.tables) out << " " << table;
     out << "\n";
@@ -75,11 +76,12 @@
 }
 
 options::variables_map parse_shapes_arguments(const std::vector<std::string>& arguments) {
-    options::options_description described("options");
-    described.add_options()("rules", options::value<std::string>(), "the operator's file of statements")(
-        "null", "statements are set apart by zero bytes")("words", options::value<std::vector<std::string>>(),
+    options::options_description description("options");
+    description.add_options()("rules", options::value<std::string>(),
+                              "the operator's file of statement rules")(
+        "null", "statements are separated by zero bytes")("words", options::value<std::vector<std::string>>(),
                                                           "");
-    return parse_arguments(arguments, described, "words");
+    return parse_arguments(arguments, description, "words");
 }
 
 }  // namespace
@@ -92,7 +94,7 @@
     bool explains = operands.size() == 2 && operands[0] == "explain";
     if (!classifies && !explains)
         throw options::error(
-            "shapes classify [--rules FILE] [--null], or shapes explain [--rules FILE] STATEMENT");
+            "usage: shapes classify [--rules FILE] [--null], or shapes explain [--rules FILE] STATEMENT");
     StatementConfig config;
     if (values.count("rules")) config = read_statement_config(values["rules"].as<std::string>());
     config.analyzer_options.parses_per_second = kUnlimitedParses;
--- a/src/program/shapes_command.hpp
+++ b/src/program/shapes_command.hpp
@@ -1,4 +1,4 @@
-// indigovane shapes: what the program makes of statements, without serving any.
+// The command `indigovane shapes`: shows how statements are classified, without serving any.
 #pragma once
 
 #include <iosfwd>
@@ -7,9 +7,10 @@
 
 namespace indigovane::program {
 
-// `classify` reads statements from `in`, one a line (--null: set apart by zero bytes), and writes one JSON
-// object each to `out`. `explain STATEMENT` says for one how it is judged. Returns the exit status; throws
-// boost::program_options::error on a command line that can't be read, ConfigError on bad rules.
+// `classify` reads statements from `in`, one on each line (with --null, separated by zero bytes), and writes
+// a JSON object for each to `out`. `explain STATEMENT` describes the classification of one statement. Returns
+// the exit status. Throws boost::program_options::error if the command line is wrong, ConfigError if the
+// rules are.
 int shapes(const std::vector<std::string>& arguments, std::istream& in, std::ostream& out);
 
 }  // namespace indigovane::program
--- a/src/program/site_command.cpp
+++ b/src/program/site_command.cpp
@@ -33,32 +33,33 @@
         return request_class.request_class == demand.request_class;
     });
     if (found == classes.end())
-        throw ConfigError(path, "[[demand]]: no class is named '" + demand.request_class + "'");
+        throw ConfigError(path,
+                          "[[demand]]: the platform's settings have no class '" + demand.request_class + "'");
     return *found;
 }
 
-// A demand of no group is spread evenly over all.
+// Adds the demand to its group, or evenly to all groups if it names none.
 void add_demand(const SiteDemand& demand, const site::Demand& request_class,
                 const std::set<std::uint32_t>& groups, site::PlanInput& input) {
     for (std::uint32_t group : groups) {
         if (demand.group && *demand.group != group) continue;
-        double part = demand.group ? 1 : 1 / double(groups.size());
-        site::Demand of_group = request_class;
-        of_group.group = site::GroupId{group};
-        of_group.rate = demand.per_second * part;
-        for (const auto& [name, rate] : demand.tenants) of_group.tenants[name] = rate * part;
-        of_group.cost = double(demand.work.count()) / 1e6;  // seconds
-        input.demand.push_back(std::move(of_group));
+        double fraction = demand.group ? 1 : 1 / double(groups.size());
+        site::Demand group_demand = request_class;
+        group_demand.group = site::GroupId{group};
+        group_demand.rate = demand.per_second * fraction;
+        for (const auto& [name, rate] : demand.tenants) group_demand.tenants[name] = rate * fraction;
+        group_demand.cost = double(demand.work.count()) / 1e6;  // seconds
+        input.demand.push_back(std::move(group_demand));
     }
 }
 
-// The hosts as the configuration has them, and the demand as the operator's file states it.
+// Combines the hosts of the platform's configuration with the demand of the operator's file.
 site::PlanInput plan_input(const Config& config, const SiteConfig& sites, const std::string& path) {
     site::PlanInput input;
     std::set<std::uint32_t> groups;
-    for (std::size_t i = 0; i < config.known.members.size(); ++i) {
-        groups.insert(config.known.members[i].group);
-        input.hosts.push_back(planned_host(config.known.members[i], i, sites.cores));
+    for (std::size_t i = 0; i < config.known_endpoints.members.size(); ++i) {
+        groups.insert(config.known_endpoints.members[i].group);
+        input.hosts.push_back(planned_host(config.known_endpoints.members[i], i, sites.cores));
     }
     std::vector<site::Demand> classes = site_classes(config);
     for (const SiteDemand& demand : sites.demand) {
@@ -78,20 +79,21 @@
     std::set<site::SiteId> lost;
     for (const std::string& name : zone_names) {
         auto zone = zone_number(config.zones, name);
-        if (!zone) throw ConfigError("no zone is named '" + name + "' in the configuration's settings.azs");
+        if (!zone) throw ConfigError("--lose: no zone '" + name + "' in the configuration's settings.azs");
         lost.insert(site::SiteId{*zone});
     }
     return lost;
 }
 
 options::variables_map parse_site_arguments(const std::vector<std::string>& arguments) {
-    options::options_description described("options");
-    described.add_options()("call", options::value<std::string>(), "plan")(
-        "settings", options::value<std::string>(), "the platform's configuration")(
-        "sites", options::value<std::string>(), "the operator's file of sites, with [[demand]]")(
-        "lose", options::value<std::vector<std::string>>()->composing(), "a zone that is lost")(
-        "json", options::bool_switch(), "as JSON");
-    return parse_arguments(arguments, described, "call", 1);
+    options::options_description description("options");
+    description.add_options()("call", options::value<std::string>(), "plan")(
+        "settings", options::value<std::string>(), "the platform's configuration file")(
+        "sites", options::value<std::string>(), "the operator's file of sites, with [[demand]] tables")(
+        "lose", options::value<std::vector<std::string>>()->composing(),
+        "a zone to plan the loss of; may be given more than once")("json", options::bool_switch(),
+                                                                   "print the plan as JSON");
+    return parse_arguments(arguments, description, "call", 1);
 }
 
 bool is_plan(const options::variables_map& values) {
@@ -103,7 +105,9 @@
     std::string path = values["sites"].as<std::string>();
     SiteConfig sites = read_site_config(path);
     if (sites.demand.empty())
-        throw ConfigError(path, "a plan needs [[demand]]: what each class asks for, and what it costs");
+        throw ConfigError(
+            path,
+            "a plan needs [[demand]] tables, which give each class's requests per second and their cost");
     site::PlanInput input = plan_input(config, sites, path);
     input.lost = lost_sites(config, values["lose"].as<std::vector<std::string>>());
     return site::make_plan(input);
@@ -120,7 +124,7 @@
     }
     Config config = read_platform_config(values["settings"].as<std::string>());
     site::Plan plan = make_plan(values, config);
-    auto host_name = [&](site::HostId id) { return config.known.members[std::size_t(id)].uid; };
+    auto host_name = [&](site::HostId id) { return config.known_endpoints.members[std::size_t(id)].uid; };
     if (values["json"].as<bool>())
         out << plan_json(plan, config.zones, host_name)
                    .dump(-1, ' ', false, nlohmann::json::error_handler_t::replace)
--- a/src/program/site_command.hpp
+++ b/src/program/site_command.hpp
@@ -1,4 +1,4 @@
-// indigovane site: what the loss of a site would mean, without serving anything.
+// The command `indigovane site`: shows the effects of the loss of a site, without serving anything.
 #pragma once
 
 #include <iosfwd>
@@ -7,9 +7,9 @@
 
 namespace indigovane::program {
 
-// `plan --settings FILE --sites FILE --lose ZONE... [--json]` prints where each group's load would go, what
-// would be refused, in what order, and what each remaining host would carry. Returns the exit status; throws
-// boost::program_options::error on a command line that can't be read, ConfigError on bad files.
+// `plan --settings FILE --sites FILE --lose ZONE... [--json]` prints how each group's load would move, which
+// requests would be rejected and in what order, and the load of each remaining host. Returns the exit status.
+// Throws boost::program_options::error if the command line is wrong, ConfigError if a file is.
 int site(const std::vector<std::string>& arguments, std::ostream& out, std::ostream& err);
 
 }  // namespace indigovane::program
--- a/src/program/site_config.cpp
+++ b/src/program/site_config.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr unsigned kMaxHosts = 1000;  // of counts of hosts and probes in a verdict
+constexpr unsigned kMaxHosts = 1000;  // for settings that count hosts or probes
 constexpr std::uint32_t kMaxGroup = 1'000'000;
 constexpr double kMaxNumber = 1e9;
 
-// The file's keys, each mapped once to its setting.
+// Maps a key of the file to its setting.
 template <typename T>
 struct Key {
     const char* name;
@@ -64,7 +64,7 @@
     });
 }
 
-// A whole number or a decimal.
+// Reads a number above 0, written as an integer or a decimal.
 void read_positive(TomlReader::Table& table, const char* key, double& out) {
     constexpr const char* kWanted = "a number above 0";
     const toml::node* node = table.find(key);
@@ -72,12 +72,12 @@
     if (!node->is_integer())
         return table.read_value<double>(key, out, kWanted,
                                         [](double number) { return number > 0 && number < kMaxNumber; });
-    std::int64_t whole = 0;
-    table.read_value<std::int64_t>(key, whole, kWanted, [](std::int64_t number) { return number > 0; });
-    if (whole > 0) out = double(whole);
+    std::int64_t integer = 0;
+    table.read_value<std::int64_t>(key, integer, kWanted, [](std::int64_t number) { return number > 0; });
+    if (integer > 0) out = double(integer);
 }
 
-// A table of names, each with a number above 0.
+// Reads a table whose keys are names and whose values are numbers above 0.
 std::map<std::string, double> read_weights(TomlReader& reader, TomlReader::Table& table, const char* key) {
     std::map<std::string, double> weights;
     reader.read_table(table, key, [&](TomlReader::Table& names) {
@@ -91,15 +91,15 @@
     return weights;
 }
 
-// Settings that contradict each other would make verdicts flap.
+// Rejects settings that contradict each other: with them a site's health state would flap.
 void check_order(TomlReader& reader, TomlReader::Table& table, const site::Settings& settings) {
     auto require = [&](bool holds, const char* what) {
         if (!holds) reader.report_error(table.raw().source(), what);
     };
-    require(settings.unresponsive_after < settings.evidence_window, "quiet: shorter than 'fresh'");
-    require(settings.min_exclusion <= settings.max_exclusion, "hold: at most 'hold_most'");
-    require(settings.restart_ramp <= settings.max_ramp, "ramp: at most 'ramp_most'");
-    require(settings.max_utilization > 0, "ceiling: above 0%");
+    require(settings.unresponsive_after < settings.evidence_window, "quiet: must be shorter than 'fresh'");
+    require(settings.min_exclusion <= settings.max_exclusion, "hold: must not be longer than 'hold_most'");
+    require(settings.restart_ramp <= settings.max_ramp, "ramp: must not be longer than 'ramp_most'");
+    require(settings.max_utilization > 0, "ceiling: must be above 0%");
 }
 
 void read_sites(TomlReader& reader, TomlReader::Table& table, site::Settings& settings) {
@@ -116,13 +116,14 @@
     check_order(reader, table, settings);
 }
 
-// The rate of all tenants together, or by tenant, but not both.
+// Reads either the rate of all tenants together or the rates by tenant.
 void read_rate(TomlReader& reader, TomlReader::Table& table, SiteDemand& demand) {
     read_positive(table, "per_second", demand.per_second);
     demand.tenants = read_weights(reader, table, "tenants");
     if (demand.tenants.empty()) return;
     if (demand.per_second > 0)
-        reader.report_error(table.raw().source(), "[[demand]]: 'per_second' or 'tenants'");
+        reader.report_error(table.raw().source(),
+                            "[[demand]]: only one of 'per_second' and 'tenants' is allowed");
     for (const auto& [name, rate] : demand.tenants) demand.per_second += rate;
 }
 
--- a/src/program/site_config.hpp
+++ b/src/program/site_config.hpp
@@ -1,5 +1,6 @@
-// The operator's file of sites: TOML. [sites] holds for `serve --sites`; [plan] and [[demand]] say what the
-// fleet carries, for `indigovane site plan`.
+// The operator's TOML file of sites. `serve --sites` uses [sites]. `indigovane site plan` uses also [plan]
+// and
+// [[demand]], which describe the load of the fleet.
 #pragma once
 
 #include <string>
@@ -11,18 +12,18 @@
 
 namespace indigovane::program {
 
-// What one class asks of the fleet, for a plan.
+// The load that the requests of one class put on the fleet, for a plan.
 struct SiteDemand {
-    std::optional<std::uint32_t> group;  // none: evenly over all
+    std::optional<std::uint32_t> group;  // without it the load is spread evenly over all groups
     std::string request_class;
-    double per_second = 0;  // the sum of `tenants`, where those are given
-    std::map<std::string, double> tenants;
-    limits::Duration work{};  // that a request keeps a host busy
+    double per_second = 0;                  // requests; the sum of `tenants` if those are given
+    std::map<std::string, double> tenants;  // requests per second by tenant
+    limits::Duration work{};                // how long a request keeps a host busy
 };
 
 struct SiteConfig {
     site::Settings settings;
-    double cores = 1;  // of a host: its capacity in seconds of work a second
+    double cores = 1;  // a host's capacity in seconds of work per second
     std::vector<SiteDemand> demand;
 };
 
--- a/src/program/site_text.cpp
+++ b/src/program/site_text.cpp
@@ -10,8 +10,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxLine = 256;       // bytes
-constexpr double kUnlimitedCapacity = 1e6;  // of a host whose capacity is unknown, or more
+constexpr std::size_t kMaxLine = 256;  // bytes
+// A host's capacity from this value on counts as unknown.
+constexpr double kUnlimitedCapacity = 1e6;
 constexpr double kMicrosecondsPerSecond = 1e6;
 
 std::string zone_name(const std::vector<std::string>& zones, site::SiteId id) {
@@ -19,25 +20,25 @@
     return number < zones.size() ? zones[number] : std::to_string(number);
 }
 
-// To three decimals. Adding zero makes a negative zero positive, which JSON would show.
+// Rounds to three decimals. Adding zero makes a negative zero positive: JSON would show its sign.
 double rounded(double value) {
     return std::trunc(value * 1000 + 0.5) / 1000 + 0.0;
 }
 
-// Seconds since; null where it has not happened.
-ordered_json age(std::optional<site::Time> at, site::Time now) {
+// The seconds from `at` to `now`, or null if there is no `at`.
+ordered_json seconds_since(std::optional<site::Time> at, site::Time now) {
     if (!at) return nullptr;
     return rounded(double((now - *at).count()) / kMicrosecondsPerSecond);
 }
 
 template <typename... Values>
-std::string line(const char* format, Values... values) {
+std::string format_line(const char* format, Values... values) {
     char text[kMaxLine];
     std::snprintf(text, sizeof text, format, values...);
     return text;
 }
 
-// Of the priority weight offered, the part that would still be served.
+// The fraction of the offered priority weight that would still be served.
 double retained_weight(const site::Plan& plan) {
     return plan.weight_offered > 0 ? plan.weight_retained / plan.weight_offered : 1;
 }
@@ -69,7 +70,8 @@
         json["class"] = share.request_class;
         json["group"] = std::uint32_t(share.group);
         json["let_in"] = rounded(share.admitted);
-        for (const auto& [tenant, part] : share.tenants) json["tenants"][tenant] = rounded(part);
+        for (const auto& [tenant, tenant_share] : share.tenants)
+            json["tenants"][tenant] = rounded(tenant_share);
         shed.push_back(std::move(json));
     }
     return shed;
@@ -95,39 +97,40 @@
 std::string groups_text(const site::Plan& plan) {
     std::string out = "group  primary            work moved  work refused  a replica's load\n";
     for (const auto& [id, group] : plan.groups)
-        out += line("%-6u %-18s %10.2f  %12.2f  %10.2f times\n", std::uint32_t(id),
-                    group.primary_lost ? "lost: waits" : "stays", group.moved, group.shed, group.load_ratio);
+        out += format_line("%-6u %-18s %10.2f  %12.2f  %10.2f times\n", std::uint32_t(id),
+                           group.primary_lost ? "lost: waits" : "stays", group.moved, group.shed,
+                           group.load_ratio);
     return out;
 }
 
 std::string shed_text(const site::Plan& plan) {
     std::string out = "\nrefused, in this order\nrank   class                group  let in\n";
-    bool any = false;
+    bool has_shed_shares = false;
     for (const site::AdmittedShare& share : plan.shares) {
         if (!is_shed(share)) continue;
-        any = true;
-        out += line("%-6u %-20s %5u  %5.1f%%\n", share.rank, share.request_class.c_str(),
-                    std::uint32_t(share.group), share.admitted * 100);
-        for (const auto& [tenant, part] : share.tenants)
-            out += line("         tenant %-24s %5.1f%%\n", tenant.c_str(), part * 100);
+        has_shed_shares = true;
+        out += format_line("%-6u %-20s %5u  %5.1f%%\n", share.rank, share.request_class.c_str(),
+                           std::uint32_t(share.group), share.admitted * 100);
+        for (const auto& [tenant, tenant_share] : share.tenants)
+            out += format_line("         tenant %-24s %5.1f%%\n", tenant.c_str(), tenant_share * 100);
     }
-    if (!any) out += "nothing\n";
+    if (!has_shed_shares) out += "nothing\n";
     return out;
 }
 
 std::string utilization_text(const site::HostLoad& host) {
     if (host.lost) return "lost";
-    return host.capacity > 0 ? line("%.0f%%", host.after / host.capacity * 100) : "";
+    return host.capacity > 0 ? format_line("%.0f%%", host.after / host.capacity * 100) : "";
 }
 
 std::string hosts_text(const site::Plan& plan, const std::vector<std::string>& zones,
                        const HostName& host_name) {
     std::string out = "\nhost                 zone         group  role       before    after  of capacity\n";
     for (const site::HostLoad& host : plan.hosts)
-        out += line("%-20s %-12s %5u  %-8s %8.2f %8.2f  %s\n", host_name(host.host).c_str(),
-                    zone_name(zones, host.site).c_str(), std::uint32_t(host.group),
-                    host.primary ? "primary" : "replica", host.before, host.after,
-                    utilization_text(host).c_str());
+        out += format_line("%-20s %-12s %5u  %-8s %8.2f %8.2f  %s\n", host_name(host.host).c_str(),
+                           zone_name(zones, host.site).c_str(), std::uint32_t(host.group),
+                           host.primary ? "primary" : "replica", host.before, host.after,
+                           utilization_text(host).c_str());
     return out;
 }
 
@@ -139,13 +142,13 @@
     ordered_json json;
     json["zone"] = zone_name(zones, id);
     json["is"] = site::state_name(health.state);
-    json["for_s"] = health.since == site::Time{} ? ordered_json(nullptr) : age(health.since, now);
+    json["for_s"] = health.since == site::Time{} ? ordered_json(nullptr) : seconds_since(health.since, now);
     json["hosts"] = evidence.hosts;
     json["answering"] = evidence.answering;
     json["silent"] = evidence.unresponsive;
     json["refusing"] = evidence.resetting;
-    json["answered_s"] = age(evidence.last_answer, now);
-    json["silent_s"] = age(evidence.unresponsive_since, now);
+    json["answered_s"] = seconds_since(evidence.last_answer, now);
+    json["silent_s"] = seconds_since(evidence.unresponsive_since, now);
     json["falls"] = health.losses;
     return json;
 }
@@ -176,7 +179,7 @@
 
 std::string plan_text(const site::Plan& plan, const std::vector<std::string>& zones,
                       const HostName& host_name) {
-    return line("worth kept        %.1f%%\n\n", retained_weight(plan) * 100) + groups_text(plan) +
+    return format_line("worth kept        %.1f%%\n\n", retained_weight(plan) * 100) + groups_text(plan) +
            shed_text(plan) + hosts_text(plan, zones, host_name);
 }
 
--- a/src/program/site_text.hpp
+++ b/src/program/site_text.hpp
@@ -1,4 +1,4 @@
-// A plan for the loss of a site, and the health of sites, as operators read them: for the command line and
+// A plan for the loss of a site and the health of sites, formatted for operators: for the command line and
 // for control calls.
 #pragma once
 
@@ -14,9 +14,11 @@
 
 namespace indigovane::program {
 
+// Returns the name of a host.
 using HostName = std::function<std::string(site::HostId)>;
 
-// What classes are to sites: name, priority weight, whether only the primary serves them. By class id.
+// Returns the properties of each class that a plan needs, by class id: name, priority weight, and whether
+// only the primary serves it.
 std::vector<site::Demand> site_classes(const Config& config);
 
 nlohmann::ordered_json plan_json(const site::Plan& plan, const std::vector<std::string>& zones,
@@ -25,7 +27,8 @@
                       const HostName& host_name);
 nlohmann::ordered_json status_json(const site::SiteManager& manager, const std::vector<std::string>& zones,
                                    site::Time now);
-// Sites are numbered by the zones of the settings; nothing: no zone has this name.
+// Returns the number of the site with this zone's name, which is the zone's index in the settings, or nothing
+// if no zone has this name.
 std::optional<std::uint32_t> zone_number(const std::vector<std::string>& zones, const std::string& name);
 
 }  // namespace indigovane::program
--- a/src/program/startup.cpp
+++ b/src/program/startup.cpp
@@ -49,8 +49,8 @@
         else
             services.persistent_state->end_write(session);
     });
-    // The scratch folder is lost with the machine; the store is not.
-    if (!services.excluded_endpoints.stored())
+    // The store outlasts a restart of the machine; the scratch folder does not.
+    if (!services.excluded_endpoints.has_stored_set())
         for (const std::string& uid : services.persistent_state->excluded_endpoints())
             services.excluded_endpoints.change(uid, true);
 }
@@ -61,16 +61,17 @@
         services.limited_admission->learn(prior);
 }
 
-// The list of the configuration, then that of the last process, if it is newer. Either may be outdated.
+// Takes the configuration's endpoint list, then the stored list of the last process if that is newer. Either
+// may be outdated.
 void seed_endpoint_list(Services& services) {
     const Config& config = services.config;
-    services.discovery_client->seed(config.known);
+    services.discovery_client->seed(config.known_endpoints);
     if (!services.persistent_state) return;
-    if (auto last = services.persistent_state->newer_endpoint_list(config.known.revision)) {
+    if (auto last = services.persistent_state->newer_endpoint_list(config.known_endpoints.revision)) {
         EndpointListing list = routing::read_endpoint_listing(nlohmann::json::parse(*last), config.zones);
         services.discovery_client->seed(list);
         services.log.log(
-            Level::notice, "store", "discovery's list of the last process",
+            Level::notice, "store", "using the endpoint list that the last process stored",
             {{"revision", std::to_string(list.revision)}, {"members", std::to_string(list.members.size())}});
     }
     services.discovery_client->on_list([&services](std::int64_t revision) {
@@ -84,23 +85,25 @@
     auto endpoint = [](const transport::SocketAddress& at) {
         return boost::asio::ip::udp::endpoint(at.address(), at.port());
     };
-    auto whole_milliseconds = [](limits::Duration duration) {
+    auto to_milliseconds = [](limits::Duration duration) {
         return std::chrono::duration_cast<milliseconds>(duration);
     };
     adapters::PeerOptions options;
     options.listen = endpoint(*config.peer_listen);
     for (const transport::SocketAddress& at : config.peers) options.peers.push_back(endpoint(at));
     options.cluster = protocol::peer::cluster_number(config.peering->cluster);
-    // No two starts of a pooler are at the same instant.
+    // The start time identifies the incarnation: no two starts of a pooler are at the same instant.
     options.incarnation = std::uint64_t(services.clock.to_unix(services.clock.now()));
-    options.again = whole_milliseconds(config.peering->again);
-    options.gather = whole_milliseconds(config.peering->gather);
+    options.again = to_milliseconds(config.peering->resend_delay);
+    options.gather = to_milliseconds(config.peering->gather_window);
     return options;
 }
 
 void receive_gossip(Services& services, const protocol::peer::Primary& primary) {
-    bool known = services.core->on_primary_gossip(primary.uid, primary.group, primary.as_of_unix_us);
-    services.log.log(Level::info, "peers", known ? "heard of a primary" : "heard of nothing that counts here",
+    bool accepted = services.core->on_primary_gossip(primary.uid, primary.group, primary.as_of_unix_us);
+    services.log.log(Level::info, "peers",
+                     accepted ? "heard of a primary"
+                              : "ignored gossip of a primary: endpoint not listed, other group, or outdated",
                      {{"endpoint", primary.uid}, {"group", std::to_string(primary.group)}});
 }
 
@@ -124,7 +127,7 @@
     const RestConfig& rest = services.config.rest;
     adapters::RestOptions options;
     options.page_size = rest.page_size;
-    options.page_size_most = rest.page_size_most;
+    options.page_size_most = rest.max_page_size;
     auto front = std::make_unique<adapters::RestFront>(services.io, listen_at(services, rest.listen, "rest"),
                                                        services.budget.rest_clients, services.config.classes,
                                                        options, services.admission(), services.log);
@@ -174,7 +177,7 @@
             services.io, options,
             [&services](const protocol::peer::Primary& primary) { receive_gossip(services, primary); });
     } catch (const std::exception& error) {
-        services.log.log(Level::error, "peers", error.what(), {{"without", "goes on alone"}});
+        services.log.log(Level::error, "peers", error.what(), {{"without", "continues without its peers"}});
         return;
     }
     services.core->on_primary([&services](const EndpointInfo& endpoint, Time as_of) {
--- a/src/program/startup.hpp
+++ b/src/program/startup.hpp
@@ -1,30 +1,31 @@
 // The steps of the start, in the order in which program/lifecycle.cpp calls them. All of them run before the
-// loop does, except open_fronts(), which waits for a predecessor's state where there is one.
+// event loop, except open_fronts(): if there is a predecessor, it is called once its state has arrived.
 #pragma once
 
 #include "program/services.hpp"
 
 namespace indigovane::program {
 
-// Divides descriptors and memory; then backend, core, statements and limits. Throws ConfigError where the
-// descriptors don't suffice.
+// Divides descriptors and memory, then creates backend, core, statements and limits. Throws ConfigError if
+// there are too few descriptors.
 void create_core(Services& services);
 void create_discovery_client(Services& services);
-// What earlier processes have left: the store, excluded endpoints, cost of statement shapes, the endpoint
-// list. Throws ConfigError where the store can't be used: rather no start than operators who believe in it.
+// Opens the store and loads what earlier processes have stored: excluded endpoints, costs of statement shapes
+// and the endpoint list. Throws ConfigError if the store can't be used: a process that started without it
+// would leave operators to believe that state is stored.
 void restore_state(Services& services);
-// Serving does not depend on the peer link: where it can't be opened, the log says so.
+// Opens the link to other poolers. Serving does not depend on it: a failure is only logged.
 void open_peer_link(Services& services);
-// Follows the discovery service at once, or once the policy requests it, as the settings say.
+// Follows the discovery service at once or, if the settings say so, when the routing policy requests it.
 void follow_discovery(Services& services);
-// Throws boost::system::system_error where the address can't be bound.
+// Throws boost::system::system_error if the address can't be bound.
 void open_control_front(Services& services, adapters::Operations& operations);
 void open_syslog(Services& services);
-// Each commit goes to the store and to the other process, where there are such.
+// Sends each commit to the store, if there is one, and to the pooler's other process during an upgrade.
 void record_commits(Services& services);
 
-// Clients' listeners; on inherited sockets, where a predecessor has sent them. Throws
-// boost::system::system_error where an address can't be bound.
+// Opens the client listeners, on a predecessor's sockets if it has sent them. Throws
+// boost::system::system_error if an address can't be bound.
 void open_fronts(Services& services);
 
 }  // namespace indigovane::program
--- a/src/program/state_sync.cpp
+++ b/src/program/state_sync.cpp
@@ -3,14 +3,14 @@
 namespace indigovane::program {
 
 namespace {
-// An exclusion is to hold in both processes well within the 2 s that a host has for draining.
-constexpr auto kInterval = std::chrono::milliseconds(200);
+// An exclusion must take effect in both processes well within the 2 s that a host has for draining.
+constexpr auto kSyncInterval = std::chrono::milliseconds(200);
 constexpr auto kShapeCostInterval = std::chrono::seconds(10);
-constexpr std::size_t kStoredShapes = 512;  // those that cost most
+constexpr std::size_t kStoredShapes = 512;  // only the shapes that cost most are stored
 }  // namespace
 
 void StateSync::start() {
-    timer_.expires_after(kInterval);
+    timer_.expires_after(kSyncInterval);
     timer_.async_wait([this](const boost::system::error_code& error) {
         if (error) return;
         apply_excluded_endpoints();
@@ -26,8 +26,8 @@
 
 void StateSync::store_shape_costs() {
     if (!services_.persistent_state || !services_.limited_admission) return;
-    if (services_.clock.now() < shape_costs_stored_ + kShapeCostInterval) return;
-    shape_costs_stored_ = services_.clock.now();
+    if (services_.clock.now() < shape_costs_stored_at_ + kShapeCostInterval) return;
+    shape_costs_stored_at_ = services_.clock.now();
     services_.persistent_state->store_shape_costs(
         services_.limited_admission->limiter().priors(kStoredShapes));
 }
--- a/src/program/state_sync.hpp
+++ b/src/program/state_sync.hpp
@@ -1,5 +1,5 @@
-// Keeps the process and what is stored in step: excluded endpoints that the pooler's other process has
-// stored are applied here, and the cost of statement shapes is stored for the next process.
+// Synchronizes the process with the stored state at intervals: excluded endpoints that the pooler's other
+// process has stored are applied here, and the costs of statement shapes are stored for the next process.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -12,7 +12,8 @@
   public:
     explicit StateSync(Services& services) : services_(services), timer_(services.io) {}
 
-    void start();  // from then on at a fixed interval, until the process ends
+    // Starts synchronizing at a fixed interval, until the process ends.
+    void start();
 
   private:
     void apply_excluded_endpoints();
@@ -20,7 +21,7 @@
 
     Services& services_;
     boost::asio::steady_timer timer_;
-    routing::Time shape_costs_stored_{};
+    routing::Time shape_costs_stored_at_{};
 };
 
 }  // namespace indigovane::program
--- a/src/program/statement_rules.cpp
+++ b/src/program/statement_rules.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kGiB = 1 << 30;
 constexpr std::int64_t kMaxCostUs = 60'000'000;
 constexpr double kMaxReserve = 0.9;
-constexpr double kMinOtherShare = 0.01;  // of tenants without a share of their own
+constexpr double kMinOtherShare = 0.01;  // of all tenants without a share of their own together
 constexpr double kRoundingError = 1e-9;  // of a sum of shares
 
 Effect read_effect(TomlReader::Table& table, Effect fallback) {
@@ -42,15 +42,15 @@
     if (!text.empty()) out = text == "primary" ? Route::primary : Route::refuse;
 }
 
-// Above 0%, up to 100%.
-void read_share(TomlReader::Table& table, const char* key, double& out, const char* wanted) {
-    table.read_with_unit<double>(key, out, wanted, [](std::string_view text) {
+// Reads a percentage above 0% and up to 100%.
+void read_share(TomlReader::Table& table, const char* key, double& out, const char* expected) {
+    table.read_with_unit<double>(key, out, expected, [](std::string_view text) {
         auto share = read_percentage(text);
         return share && *share > 0 && *share <= 1 ? share : std::nullopt;
     });
 }
 
-// Reads [[class]]. A shape, table or kind belongs to one class at most.
+// Reads [[class]] tables. Each shape, table or kind may belong to at most one class.
 class ClassReader {
   public:
     ClassReader(TomlReader& reader, statement::Rules& rules) : reader_(reader), rules_(rules) {}
@@ -69,15 +69,16 @@
         rule.bound_us = std::uint64_t(bound.count());
         if (rule.shapes.empty() && rule.tables.empty() && rule.kinds.empty() && bound.count() == 0)
             reader_.report_error(table.raw().source(),
-                                 "[[class]] names no shapes, tables, kinds or bound: it says nothing");
+                                 "[[class]] has no effect: it needs 'shapes', 'tables', 'kinds' or 'bound'");
         rules_.add_class(std::move(rule));
     }
 
   private:
-    // False, and an error at the key: another class, or this one, has it already.
+    // Assigns the item to the class that is read. Returns false and reports an error at the key if it belongs
+    // to a class already.
     bool assign(TomlReader::Table& table, const char* key, const char* what, const std::string& item) {
         if (assigned_.insert(std::string(what) + " " + item).second) return true;
-        report(table, key, "'" + item + "' has a class already");
+        report(table, key, "'" + item + "' belongs to a class already");
         return false;
     }
     void report(TomlReader::Table& table, const char* key, const std::string& what) {
@@ -87,7 +88,7 @@
         for (const std::string& hex : table.read_names("shapes")) {
             statement::Shape shape;
             if (!statement::Shape::parse(hex, shape))
-                report(table, "shapes", "'" + hex + "' is no shape of 32 hex digits");
+                report(table, "shapes", "'" + hex + "' is not a shape, which has 32 hex digits");
             else if (assign(table, "shapes", "shape", hex))
                 rule.shapes.push_back(shape);
         }
@@ -101,7 +102,7 @@
             Kind kind{};
             if (!statement::parse_kind(text, kind) || kind == Kind::many || kind == Kind::invalid)
                 report(table, "kinds",
-                       "'" + text + "' is none of read, locking, write, session, transaction, utility");
+                       "'" + text + "' is not one of read, locking, write, session, transaction, utility");
             else if (assign(table, "kinds", "kind", text))
                 rule.kinds.push_back(kind);
         }
@@ -169,10 +170,11 @@
     table.read_duration("quarantine_most", limits.quarantine_most);
     table.read_duration("longest_retry_after", limits.max_retry_after);
     if (limits.quarantine_most < limits.quarantine)
-        reader.report_error(table.raw().source(), "quarantine_most: shorter than quarantine");
+        reader.report_error(table.raw().source(), "quarantine_most: must not be shorter than 'quarantine'");
 }
 
-// [[share]] of tenants; "*" stands for all others, which share what is left where it isn't given.
+// Reads [[share]] tables of tenants. "*" is the share of all other tenants together; without it they get what
+// is left.
 void read_tenant_shares(TomlReader& reader, TomlReader::Table& root, limits::Settings& limits) {
     double total = 0;
     reader.read_tables(root, "share", [&](TomlReader::Table& table) {
@@ -182,7 +184,7 @@
         if (!table.raw().get("share")) reader.report_error(table.raw().source(), "[[share]] needs a 'share'");
         total += share;
         if (total > 1 + kRoundingError)
-            reader.report_error(table.raw().source(), "the shares come to more than 100%");
+            reader.report_error(table.raw().source(), "[[share]]: the shares add up to more than 100%");
         if (tenant == "*")
             limits.other_share = share;
         else if (!limits.shares.emplace(tenant, share).second)
--- a/src/program/statement_rules.hpp
+++ b/src/program/statement_rules.hpp
@@ -1,5 +1,5 @@
-// The operator's file of statements and limits: TOML. Read completely or not at all; every mistake is
-// reported with file, line and column. The page for operators is docs/statements-on-call.md.
+// The operator's TOML file of statement rules and limits. A file with a mistake is rejected as a whole; every
+// mistake is reported with file, line and column. The operators' page is docs/statements-on-call.md.
 #pragma once
 
 #include <optional>
@@ -8,27 +8,29 @@
 
 #include "limits/types.hpp"
 #include "program/config_error.hpp"
-#include "program/units.hpp"  // for those who include this header
+#include "program/units.hpp"  // for files that include this header
 #include "statement/statement_analyzer.hpp"
 
 namespace indigovane::program {
 
 struct StatementConfig {
-    bool open = false;  // any single statement passes at the PostgreSQL front, not the known forms alone
+    // Whether the PostgreSQL front accepts any single statement, not only the known forms.
+    bool open = false;
     statement::Rules rules;
     statement::StatementAnalyzer::Options analyzer_options;
     limits::Settings limits;
-    // Where a statement's comment says nothing. Class names are the platform's.
+    // Defaults for statements whose comment names no group or class. The platform's settings define the
+    // classes.
     std::optional<std::uint32_t> group;
     std::string read_class;
-    std::string primary_class;  // of reads that only the primary may serve
+    std::string primary_class;  // for reads that only the primary may serve
     std::string write_class;
 };
 
-// The name that other folders' tests use.
+// Redundant: an alias of the class for itself.
 using ConfigError = ConfigError;
 
-// Throw ConfigError. The classes that the file names are checked by set_statements() (program/config.hpp).
+// Throw ConfigError. set_statements() (program/config.hpp) checks the classes that the file names.
 StatementConfig parse_statement_config(const std::string& text, const std::string& file);
 StatementConfig read_statement_config(const std::string& path);
 
--- a/src/program/store_command.cpp
+++ b/src/program/store_command.cpp
@@ -26,7 +26,7 @@
 constexpr int kTornTail = 3;
 constexpr int kDamaged = 4;
 
-// What each subcommand works with.
+// The arguments and streams of a subcommand.
 struct Invocation {
     std::string folder;
     bool salvage = false;
@@ -42,7 +42,7 @@
     void print_status(const RecoveryResult& recovered) const {
         errors << "indigovane store: " << recovered.status.text() << "\n";
     }
-    // Prints the findings; false, and the reason as well: there is nothing to go on with.
+    // Prints the findings. Returns false, and prints the reason, if the store can't be used.
     bool is_usable(const RecoveryResult& recovered) const {
         print_findings(recovered);
         if (!recovered.usable() && !recovered.status.ok()) print_status(recovered);
@@ -54,44 +54,44 @@
 };
 
 int dump(const Invocation& invocation) {
-    OfflineStore opened = invocation.open(OfflineStore::Access::read);
-    if (!invocation.is_usable(opened.recovered())) return kFailure;
-    for (const auto& [key, entry] : opened.entries()) invocation.print(entry);
+    OfflineStore opened_store = invocation.open(OfflineStore::Access::read);
+    if (!invocation.is_usable(opened_store.recovered())) return kFailure;
+    for (const auto& [key, entry] : opened_store.entries()) invocation.print(entry);
     return kSuccess;
 }
 
 int get(const Invocation& invocation, const std::string& space_name, const std::string& key_text) {
     auto space = store::parse_space(space_name);
-    if (!space) throw OfflineStoreError("there is no space '" + space_name + "'");
+    if (!space) throw OfflineStoreError("no such space: '" + space_name + "'");
     std::optional<std::string> key = key_text;
     if (*space == Space::positions) key = read_session_key(key_text);
-    if (!key) throw OfflineStoreError("a session is 16 hex digits");
-    OfflineStore opened = invocation.open(OfflineStore::Access::read);
-    if (!opened.recovered().usable()) {
-        invocation.is_usable(opened.recovered());
+    if (!key) throw OfflineStoreError("the key of a session must have 16 hex digits");
+    OfflineStore opened_store = invocation.open(OfflineStore::Access::read);
+    if (!opened_store.recovered().usable()) {
+        invocation.is_usable(opened_store.recovered());
         return kFailure;
     }
-    auto found = opened.entries().find({*space, *key});
-    if (found == opened.entries().end()) throw OfflineStoreError("there is no such key");
+    auto found = opened_store.entries().find({*space, *key});
+    if (found == opened_store.entries().end()) throw OfflineStoreError("no such key in this space");
     invocation.print(found->second);
     return kSuccess;
 }
 
-ordered_json statistics(const OfflineStore& opened) {
+ordered_json statistics(const OfflineStore& opened_store) {
     std::uint64_t live_bytes = 0;
     std::map<std::string, std::uint64_t> by_space;
-    for (const auto& [key, entry] : opened.entries()) {
+    for (const auto& [key, entry] : opened_store.entries()) {
         live_bytes += store::record_bytes(entry.record.key.size(), entry.record.value.size());
         ++by_space[store::name(key.first)];
     }
-    const RecoveryResult& recovered = opened.recovered();
+    const RecoveryResult& recovered = opened_store.recovered();
     ordered_json json;
     json["state"] = recovered.outcome == RecoveryResult::Outcome::torn_tail ? "torn" : "whole";
     json["segments"] = recovered.manifest.segments.size();
     json["epoch"] = recovered.manifest.epoch;
     json["bytes"] = recovered.bytes;
     json["records"] = recovered.records;
-    json["live_records"] = opened.entries().size();
+    json["live_records"] = opened_store.entries().size();
     json["live_bytes"] = live_bytes;
     json["next_sequence"] = recovered.next_sequence;
     json["spaces"] = by_space;
@@ -99,18 +99,18 @@
 }
 
 int stat(const Invocation& invocation) {
-    OfflineStore opened = invocation.open(OfflineStore::Access::read);
-    if (!opened.recovered().usable()) {
-        invocation.is_usable(opened.recovered());
+    OfflineStore opened_store = invocation.open(OfflineStore::Access::read);
+    if (!opened_store.recovered().usable()) {
+        invocation.is_usable(opened_store.recovered());
         return kFailure;
     }
-    invocation.out << statistics(opened).dump(2) << "\n";
+    invocation.out << statistics(opened_store).dump(2) << "\n";
     return kSuccess;
 }
 
 int verify(const Invocation& invocation) {
-    OfflineStore opened = invocation.open(OfflineStore::Access::read);
-    const RecoveryResult& recovered = opened.recovered();
+    OfflineStore opened_store = invocation.open(OfflineStore::Access::read);
+    const RecoveryResult& recovered = opened_store.recovered();
     invocation.print_findings(recovered);
     switch (recovered.outcome) {
         case RecoveryResult::Outcome::complete:
@@ -132,24 +132,25 @@
     }
 }
 
-std::vector<Record> live_records(const OfflineStore& opened) {
+std::vector<Record> live_records(const OfflineStore& opened_store) {
     std::vector<Record> records;
-    for (const auto& [key, entry] : opened.entries()) records.push_back(entry.record);
+    for (const auto& [key, entry] : opened_store.entries()) records.push_back(entry.record);
     return records;
 }
 
-// All live records, in a new generation.
+// Rewrites all live records in a new generation.
 int compact(const Invocation& invocation) {
-    OfflineStore opened = invocation.open(OfflineStore::Access::rewrite);
-    if (!invocation.is_usable(opened.recovered())) return kFailure;
-    std::uint64_t before = opened.recovered().bytes;
-    std::uint64_t after = opened.rewrite(live_records(opened), 0);
-    invocation.out << before << " bytes before, " << after << " after, " << opened.entries().size()
+    OfflineStore opened_store = invocation.open(OfflineStore::Access::rewrite);
+    if (!invocation.is_usable(opened_store.recovered())) return kFailure;
+    std::uint64_t before = opened_store.recovered().bytes;
+    std::uint64_t after = opened_store.rewrite(live_records(opened_store), 0);
+    invocation.out << before << " bytes before, " << after << " after, " << opened_store.entries().size()
                    << " records\n";
     return kSuccess;
 }
 
-// All lines or none: half of what was meant is worse than nothing.
+// Reads all lines. One malformed line rejects the whole input, because loading only half of it would be worse
+// than loading nothing.
 std::vector<Record> read_records(std::istream& in) {
     std::vector<Record> records;
     std::string line;
@@ -165,17 +166,17 @@
     return records;
 }
 
-// A new generation of what was there and what is loaded.
+// Writes a new generation with the store's records and the loaded ones.
 int load(const Invocation& invocation) {
     std::vector<Record> loaded = read_records(invocation.in);
-    OfflineStore opened = invocation.open(OfflineStore::Access::create);
-    if (!invocation.is_usable(opened.recovered())) return kFailure;
+    OfflineStore opened_store = invocation.open(OfflineStore::Access::create);
+    if (!invocation.is_usable(opened_store.recovered())) return kFailure;
     std::size_t count = loaded.size();
-    std::vector<Record> all = live_records(opened);
-    for (Record& record : loaded) all.push_back(std::move(record));
+    std::vector<Record> all_records = live_records(opened_store);
+    for (Record& record : loaded) all_records.push_back(std::move(record));
     std::random_device random;
     std::uint64_t store_number = std::uint64_t(random()) << 32 | random();
-    opened.rewrite(std::move(all), store_number);
+    opened_store.rewrite(std::move(all_records), store_number);
     invocation.out << count << " records loaded\n";
     return kSuccess;
 }
@@ -186,17 +187,18 @@
     if (operands.size() == 4 && operands[0] == "get") return get(invocation, operands[2], operands[3]);
     auto subcommand = operands.size() == 2 ? subcommands.find(operands[0]) : subcommands.end();
     if (subcommand != subcommands.end()) return subcommand->second(invocation);
-    throw options::error("store dump|stat|verify|compact|load DIR, or store get DIR SPACE KEY [--salvage]");
+    throw options::error(
+        "usage: store dump|stat|verify|compact|load DIR, or store get DIR SPACE KEY [--salvage]");
 }
 
 }  // namespace
 
 int store(const std::vector<std::string>& arguments, std::istream& in, std::ostream& out,
           std::ostream& errors) {
-    options::options_description described("options");
-    described.add_options()("salvage", "go past damage and keep what is provable")(
+    options::options_description description("options");
+    description.add_options()("salvage", "skip damaged parts and keep the records that are provably intact")(
         "words", options::value<std::vector<std::string>>(), "");
-    options::variables_map values = parse_arguments(arguments, described, "words");
+    options::variables_map values = parse_arguments(arguments, description, "words");
     std::vector<std::string> operands;
     if (values.count("words")) operands = values["words"].as<std::vector<std::string>>();
     Invocation invocation{operands.size() >= 2 ? operands[1] : "", values.count("salvage") > 0, in, out,
--- a/src/program/store_command.hpp
+++ b/src/program/store_command.hpp
@@ -1,4 +1,5 @@
-// indigovane store: looks at a store that no process has open. None of it writes to a damaged one.
+// The command `indigovane store`: inspects or rewrites a store that no process has open. A damaged store is
+// written to only with --salvage.
 #pragma once
 
 #include <iosfwd>
@@ -7,8 +8,9 @@
 
 namespace indigovane::program {
 
-// dump|stat|verify|compact|load|get DIR. Exit status: 0 well; 1 it can't be used; of verify: 3 a torn tail, 4
-// damaged. Throws boost::program_options::error on a command line that can't be read.
+// Runs dump, stat, verify, compact, load or get on the store in the folder DIR. Returns the exit status: 0
+// for success, 1 if the store can't be used; verify also returns 3 for a torn tail and 4 for damage. Throws
+// boost::program_options::error if the command line is wrong.
 int store(const std::vector<std::string>& arguments, std::istream& in, std::ostream& out,
           std::ostream& errors);
 
--- a/src/program/store_config.cpp
+++ b/src/program/store_config.cpp
@@ -13,11 +13,12 @@
 
 void read_store(TomlReader::Table& table, StoreConfig& config) {
     config.folder = table.read_required_name("folder");
-    table.read_size("budget", config.budget, R"(a size like "256MiB", from 1MiB to 64GiB)", kMiB, 64 * kGiB);
-    table.read_size("segment", config.segment, R"(a size like "4MiB", from 64KiB to 64MiB)", 64 * kKiB,
+    table.read_size("budget", config.max_log_bytes, R"(a size like "256MiB", from 1MiB to 64GiB)", kMiB,
+                    64 * kGiB);
+    table.read_size("segment", config.segment_bytes, R"(a size like "4MiB", from 64KiB to 64MiB)", 64 * kKiB,
                     64 * kMiB);
-    table.read_size("compact_per_second", config.compact_per_second, R"(a size like "8MiB", from 64KiB up)",
-                    64 * kKiB, 4 * kGiB);
+    table.read_size("compact_per_second", config.compact_bytes_per_second,
+                    R"(a size like "8MiB", from 64KiB up)", 64 * kKiB, 4 * kGiB);
     table.read_duration_or_zero("sync_interval", config.sync_interval);
     table.read_duration("retention", config.retention);
     table.read_duration("lease", config.lease);
@@ -29,9 +30,9 @@
     if (!folder || config.folder.empty()) return;
     store::FolderCheck check = store::check_folder(config.folder);
     if (!check.status.ok()) reader.report_error(folder->source(), "folder: " + check.status.text());
-    config.in_memory = check.in_memory;
-    if (config.budget < 4 * config.segment)
-        reader.report_error(table.raw().source(), "budget: at least four segments are needed");
+    config.is_in_memory = check.in_memory;
+    if (config.max_log_bytes < 4 * config.segment_bytes)
+        reader.report_error(table.raw().source(), "budget: must be at least four segments ('segment')");
 }
 
 }  // namespace
--- a/src/program/store_record_json.cpp
+++ b/src/program/store_record_json.cpp
@@ -14,7 +14,8 @@
 namespace {
 
 constexpr std::size_t kSessionKeyBytes = 8;
-constexpr int kCommitBits = 62;  // of a session's value; the rest says whether a write is open
+// Bits of a session's value that hold the commit; another bit holds whether a write is open.
+constexpr int kCommitBits = 62;
 
 std::string to_hex(std::string_view bytes) {
     static constexpr char kDigits[] = "0123456789abcdef";
@@ -65,20 +66,21 @@
 void check_keys(const ordered_json& json) {
     for (const auto& [key, value] : json.items())
         if (key != "space" && key != "key" && key != "value" && key != "sequence" && key != "expires_ms")
-            throw RecordFormatError("a key that is not known");
+            throw RecordFormatError("unknown key: expected space, key, value, sequence or expires_ms");
 }
 
 Space space_from_json(const ordered_json& json) {
     if (!json.contains("space") || !json["space"].is_string())
-        throw RecordFormatError("space: a name is wanted");
+        throw RecordFormatError("space: expected a name");
     auto space = store::parse_space(json["space"].get<std::string>());
-    if (!space) throw RecordFormatError("space: there is none of this name");
+    if (!space) throw RecordFormatError("space: no space has this name");
     return *space;
 }
 
 std::uint64_t expiry_from_json(const ordered_json& json) {
     if (!json.contains("expires_ms")) return 0;
-    if (!json["expires_ms"].is_number_unsigned()) throw RecordFormatError("expires_ms: a number is wanted");
+    if (!json["expires_ms"].is_number_unsigned())
+        throw RecordFormatError("expires_ms: expected a whole number");
     return json["expires_ms"].get<std::uint64_t>();
 }
 
@@ -90,10 +92,10 @@
 
 void read_session(const ordered_json& json, Record& record) {
     auto key = json["key"].is_string() ? read_session_key(json["key"].get<std::string>()) : std::nullopt;
-    if (!key) throw RecordFormatError("key: a session is 16 hex digits");
+    if (!key) throw RecordFormatError("key: expected the 16 hex digits of a session");
     const ordered_json& value = json["value"];
     if (!is_session_value(value))
-        throw RecordFormatError(R"(value: {"commit_us": number, "open": true or false} is wanted)");
+        throw RecordFormatError(R"(value: expected {"commit_us": number, "open": true or false})");
     record.key = *key;
     record.value = store::encode_u64(
         Positions::encode(value["commit_us"].get<std::uint64_t>(), value["open"].get<bool>()));
@@ -102,7 +104,7 @@
 void read_bytes(const ordered_json& json, Record& record) {
     auto key = bytes_from_json(json["key"]);
     auto value = bytes_from_json(json["value"]);
-    if (!key || !value) throw RecordFormatError(R"(key and value: text or {"hex": "..."})");
+    if (!key || !value) throw RecordFormatError(R"(key and value: expected a string or {"hex": "..."})");
     if (key->size() > store::kMaxKeyBytes || value->size() > store::kMaxValueBytes)
         throw RecordFormatError("key or value: too long");
     record.key = *key;
@@ -130,12 +132,13 @@
 
 Record read_record_line(const std::string& line) {
     auto json = ordered_json::parse(line, nullptr, false);
-    if (json.is_discarded()) throw RecordFormatError("it is no JSON");
-    if (!json.is_object()) throw RecordFormatError("an object is wanted");
+    if (json.is_discarded()) throw RecordFormatError("the line is not valid JSON");
+    if (!json.is_object()) throw RecordFormatError("expected a JSON object");
     check_keys(json);
     Record record;
     record.space = space_from_json(json);
-    if (!json.contains("key") || !json.contains("value")) throw RecordFormatError("key and value are wanted");
+    if (!json.contains("key") || !json.contains("value"))
+        throw RecordFormatError("'key' and 'value' are required");
     record.expires_ms = expiry_from_json(json);
     if (record.space == Space::positions)
         read_session(json, record);
--- a/src/program/store_record_json.hpp
+++ b/src/program/store_record_json.hpp
@@ -1,10 +1,11 @@
-// Records of a store as JSON, one object a line: what `store dump` and `store get` print and `store load`
-// reads.
+// Records of a store as JSON, one object on each line. `store dump` and `store get` print them and `store
+// load` reads them.
 //
 //   {"space": name, "key": ..., "value": ..., "sequence": number, "expires_ms": number}
 //
-// Text stands as text, other bytes as {"hex": "..."}. A session's commit has 16 hex digits for its key and
-// {"commit_us": number, "open": bool} for its value: JSON numbers would lose digits of a session's id.
+// Printable ASCII is written as a string, other bytes as {"hex": "..."}. A session's commit has 16 hex digits
+// as its key, because a JSON number would lose digits of the session's id, and {"commit_us": number, "open":
+// bool} as its value.
 #pragma once
 
 #include <optional>
@@ -16,17 +17,17 @@
 
 namespace indigovane::program {
 
-// A line that is no record; what() says why.
+// Thrown for a line that is not a record. what() gives the reason.
 struct RecordFormatError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// One line, without its end.
+// Returns the line without a line feed.
 std::string write_record_line(const store::Record& record, std::uint64_t sequence);
-// `sequence` is ignored: a record gets a new one where it is stored. Throws RecordFormatError.
+// Ignores the line's `sequence`: the store assigns a new one. Throws RecordFormatError.
 store::Record read_record_line(const std::string& line);
 
-// The bytes of a session's key; nothing where the text is not 16 hex digits.
+// Returns the bytes of a session's key, or nothing if the text is not 16 hex digits.
 std::optional<std::string> read_session_key(std::string_view hex);
 
 }  // namespace indigovane::program
--- a/src/program/toml_reader.cpp
+++ b/src/program/toml_reader.cpp
@@ -8,30 +8,30 @@
 
 namespace {
 
-// Keys with at most so many differing characters are suggested for an unknown one.
+// A known key is suggested for an unknown one if their edit distance is at most this.
 constexpr std::size_t kMaxTypingErrors = 2;
 
-// Levenshtein distance.
-std::size_t edit_distance(std::string_view a, std::string_view b) {
-    std::vector<std::size_t> row(b.size() + 1);
-    for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
-    for (std::size_t i = 1; i <= a.size(); ++i) {
+// Returns the Levenshtein distance of two texts.
+std::size_t edit_distance(std::string_view first, std::string_view second) {
+    std::vector<std::size_t> row(second.size() + 1);
+    for (std::size_t j = 0; j <= second.size(); ++j) row[j] = j;
+    for (std::size_t i = 1; i <= first.size(); ++i) {
         std::size_t corner = row[0];
         row[0] = i;
-        for (std::size_t j = 1; j <= b.size(); ++j) {
+        for (std::size_t j = 1; j <= second.size(); ++j) {
             std::size_t above = row[j];
-            row[j] = std::min({above + 1, row[j - 1] + 1, corner + (a[i - 1] == b[j - 1] ? 0 : 1)});
+            row[j] = std::min({above + 1, row[j - 1] + 1, corner + (first[i - 1] == second[j - 1] ? 0 : 1)});
             corner = above;
         }
     }
-    return row[b.size()];
+    return row[second.size()];
 }
 
 ConfigMistake mistake_at(const std::string& file, const toml::source_region& at, std::string what) {
     return {file, std::uint32_t(at.begin.line), std::uint32_t(at.begin.column), std::move(what)};
 }
 
-constexpr const char* kDurationWanted = R"(a duration like "250ms" or "2s")";
+constexpr const char* kDurationDescription = R"(a duration like "250ms" or "2s")";
 
 }  // namespace
 
@@ -44,7 +44,7 @@
 }
 
 std::string read_operators_file(const std::string& path) {
-    return read_config_file(path, ConfigError(path, "it can't be read"));
+    return read_config_file(path, ConfigError(path, "the file can't be read"));
 }
 
 void TomlReader::report_error(const toml::source_region& at, const std::string& what) {
@@ -59,7 +59,7 @@
     const toml::node* node = parent.find(key);
     if (!node) return;
     const toml::table* found = node->as_table();
-    if (!found) return report_error(node->source(), "[" + std::string(key) + "] is a table");
+    if (!found) return report_error(node->source(), "[" + std::string(key) + "] must be a table");
     Table table(*this, *found, "[" + std::string(key) + "]");
     read(table);
 }
@@ -69,11 +69,11 @@
     if (!node) return;
     std::string name = "[[" + std::string(key) + "]]";
     const toml::array* items = node->as_array();
-    if (!items) return report_error(node->source(), name + " is wanted");
+    if (!items) return report_error(node->source(), name + " must be an array of tables");
     for (const toml::node& item : *items) {
         const toml::table* found = item.as_table();
         if (!found) {
-            report_error(item.source(), name + " is wanted");
+            report_error(item.source(), name + " must be a table");
             continue;
         }
         Table table(*this, *found, name);
@@ -84,7 +84,7 @@
 TomlReader::Table::~Table() {
     for (const auto& [key, node] : table_) {
         std::string unknown(key.str());
-        if (known_.count(unknown)) continue;
+        if (known_keys_.count(unknown)) continue;
         std::string similar = similar_key(unknown);
         reader_.report_error(key.source(), "'" + unknown + "' is not known in " + name_ +
                                                (similar.empty() ? "" : "; did you mean '" + similar + "'?"));
@@ -93,45 +93,45 @@
 
 std::string TomlReader::Table::similar_key(const std::string& unknown) const {
     std::string similar;
-    for (const std::string& key : known_)
+    for (const std::string& key : known_keys_)
         if (edit_distance(unknown, key) <= kMaxTypingErrors) similar = key;
     return similar;
 }
 
 const toml::node* TomlReader::Table::find(const char* key) {
-    known_.insert(key);
+    known_keys_.insert(key);
     return table_.get(key);
 }
 
-void TomlReader::Table::report_wanted(const toml::node& node, const char* key, const std::string& wanted) {
-    reader_.report_error(node.source(), std::string(key) + ": " + wanted + " is wanted");
+void TomlReader::Table::report_invalid(const toml::node& node, const char* key, const std::string& expected) {
+    reader_.report_error(node.source(), std::string(key) + ": " + expected + " is wanted");
 }
 
-void TomlReader::Table::report_unit_wanted(const toml::node& node, const char* key,
-                                           const std::string& wanted) {
+void TomlReader::Table::report_invalid_with_unit(const toml::node& node, const char* key,
+                                                 const std::string& expected) {
     auto text = node.value_exact<std::string>();
-    bool number = node.is_number() ||
-                  (text && !text->empty() && text->find_first_not_of("0123456789.") == std::string::npos);
-    const char* hint = number ? " (a number without a unit is none)" : "";
-    reader_.report_error(node.source(), std::string(key) + ": " + wanted + " is wanted" + hint);
+    bool has_no_unit = node.is_number() || (text && !text->empty() &&
+                                            text->find_first_not_of("0123456789.") == std::string::npos);
+    const char* hint = has_no_unit ? " (a number without a unit is none)" : "";
+    reader_.report_error(node.source(), std::string(key) + ": " + expected + " is wanted" + hint);
 }
 
 void TomlReader::Table::read_duration(const char* key, Duration& out) {
-    read_with_unit<Duration>(key, out, kDurationWanted, [](std::string_view text) {
+    read_with_unit<Duration>(key, out, kDurationDescription, [](std::string_view text) {
         auto duration = program::read_duration(text);
         return duration && duration->count() > 0 ? duration : std::nullopt;
     });
 }
 
 void TomlReader::Table::read_duration_or_zero(const char* key, Duration& out) {
-    read_with_unit<Duration>(key, out, kDurationWanted, program::read_duration);
+    read_with_unit<Duration>(key, out, kDurationDescription, program::read_duration);
 }
 
-void TomlReader::Table::read_size(const char* key, std::size_t& out, const char* wanted, std::size_t least,
-                                  std::size_t most) {
-    read_with_unit<std::size_t>(key, out, wanted, [=](std::string_view text) {
+void TomlReader::Table::read_size(const char* key, std::size_t& out, const char* expected,
+                                  std::size_t minimum, std::size_t maximum) {
+    read_with_unit<std::size_t>(key, out, expected, [=](std::string_view text) {
         auto bytes = program::read_size(text);
-        return bytes && *bytes >= least && *bytes <= most ? bytes : std::nullopt;
+        return bytes && *bytes >= minimum && *bytes <= maximum ? bytes : std::nullopt;
     });
 }
 
@@ -151,14 +151,14 @@
     if (!node) return names;
     const toml::array* items = node->as_array();
     if (!items) {
-        report_wanted(*node, key, "a list of names");
+        report_invalid(*node, key, "a list of names");
         return names;
     }
     for (const toml::node& item : *items)
         if (auto name = item.value_exact<std::string>(); name && !name->empty())
             names.push_back(*name);
         else
-            reader_.report_error(item.source(), std::string(key) + ": each is a name in quotes");
+            reader_.report_error(item.source(), std::string(key) + ": each item must be a name in quotes");
     return names;
 }
 
