--- a/src/program/toml_reader.hpp
+++ b/src/program/toml_reader.hpp
@@ -1,5 +1,5 @@
-// Reads the operator's TOML files: each key at most once, each mistake with file, line and column, unknown
-// keys reported. A file is read to its end, so that one run finds all its mistakes.
+// Reads the operator's TOML files. A key may occur only once, and unknown keys are mistakes. Each mistake is
+// reported with file, line and column. A file is read to its end, so that one run finds all its mistakes.
 #pragma once
 
 #include <functional>
@@ -17,9 +17,9 @@
 
 namespace indigovane::program {
 
-// Throws ConfigError with the place of the first mistake in the syntax.
+// Throws ConfigError with the place of the first syntax error.
 toml::table parse_toml(const std::string& text, const std::string& file);
-// The file's text. Throws ConfigError where it can't be read.
+// Returns the file's text. Throws ConfigError if the file can't be read.
 std::string read_operators_file(const std::string& path);
 
 class TomlReader {
@@ -30,12 +30,13 @@
     explicit TomlReader(std::string file) : file_(std::move(file)) {}
 
     void report_error(const toml::source_region& at, const std::string& what);
-    // Throws ConfigError with all errors that were reported. All tables must be destroyed before it.
+    // Throws ConfigError with all reported errors, if there are any. All Table objects must be destroyed
+    // before, because their destructors report unknown keys.
     void finish() const;
 
-    // [key], where it is there.
+    // Reads the table [key], if the file has it.
     void read_table(Table& parent, const char* key, const ReadTable& read);
-    // Each [[key]].
+    // Reads each table [[key]].
     void read_tables(Table& parent, const char* key, const ReadTable& read);
 
   private:
@@ -43,32 +44,36 @@
     std::vector<ConfigMistake> errors_;
 };
 
-// A table's keys. Each function that takes a key leaves `out` as it is where the key is missing, and reports
-// an error where the value is not as wanted. The destructor reports keys that none has asked for.
+// Reads the keys of a table. Each function that takes a key leaves `out` unchanged if the key is missing or
+// its value is invalid, and reports an error in the second case. `expected` describes a valid value in that
+// error. The destructor reports the keys that no function was called for.
 class TomlReader::Table {
   public:
-    // `name` is the table's in errors.
+    // `name` is the table's name in errors.
     Table(TomlReader& reader, const toml::table& table, std::string name)
         : reader_(reader), table_(table), name_(std::move(name)) {}
     ~Table();
     Table(const Table&) = delete;
     Table& operator=(const Table&) = delete;
 
+    // Returns the key's node, or a null pointer if the key is missing.
     const toml::node* find(const char* key);
 
+    // Reads a value of TOML type T for which `is_valid`, if given, returns true.
     template <typename T>
-    void read_value(const char* key, T& out, const char* wanted, const std::function<bool(T)>& fits = {}) {
+    void read_value(const char* key, T& out, const char* expected,
+                    const std::function<bool(T)>& is_valid = {}) {
         const toml::node* node = find(key);
         if (!node) return;
         auto value = node->value_exact<T>();
-        if (value && (!fits || fits(*value)))
+        if (value && (!is_valid || is_valid(*value)))
             out = *value;
         else
-            report_wanted(*node, key, wanted);
+            report_invalid(*node, key, expected);
     }
-    // A value with a unit, written as a string.
+    // Reads a value with a unit, which is written as a string and converted by `parse`.
     template <typename T>
-    void read_with_unit(const char* key, T& out, const char* wanted,
+    void read_with_unit(const char* key, T& out, const char* expected,
                         const std::function<std::optional<T>(std::string_view)>& parse) {
         const toml::node* node = find(key);
         if (!node) return;
@@ -77,41 +82,46 @@
         if (value)
             out = *value;
         else
-            report_unit_wanted(*node, key, wanted);
+            report_invalid_with_unit(*node, key, expected);
     }
+    // Reads a whole number from `minimum` to `maximum`.
     template <typename T>
-    void read_whole_number(const char* key, T& out, T least, T most) {
+    void read_whole_number(const char* key, T& out, T minimum, T maximum) {
         auto value = std::int64_t(out);
-        std::string wanted = "a whole number from " + std::to_string(least) + " to " + std::to_string(most);
-        read_value<std::int64_t>(key, value, wanted.c_str(), [&](std::int64_t number) {
-            return number >= std::int64_t(least) && number <= std::int64_t(most);
+        std::string expected =
+            "a whole number from " + std::to_string(minimum) + " to " + std::to_string(maximum);
+        read_value<std::int64_t>(key, value, expected.c_str(), [&](std::int64_t number) {
+            return number >= std::int64_t(minimum) && number <= std::int64_t(maximum);
         });
         out = T(value);
     }
     void read_bool(const char* key, bool& out) { read_value<bool>(key, out, "true or false"); }
-    void read_duration(const char* key, limits::Duration& out);  // above 0
+    // Reads a duration above 0.
+    void read_duration(const char* key, limits::Duration& out);
     void read_duration_or_zero(const char* key, limits::Duration& out);
-    // Bytes, from `least` to `most`.
-    void read_size(const char* key, std::size_t& out, const char* wanted, std::size_t least,
-                   std::size_t most);
-    // A name in quotes; missing or empty: an error, and an empty name.
+    // Reads a size from `minimum` to `maximum` bytes.
+    void read_size(const char* key, std::size_t& out, const char* expected, std::size_t minimum,
+                   std::size_t maximum);
+    // Reads a name in quotes. Reports an error and returns an empty name if the name is missing or empty.
     std::string read_required_name(const char* key = "name");
+    // Reads a list of names in quotes; empty if the key is missing.
     std::vector<std::string> read_names(const char* key);
 
     const toml::table& raw() const { return table_; }
 
   private:
-    void report_wanted(const toml::node& node, const char* key, const std::string& wanted);
-    void report_unit_wanted(const toml::node& node, const char* key, const std::string& wanted);
+    void report_invalid(const toml::node& node, const char* key, const std::string& expected);
+    void report_invalid_with_unit(const toml::node& node, const char* key, const std::string& expected);
     std::string similar_key(const std::string& unknown) const;
 
     TomlReader& reader_;
     const toml::table& table_;
     std::string name_;
-    std::set<std::string> known_;  // keys that were asked for
+    // The keys that a function was called for.
+    std::set<std::string> known_keys_;
 };
 
-// A file that holds one table, [key], and nothing else.
+// Reads a file that must have the table [key] and nothing else. Throws ConfigError with all mistakes.
 void read_single_table(const std::string& text, const std::string& file, const char* key,
                        const std::function<void(TomlReader&, TomlReader::Table&)>& read);
 
--- a/src/program/units.hpp
+++ b/src/program/units.hpp
@@ -1,4 +1,4 @@
-// Durations, sizes and percentages as operators write them: with their unit.
+// Parses durations, sizes and percentages as operators write them: a number with a unit.
 #pragma once
 
 #include <optional>
@@ -8,9 +8,13 @@
 
 namespace indigovane::program {
 
-// Each returns nothing where the text is not of its kind; a number without a unit is of none.
-std::optional<limits::Duration> read_duration(std::string_view text);  // "250ms", "2s", "1m"
-std::optional<std::size_t> read_size(std::string_view text);           // bytes: "8MiB", "64KiB", "512B"
-std::optional<double> read_percentage(std::string_view text);          // "25%" as 0.25
+// Each function returns nothing if the text is malformed or has no unit.
+
+// Parses "250ms", "2s" or "1m"; the units are us, ms, s, m and h.
+std::optional<limits::Duration> read_duration(std::string_view text);
+// Parses "8MiB", "64KiB" or "512B" and returns the number of bytes; the units are B, KiB, MiB and GiB.
+std::optional<std::size_t> read_size(std::string_view text);
+// Parses "25%" and returns 0.25.
+std::optional<double> read_percentage(std::string_view text);
 
 }  // namespace indigovane::program
--- a/tests/program/config_error_test.cpp
+++ b/tests/program/config_error_test.cpp
@@ -1,4 +1,5 @@
-// Errors in configuration files: their places, and what the TOML reader finds in one run.
+// Errors in configuration files: the format of their places, and the mistakes that the TOML reader finds in
+// one run.
 #include "program/config_error.hpp"
 
 #include <doctest/doctest.h>
@@ -12,7 +13,7 @@
 using program::ConfigError;
 using program::TomlReader;
 
-TEST_CASE("configuration errors: one line a mistake, with as much of its place as is known") {
+TEST_CASE("configuration errors: one line for each mistake, with the known parts of its place") {
     CHECK(std::string(ConfigError("bad").what()) == "bad");
     CHECK(std::string(ConfigError("f", "bad").what()) == "f: bad");
     CHECK(std::string(ConfigError({{"f", 2, 3, "bad"}, {"f", 4, 1, "worse"}}).what()) ==
@@ -20,7 +21,7 @@
     CHECK(std::string(ConfigError("bad").in_file("f").what()) == "f: bad");
 }
 
-TEST_CASE("TOML reader: all mistakes of a file are found in one run, unknown keys last in their table") {
+TEST_CASE("TOML reader: one run reports all mistakes of a file, a table's unknown keys last") {
     std::string text = "[a]\nwait = 5\nflag = 1\nwiat = \"1s\"\n";
     limits::Duration wait{};
     bool flag = false;
@@ -40,13 +41,13 @@
     CHECK(wait.count() == 0);
 }
 
-TEST_CASE("JSON settings: flattened as the simulator's first message has them") {
+TEST_CASE("JSON settings: flattened to the form of the simulator's first message") {
     auto settings =
         nlohmann::json::parse(R"({"a":{"b":[1,2],"c":"x y","d":null},"l":[{"n":true},{"n":false}],"z":[]})");
     CHECK(program::flatten_settings(settings) == " a.b=1,2 a.c=x_y l.count=2 l.0.n=true l.1.n=false z=");
 }
 
-TEST_CASE("JSON keys: of an array's items those that all of them have") {
+TEST_CASE("JSON keys: of an array's items, only the keys that all items have are listed") {
     auto types = program::key_types(nlohmann::json::parse(R"({"a":[{"x":1,"y":"s"},{"x":2}],"b":true})"));
     CHECK(types == std::map<std::string, char>{{".a", 'a'}, {".a[]", 'o'}, {".a[].x", 'n'}, {".b", 'b'}});
 }
--- a/tests/program/handover_messages_test.cpp
+++ b/tests/program/handover_messages_test.cpp
@@ -1,5 +1,5 @@
 // The bytes that two processes of one pooler exchange during an upgrade. They are a protocol between versions
-// of the program: a byte that differs here is a handover that fails between an old version and a new one.
+// of the program: if a byte changes, the handover between an old and a new version fails.
 #include <sys/socket.h>
 
 #include "program/process_handover.hpp"
@@ -15,15 +15,15 @@
 using transport::Descriptor;
 using namespace std::string_literals;
 
-// The other end of a channel: records what arrives, and whether a descriptor came along.
+// The other end of a channel. Records the messages, and whether each had a descriptor.
 struct RecordingPeer : Channel::Handler {
-    void on_message(Channel&, std::string_view message, Descriptor with) override {
+    void on_message(Channel&, std::string_view message, Descriptor descriptor) override {
         messages.emplace_back(message);
-        with_descriptor.push_back(bool(with));
+        had_descriptor.push_back(bool(descriptor));
     }
     void on_closed(Channel&) override { closed = true; }
     std::vector<std::string> messages;
-    std::vector<bool> with_descriptor;
+    std::vector<bool> had_descriptor;
     bool closed = false;
 };
 
@@ -37,7 +37,7 @@
             Time(Duration(0x21))};
 }
 
-// A process with a known state, which records what it inherits.
+// A process with a known state. Records what it inherits.
 struct RecordingOwner : ProcessHandover::HandoverOwner {
     std::vector<std::pair<std::string, int>> listening_sockets() override {
         return {{"pg", listener.get()}, {"rest", listener.get()}};
@@ -69,7 +69,7 @@
     std::vector<std::string> events;
 };
 
-TEST_CASE("a predecessor's messages have fixed bytes") {
+TEST_CASE("handover: a predecessor's messages have fixed bytes") {
     Loop loop;
     Folder folder;
     RecordingOwner owner;
@@ -89,11 +89,11 @@
     CHECK(peer.messages[3] == "F\x21\0\0\0\0\0\0\0"s);
     CHECK(peer.messages[4] == "P\x31\0\0\0\0\0\0\0m1"s);
     CHECK(peer.messages[5] == "E");
-    CHECK(peer.with_descriptor == std::vector<bool>{true, true, false, false, false, false});
+    CHECK(peer.had_descriptor == std::vector<bool>{true, true, false, false, false, false});
 
     predecessor.send_commit(5, Time(Duration(6)));
     successor->send("R");
-    REQUIRE(loop.until([&] { return predecessor.successor_ready(); }));
+    REQUIRE(loop.until([&] { return predecessor.is_successor_ready(); }));
     CHECK(owner.events == std::vector<std::string>{"ready"});
     routing::ClientHandover client;
     client.state = 's';
@@ -110,12 +110,12 @@
     CHECK(peer.messages[7] == "Nn\0te"s);
     CHECK(peer.messages[8] == "C\2pgshalf");
     CHECK(peer.messages[9] == "C\4resti");
-    CHECK(peer.with_descriptor[7] == false);
-    CHECK(peer.with_descriptor[8] == true);
-    CHECK(peer.with_descriptor[9] == true);
+    CHECK(peer.had_descriptor[7] == false);
+    CHECK(peer.had_descriptor[8] == true);
+    CHECK(peer.had_descriptor[9] == true);
 }
 
-TEST_CASE("a successor's messages have fixed bytes, and it understands those of its predecessor") {
+TEST_CASE("handover: a successor's messages have fixed bytes, and it reads a predecessor's fixed bytes") {
     Loop loop;
     Folder folder;
     RecordingOwner owner;
@@ -134,16 +134,16 @@
     predecessor->send("F\x21\0\0\0\0\0\0\0"s);
     predecessor->send("P\x31\0\0\0\0\0\0\0m1"s);
     predecessor->send("?a type of a later version");
-    predecessor->send("F\1"s);  // cut short
-    CHECK(successor.inheriting());
+    predecessor->send("F\1"s);  // truncated
+    CHECK(successor.is_inheriting());
     predecessor->send("E");
-    REQUIRE(loop.until([&] { return !successor.inheriting(); }));
-    predecessor->send("Arest", any_descriptor());  // too late: its state is complete
+    REQUIRE(loop.until([&] { return !successor.is_inheriting(); }));
+    predecessor->send("Arest", any_descriptor());  // ignored: the state is complete already
     predecessor->send("Nnote");
     predecessor->send("C\2pgshalf", any_descriptor());
     predecessor->send("C\4resti", any_descriptor());
-    predecessor->send("C\x09pgs", any_descriptor());  // the name is cut short
-    predecessor->send("C\2pgs");                      // the connection is missing
+    predecessor->send("C\x09pgs", any_descriptor());  // ignored: the name is truncated
+    predecessor->send("C\2pgs");                      // ignored: the connection is missing
     predecessor->send("F\x22\0\0\0\0\0\0\0"s);
     REQUIRE(loop.until([&] { return !owner.events.empty() && owner.events.back() == "floor 34"; }));
     CHECK(owner.events == std::vector<std::string>{"socket pg", "commit 7 3", "floor 33", "readmitted m1 49",
@@ -156,19 +156,20 @@
     CHECK(peer.messages[2] == "R");
 }
 
-TEST_CASE("tokens are sent in messages of 1000, and what a successor has written is inherited") {
+TEST_CASE(
+    "handover: session tokens are sent 1000 in a message, and a successor's commits reach the predecessor") {
     Loop loop;
     Folder folder;
     struct : RecordingOwner {
         policy::SessionTokens tokens() override {
-            policy::SessionTokens many;
+            policy::SessionTokens all_tokens;
             for (std::uint64_t i = 1; i <= 1001; ++i)
-                many.commits.emplace_back(policy::SessionKey{i}, Time(Duration(1)));
-            return many;
+                all_tokens.commits.emplace_back(policy::SessionKey{i}, Time(Duration(1)));
+            return all_tokens;
         }
     } owner;
-    ProcessHandover middle(loop.io, folder.path, "n1", owner);
-    middle.announce();
+    ProcessHandover predecessor(loop.io, folder.path, "n1", owner);
+    predecessor.announce();
     RecordingPeer peer;
     auto successor = Channel::connect(loop.io, folder.path, "n1.peer", peer);
     REQUIRE(successor);
@@ -177,7 +178,7 @@
     REQUIRE(loop.until([&] { return peer.messages.size() == 7; }));
     CHECK(peer.messages[2].size() == 1 + 1000 * 16);
     CHECK(peer.messages[3] == "T\xe9\3\0\0\0\0\0\0\1\0\0\0\0\0\0\0"s);
-    // What a successor has written is inherited by its predecessor.
+    // The predecessor inherits a commit of the successor.
     successor->send("T\x08\0\0\0\0\0\0\0\x09\0\0\0\0\0\0\0"s);
     REQUIRE(loop.until([&] { return !owner.events.empty(); }));
     CHECK(owner.events == std::vector<std::string>{"commit 8 9"});
--- a/tests/program/operations_test.cpp
+++ b/tests/program/operations_test.cpp
@@ -1,4 +1,4 @@
-// What operators' staff do day by day: calls at the control address, hosts taken out, clients sent away.
+// Operators' daily tasks: control calls, excluding hosts, diverting clients, and changing settings.
 #include "adapters/control_front.hpp"
 #include "program/config.hpp"
 #include "program/excluded_endpoints.hpp"
@@ -7,34 +7,37 @@
 namespace indigovane::testing {
 namespace {
 
-struct Calls : adapters::Operations {
-    Reply note(std::string call) {
+struct RecordingOperations : adapters::Operations {
+    Reply record(std::string call) {
         calls.push_back(std::move(call));
         return {calls.size() % 2 == 0, "noted"};
     }
-    Reply check() override { return note("check"); }
-    Reply set_down(const std::string& uid) override { return note("down " + uid); }
-    Reply set_up(const std::string& uid) override { return note("up " + uid); }
-    Reply drain(bool on) override { return note(on ? "away" : "back"); }
-    Reply shapes(std::size_t most) override { return note("shapes " + std::to_string(most)); }
+    Reply check() override { return record("check"); }
+    Reply set_down(const std::string& uid) override { return record("down " + uid); }
+    Reply set_up(const std::string& uid) override { return record("up " + uid); }
+    Reply drain(bool on) override { return record(on ? "away" : "back"); }
+    Reply shapes(std::size_t most) override { return record("shapes " + std::to_string(most)); }
     std::vector<std::string> calls;
 };
 
-struct ControlRig {
+struct ControlFrontFixture {
     Loop loop;
     NullLogger logger;
-    Calls calls;
+    RecordingOperations calls;
     adapters::ControlFront front;
-    explicit ControlRig(adapters::ControlLimits limits) : front(loop.io, loopback(), limits, calls, logger) {
+    explicit ControlFrontFixture(adapters::ControlLimits limits)
+        : front(loop.io, loopback(), limits, calls, logger) {
         front.start();
     }
 };
 
-// A caller's states: some of a line sent, the line whole, answered; what the model keeps is the line.
-TEST_CASE("control: each whole line is answered once, whatever others leave unfinished") {
+// Callers send each line in two pieces while other connections stay open with an incomplete line or none.
+// Guards against such connections delaying, losing or duplicating a call.
+TEST_CASE(
+    "control: each complete line is answered once, even while other connections send incomplete lines") {
     Dice dice(71);
-    ControlRig rig({.callers = 6, .lingering = 2, .line = 64, .client_timeout = 20s});
-    std::vector<std::unique_ptr<Client>> silent;  // hold a connection without a whole call
+    ControlFrontFixture fixture({.callers = 6, .lingering = 2, .line = 64, .client_timeout = 20s});
+    std::vector<std::unique_ptr<Client>> silent;  // connections without a complete line
     const std::pair<std::string, std::string> lines[] = {{"check", "check"},
                                                          {"check\r", "check"},
                                                          {"set-down s-1", "down s-1"},
@@ -53,65 +56,69 @@
                                                          {std::string(200, 'x'), ""}};
     for (int round = 0; round < 200; ++round) {
         if (dice.below(2)) {
-            silent.push_back(std::make_unique<Client>(rig.loop, rig.front.local()));
+            silent.push_back(std::make_unique<Client>(fixture.loop, fixture.front.local()));
             if (dice.below(2)) silent.back()->send("chec");
             if (silent.size() > 20) silent.erase(silent.begin());
         }
         auto& [line, call] = lines[dice.below(std::size(lines))];
-        std::size_t before = rig.calls.calls.size();
-        Client client(rig.loop, rig.front.local());
+        std::size_t before = fixture.calls.calls.size();
+        Client client(fixture.loop, fixture.front.local());
         std::string bytes = line + "\n";
         std::size_t cut = dice.below(bytes.size());
         client.send(bytes.substr(0, cut));
-        rig.loop.io.restart();
-        rig.loop.io.poll();
+        fixture.loop.io.restart();
+        fixture.loop.io.poll();
         client.send(bytes.substr(cut));
-        REQUIRE(rig.loop.until([&] { return client.in.find('\n') != std::string::npos || client.closed; }));
-        bool ok = !call.empty() && rig.calls.calls.size() % 2 == 0;
+        REQUIRE(
+            fixture.loop.until([&] { return client.in.find('\n') != std::string::npos || client.closed; }));
+        bool ok = !call.empty() && fixture.calls.calls.size() % 2 == 0;
         CHECK(client.in.substr(0, 4) == (ok ? "+OK " : "-ERR"));
         CHECK(client.in.find('\n') == client.in.size() - 1);
         if (call.empty()) {
-            CHECK(rig.calls.calls.size() == before);
+            CHECK(fixture.calls.calls.size() == before);
         } else {
-            REQUIRE(rig.calls.calls.size() == before + 1);
-            CHECK(rig.calls.calls.back() == call);
+            REQUIRE(fixture.calls.calls.size() == before + 1);
+            CHECK(fixture.calls.calls.back() == call);
         }
-        CHECK(rig.front.callers() <= 6);
+        CHECK(fixture.front.callers() <= 6);
     }
 }
 
-TEST_CASE("control: a caller without a whole call is told so in time") {
-    ControlRig rig({.client_timeout = 5ms});
-    Client client(rig.loop, rig.front.local());
+TEST_CASE("control: a caller that does not complete its line gets an error after the client timeout") {
+    ControlFrontFixture fixture({.client_timeout = 5ms});
+    Client client(fixture.loop, fixture.front.local());
     client.send("set-down s-");
-    REQUIRE(rig.loop.until([&] { return client.closed; }));
+    REQUIRE(fixture.loop.until([&] { return client.closed; }));
     CHECK(client.in.substr(0, 4) == "-ERR");
-    CHECK(rig.calls.calls.empty());
+    CHECK(fixture.calls.calls.empty());
 }
 
-TEST_CASE("hosts taken out: stored before the yes, seen by the other process, and after a start") {
+TEST_CASE(
+    "excluded hosts: a change is stored when it returns, and both processes and a new one read the same "
+    "set") {
     Folder folder;
-    program::ExcludedEndpoints one(folder.path, "n1"), two(folder.path, "n1"), other(folder.path, "n2");
-    std::set<std::string> model;
+    program::ExcludedEndpoints first_process(folder.path, "n1"), second_process(folder.path, "n1"),
+        other_pooler(folder.path, "n2");
+    std::set<std::string> expected_uids;
     Dice dice(5);
     for (int step = 0; step < 200; ++step) {
         std::string uid = "s-" + std::to_string(dice.below(5));
-        bool out = dice.below(2);
-        (dice.below(2) ? one : two).change(uid, out);
-        out ? void(model.insert(uid)) : void(model.erase(uid));
-        one.refresh();
-        two.refresh();
-        CHECK(one.uids() == model);
-        CHECK(two.uids() == model);
-        CHECK(program::ExcludedEndpoints(folder.path, "n1").uids() == model);
-        CHECK(!one.refresh());
+        bool excluded = dice.below(2);
+        (dice.below(2) ? first_process : second_process).change(uid, excluded);
+        excluded ? void(expected_uids.insert(uid)) : void(expected_uids.erase(uid));
+        first_process.refresh();
+        second_process.refresh();
+        CHECK(first_process.uids() == expected_uids);
+        CHECK(second_process.uids() == expected_uids);
+        CHECK(program::ExcludedEndpoints(folder.path, "n1").uids() == expected_uids);
+        CHECK(!first_process.refresh());
     }
-    CHECK(!other.refresh());
-    CHECK(other.uids().empty());
-    std::set<std::string> before = one.uids();
-    std::filesystem::remove_all(folder.path);  // nothing can be stored any more: nothing is changed
-    CHECK_THROWS(one.change("s-9", true));
-    CHECK(one.uids() == before);
+    CHECK(!other_pooler.refresh());
+    CHECK(other_pooler.uids().empty());
+    std::set<std::string> before = first_process.uids();
+    std::filesystem::remove_all(folder.path);  // a change that can't be stored is not made
+    CHECK_THROWS(first_process.change("s-9", true));
+    CHECK(first_process.uids() == before);
     program::ExcludedEndpoints nowhere("", "n1");
     nowhere.change("s-1", true);
     CHECK(nowhere.uids() == std::set<std::string>{"s-1"});
@@ -126,9 +133,9 @@
         .take();
 }
 
-TEST_CASE("a host taken out gets nothing, whatever is listed, until it is put back") {
-    PgDeployment d;
-    Client client(d.loop, d.pg.local());
+TEST_CASE("an excluded host gets no requests until it is readmitted, whatever the endpoint lists say") {
+    PgDeployment deployment;
+    Client client(deployment.loop, deployment.pg.local());
     client.send(pg::Writer().startup("u", "d").take());
     client.reply();
     int sent = 0;
@@ -139,68 +146,75 @@
         }
     };
     send_reads(40);
-    REQUIRE(d.hosts[1].queries > 0);
-    REQUIRE(d.hosts[2].queries > 0);
-    d.core.set_excluded({"m1"});
-    int before = d.hosts[1].queries;
+    REQUIRE(deployment.hosts[1].queries > 0);
+    REQUIRE(deployment.hosts[2].queries > 0);
+    deployment.core.set_excluded({"m1"});
+    int before = deployment.hosts[1].queries;
     Dice dice(3);
     for (int round = 0; round < 20; ++round) {
         switch (dice.below(5)) {
-            case 0:  // listed as ready, by a change
-                d.core.apply_endpoint_list(EndpointListKind::changes, {d.endpoint(1, EndpointState::ready)});
+            case 0:  // a change lists the host as ready
+                deployment.core.apply_endpoint_list(EndpointListKind::changes,
+                                                    {deployment.endpoint(1, EndpointState::ready)});
                 break;
-            case 1:  // by a whole list
-                d.core.apply_endpoint_list(EndpointListKind::full, {d.endpoint(0, EndpointState::ready),
-                                                                    d.endpoint(1, EndpointState::ready),
-                                                                    d.endpoint(2, EndpointState::ready)});
+            case 1:  // a full list has the host as ready
+                deployment.core.apply_endpoint_list(EndpointListKind::full,
+                                                    {deployment.endpoint(0, EndpointState::ready),
+                                                     deployment.endpoint(1, EndpointState::ready),
+                                                     deployment.endpoint(2, EndpointState::ready)});
                 break;
-            case 2:  // gone, left out, and back: restarted meanwhile
-                d.core.apply_endpoint_list(EndpointListKind::changes, {d.endpoint(1, EndpointState::gone)});
+            case 2:  // a change lists the host as gone
+                deployment.core.apply_endpoint_list(EndpointListKind::changes,
+                                                    {deployment.endpoint(1, EndpointState::gone)});
                 break;
-            case 3:
-                d.core.apply_endpoint_list(EndpointListKind::full, {d.endpoint(0, EndpointState::ready),
-                                                                    d.endpoint(2, EndpointState::ready)});
-                d.loop.settle();  // forgotten: nothing refers to it
+            case 3:  // a full list lacks the host
+                deployment.core.apply_endpoint_list(EndpointListKind::full,
+                                                    {deployment.endpoint(0, EndpointState::ready),
+                                                     deployment.endpoint(2, EndpointState::ready)});
+                deployment.loop.settle();  // the host is forgotten, because nothing refers to it
                 break;
             case 4:
-                d.core.set_excluded({"m1", "unknown"});
+                deployment.core.set_excluded({"m1", "unknown"});
                 break;
         }
         send_reads(4);
     }
-    CHECK(d.hosts[1].queries == before);
-    d.core.apply_endpoint_list(EndpointListKind::full,
-                               {d.endpoint(0, EndpointState::ready), d.endpoint(1, EndpointState::ready),
-                                d.endpoint(2, EndpointState::ready)});
+    CHECK(deployment.hosts[1].queries == before);
+    deployment.core.apply_endpoint_list(
+        EndpointListKind::full,
+        {deployment.endpoint(0, EndpointState::ready), deployment.endpoint(1, EndpointState::ready),
+         deployment.endpoint(2, EndpointState::ready)});
     send_reads(4);
-    CHECK(d.hosts[1].queries == before);
-    d.core.set_excluded({});
-    REQUIRE(d.loop.until([&] {  // once a probe has told its position
-        send_reads(1);
-        return d.hosts[1].queries > before;
-    }));
+    CHECK(deployment.hosts[1].queries == before);
+    deployment.core.set_excluded({});
+    REQUIRE(deployment.loop.until(
+        [&] {  // requests arrive again once a health check has reported the host's position
+            send_reads(1);
+            return deployment.hosts[1].queries > before;
+        }));
 }
 
-// A cold member gets part of its share; one that was put back is cold whatever its start was.
-TEST_CASE("a host that is put back counts as started just then") {
+// A host in slow start gets a part of its share. A readmitted host starts slowly whenever it was started.
+TEST_CASE("a readmitted host begins its slow start at the readmission") {
     auto queries = [](bool excluded_endpoints) {
-        auto s = settings();
-        s.slow_start_share = 0.1, s.slow_start_ramp = 1h;
-        PgDeployment d(64, s);
-        Client client(d.loop, d.pg.local());
+        auto slow_start_settings = settings();
+        slow_start_settings.slow_start_share = 0.1, slow_start_settings.slow_start_ramp = 1h;
+        PgDeployment deployment(64, slow_start_settings);
+        Client client(deployment.loop, deployment.pg.local());
         client.send(pg::Writer().startup("u", "d").take());
         client.reply();
         if (excluded_endpoints) {
-            d.core.set_excluded({"m1"});
-            d.loop.settle();
-            d.core.set_excluded({});
-            d.core.apply_endpoint_list(EndpointListKind::changes, {d.endpoint(1, EndpointState::ready)});
+            deployment.core.set_excluded({"m1"});
+            deployment.loop.settle();
+            deployment.core.set_excluded({});
+            deployment.core.apply_endpoint_list(EndpointListKind::changes,
+                                                {deployment.endpoint(1, EndpointState::ready)});
         }
         for (int i = 0; i < 200; ++i) {
             client.send(read(i));
             REQUIRE(client.reply() == "TDCZ");
         }
-        return d.hosts[1].queries;
+        return deployment.hosts[1].queries;
     };
     int warm = queries(false), cold = queries(true);
     CHECK(warm > 60);
@@ -208,61 +222,62 @@
     CHECK(cold < warm / 3);
 }
 
-TEST_CASE("clients sent away: checks say no, what comes is served, connections close, and all is undone") {
-    PgDeployment d;
+TEST_CASE(
+    "diverted clients: health checks fail, requests are served, connections close, and it can be undone") {
+    PgDeployment deployment;
     Dice dice(17);
-    auto start = [&](Client& c) {
-        c.send(pg::Writer().startup("u", "d").take());
-        c.reply();
+    auto start = [&](Client& client) {
+        client.send(pg::Writer().startup("u", "d").take());
+        client.reply();
     };
-    auto check = [&](Client& c) {
-        c.send(pg::Writer().query("").take());
-        return c.reply();
+    auto check = [&](Client& client) {
+        client.send(pg::Writer().query("").take());
+        return client.reply();
     };
     int id = 0;
     for (int round = 0; round < 6; ++round) {
-        Client idle(d.loop, d.pg.local()), busy(d.loop, d.pg.local());
+        Client idle(deployment.loop, deployment.pg.local()), busy(deployment.loop, deployment.pg.local());
         start(idle);
         start(busy);
         CHECK(check(idle) == "IZ");
-        d.pg.fail_checks();
+        deployment.pg.fail_checks();
         CHECK(check(idle) == "EZ");
         CHECK(idle.code == "57P03");
         idle.send(read(++id));
-        CHECK(idle.reply() == "TDCZ");  // it stays, and is served, until connections close
+        CHECK(idle.reply() == "TDCZ");  // the connection stays open and is served until close_idle()
         if (dice.below(2)) {
-            d.hosts[1].silent = d.hosts[2].silent = true;
+            deployment.hosts[1].silent = deployment.hosts[2].silent = true;
             busy.send(read(++id));
-            REQUIRE(d.loop.until([&] { return d.core.requests() == 1; }));
-            d.pg.close_idle();
-            REQUIRE(d.loop.until([&] { return idle.closed; }));
-            CHECK(!busy.closed);  // nothing that was taken is lost
-            d.hosts[1].silent = d.hosts[2].silent = false;
-            for (auto& server : d.servers) server->drop_all();
+            REQUIRE(deployment.loop.until([&] { return deployment.core.requests() == 1; }));
+            deployment.pg.close_idle();
+            REQUIRE(deployment.loop.until([&] { return idle.closed; }));
+            CHECK(!busy.closed);  // the connection with a request in flight stays open
+            deployment.hosts[1].silent = deployment.hosts[2].silent = false;
+            for (auto& server : deployment.servers) server->drop_all();
             CHECK(busy.reply() == "TDCZ");
         } else {
-            d.pg.close_idle();
+            deployment.pg.close_idle();
         }
-        REQUIRE(d.loop.until([&] { return idle.closed && busy.closed; }));
-        Client late(d.loop, d.pg.local());  // the listener stays
-        start(late);
-        CHECK(check(late) == "EZ");
-        late.send(read(++id));
-        CHECK(late.reply() == "TDCZ");
-        REQUIRE(d.loop.until([&] { return late.closed; }));
-        d.pg.welcome();
-        Client back(d.loop, d.pg.local());
-        start(back);
-        CHECK(check(back) == "IZ");
-        d.loop.settle();
-        CHECK(!back.closed);
-        CHECK(d.pg.connections() == 1);
+        REQUIRE(deployment.loop.until([&] { return idle.closed && busy.closed; }));
+        Client later_client(deployment.loop, deployment.pg.local());  // the listener still accepts
+        start(later_client);
+        CHECK(check(later_client) == "EZ");
+        later_client.send(read(++id));
+        CHECK(later_client.reply() == "TDCZ");
+        REQUIRE(deployment.loop.until([&] { return later_client.closed; }));
+        deployment.pg.welcome();
+        Client client_after_diversion(deployment.loop, deployment.pg.local());
+        start(client_after_diversion);
+        CHECK(check(client_after_diversion) == "IZ");
+        deployment.loop.settle();
+        CHECK(!client_after_diversion.closed);
+        CHECK(deployment.pg.connections() == 1);
     }
 }
 
 // ---- settings that change ----------------------------------------------------------------------
 
-json whole_file() {
+json complete_file() {
     return json::parse(
         R"({"name":"n3","listen":"127.0.0.1:5432","discovery":"127.0.0.1:85","seed":"1","known":{"targets":[]},
  "limits":{"cores":0.2,"memory_mb":48,"sockets":384},"settings":{"allowed":{"tryLimit":10,"probing":true},
@@ -271,65 +286,67 @@
             {"name":"scan","effect":"dedup","hardLimitMs":2000.0,"sloMs":600.0}]}})");
 }
 
-// Takes each key out in turn, wherever it stands; calls `then` with what is left.
-void without_each(json& part, const json& whole, const std::string& path,
-                  const std::function<void(const std::string&)>& then) {
-    if (part.is_array())
-        for (std::size_t i = 0; i < part.size(); ++i) without_each(part[i], whole, path + "[]", then);
-    if (!part.is_object()) return;
+// Removes one key after the other at every level of `section`, and calls `then` with the key's path each
+// time.
+void remove_each_key(json& section, const json& complete, const std::string& path,
+                     const std::function<void(const std::string&)>& then) {
+    if (section.is_array())
+        for (std::size_t i = 0; i < section.size(); ++i)
+            remove_each_key(section[i], complete, path + "[]", then);
+    if (!section.is_object()) return;
     std::vector<std::string> names;
-    for (auto& [name, value] : part.items()) names.push_back(name);
+    for (auto& [name, value] : section.items()) names.push_back(name);
     for (auto& name : names) {
-        json removed = part[name];
-        part.erase(name);
+        json removed = section[name];
+        section.erase(name);
         then(path + "." + name);
-        part[name] = removed;
-        without_each(part[name], whole, path + "." + name, then);
+        section[name] = removed;
+        remove_each_key(section[name], complete, path + "." + name, then);
     }
 }
 
-TEST_CASE("settings: nothing is taken from a file that is not whole") {
-    json file = whole_file();
-    auto old = program::parse_platform_config(file.dump());
+TEST_CASE("reload: a file that is truncated, lacks a key or has an invalid value is rejected") {
+    json file = complete_file();
+    auto old_config = program::parse_platform_config(file.dump());
     auto accepted = [&](const std::string& text) {
         try {
-            program::check_complete(program::parse_platform_config(text), old);
+            program::check_complete(program::parse_platform_config(text), old_config);
             return true;
         } catch (const program::ConfigError&) {
             return false;
         }
     };
     CHECK(accepted(file.dump()));
-    without_each(file, file, "", [&](const std::string& path) {
+    remove_each_key(file, file, "", [&](const std::string& path) {
         CAPTURE(path);
-        bool fleeting = path == ".known" || path == ".seed";
-        CHECK(accepted(file.dump()) == fleeting);
+        bool is_optional_key = path == ".known" || path == ".seed";
+        CHECK(accepted(file.dump()) == is_optional_key);
     });
     for (std::size_t length = 0; length < file.dump().size(); ++length)
         CHECK(!accepted(file.dump().substr(0, length)));
-    for (json bad : {json(0), json(-5), json("many"), json(nullptr), json(false)}) {
-        for (const char* at :
+    for (json invalid_value : {json(0), json(-5), json("many"), json(nullptr), json(false)}) {
+        for (const char* pointer :
              {"/settings/classes/1/hardLimitMs", "/settings/classes/0/sloMs", "/settings/allowed/tryLimit"}) {
             json malformed = file;
-            malformed[json::json_pointer(at)] = bad;
+            malformed[json::json_pointer(pointer)] = invalid_value;
             CHECK(!accepted(malformed.dump()));
         }
     }
-    json twice = file;
-    twice["settings"]["classes"][1]["name"] = "view";
-    CHECK(!accepted(twice.dump()));
-    json more = file;  // a class more, with no word on how new its data must be
-    more["settings"]["classes"].push_back(file["settings"]["classes"][0]);
-    more["settings"]["classes"][2]["name"] = "other";
-    CHECK(!accepted(more.dump()));
-    more["settings"]["familyInfo"]["consistency"].push_back("own_writes");
-    more["settings"]["familyInfo"]["oldestDataMs"].push_back(0.0);
-    CHECK(accepted(more.dump()));
+    json duplicate_name = file;
+    duplicate_name["settings"]["classes"][1]["name"] = "view";
+    CHECK(!accepted(duplicate_name.dump()));
+    json added_class = file;  // a further class without its entries in familyInfo
+    added_class["settings"]["classes"].push_back(file["settings"]["classes"][0]);
+    added_class["settings"]["classes"][2]["name"] = "other";
+    CHECK(!accepted(added_class.dump()));
+    added_class["settings"]["familyInfo"]["consistency"].push_back("own_writes");
+    added_class["settings"]["familyInfo"]["oldestDataMs"].push_back(0.0);
+    CHECK(accepted(added_class.dump()));
 }
 
-// A request in hand keeps its class and its number of attempts, wherever the new list has that class; one
-// that comes later has the new ones.
-TEST_CASE("the module: settings are swapped between two events, requests keep what they came with") {
+// A request in flight keeps its class and its number of attempts, even if the new settings give that class
+// another number. A request that arrives later has the new settings.
+TEST_CASE("routing policy: after a change of settings, requests in flight keep the old ones") {
     using namespace indigovane::policy;
     for (bool retuned : {false, true}) {
         Time now{100s};
@@ -339,41 +356,42 @@
         after.classes[2].idempotency = Idempotency::not_idempotent;
         RoutingPolicy policy(before, 3, now);
         Actions actions;
-        auto run = [&](const Event& e) {
+        auto handle_event = [&](const Event& event) {
             actions.clear();
-            policy.handle(now, e, actions);
+            policy.handle(now, event, actions);
         };
         EndpointList list{EndpointListKind::full, {}};
         list.entries.push_back({EndpointId{1}, GroupId{1}, ZoneId{}, EndpointState::ready, true, {}});
         for (std::uint32_t i : {2, 3})
             list.entries.push_back({EndpointId{i}, GroupId{1}, ZoneId{}, EndpointState::ready, false, {}});
-        run(list);
-        auto sends = [&] {
+        handle_event(list);
+        auto count_sends = [&] {
             return std::count_if(actions.begin(), actions.end(),
-                                 [](auto& a) { return std::holds_alternative<SendAttempt>(a); });
+                                 [](auto& action) { return std::holds_alternative<SendAttempt>(action); });
         };
         auto arrive = [&](std::uint64_t id, ClassId request_class) {
-            RequestArrival q;
-            q.id = RequestId{id}, q.request_class = request_class, q.group = GroupId{1},
-            q.client_timeout = 1s, q.session = SessionKey{1};
-            run(q);
+            RequestArrival arrival;
+            arrival.id = RequestId{id}, arrival.request_class = request_class, arrival.group = GroupId{1},
+            arrival.client_timeout = 1s, arrival.session = SessionKey{1};
+            handle_event(arrival);
         };
         auto fail = [&](std::uint64_t id, EndpointId endpoint, std::uint32_t attempt) {
-            AttemptOutcome o;
-            o.id = RequestId{id}, o.attempt = attempt, o.endpoint = endpoint, o.status = AttemptStatus::error;
-            run(o);
+            AttemptOutcome outcome;
+            outcome.id = RequestId{id}, outcome.attempt = attempt, outcome.endpoint = endpoint,
+            outcome.status = AttemptStatus::error;
+            handle_event(outcome);
         };
-        arrive(1, ClassId{2});  // a keyed write
-        REQUIRE(sends() == 1);
+        arrive(1, ClassId{2});  // a write with an idempotency key
+        REQUIRE(count_sends() == 1);
         if (retuned) {
-            run(SettingsChanged{after, {ClassId{2}, ClassId{1}, std::nullopt}});
-            arrive(2, ClassId{0});  // the same class by its new place
-            REQUIRE(sends() == 1);
+            handle_event(SettingsChanged{after, {ClassId{2}, ClassId{1}, std::nullopt}});
+            arrive(2, ClassId{0});  // the same class by its new number
+            REQUIRE(count_sends() == 1);
             fail(2, EndpointId{1}, 0);
-            CHECK(sends() == 0);  // one attempt is all
+            CHECK(count_sends() == 0);  // the new settings allow one attempt
         }
         fail(1, EndpointId{1}, 0);
-        CHECK(sends() == 1);  // keyed yet, with attempts left
+        CHECK(count_sends() == 1);  // still with an idempotency key, and with attempts left
     }
 }
 
--- a/tests/program/phase_test.cpp
+++ b/tests/program/phase_test.cpp
@@ -1,4 +1,4 @@
-// The phases of the process: which may follow which, and what enter() does.
+// The phases of the process: the table of legal transitions, and PhaseMachine::enter().
 #include "program/phase.hpp"
 
 #include <doctest/doctest.h>
@@ -11,39 +11,39 @@
 
 using program::Phase;
 
-constexpr Phase kAll[] = {Phase::starting,       Phase::inheriting,   Phase::serving,   Phase::reloading,
-                          Phase::failing_checks, Phase::closing_idle, Phase::lingering, Phase::handing_over,
-                          Phase::draining,       Phase::stopped};
+constexpr Phase kAllPhases[] = {
+    Phase::starting,     Phase::inheriting, Phase::serving,      Phase::reloading, Phase::failing_checks,
+    Phase::closing_idle, Phase::lingering,  Phase::handing_over, Phase::draining,  Phase::stopped};
 
-struct PhaseLog : routing::Logger {
+struct RecordingLogger : routing::Logger {
     void log(routing::Level, const char* id, const std::string& text, const Data&) override {
         lines.push_back(std::string(id) + " " + text);
     }
     std::vector<std::string> lines;
 };
 
-TEST_CASE("phases: each is reached from the start, and each leads to the end") {
-    for (Phase phase : kAll) {
-        int ways_in = 0;
-        int ways_out = 0;
-        for (Phase other : kAll) {
-            ways_in += program::is_legal_transition(other, phase);
-            ways_out += program::is_legal_transition(phase, other);
+TEST_CASE("phases: every phase but the first has a predecessor, and every phase but the last a successor") {
+    for (Phase phase : kAllPhases) {
+        int incoming_transitions = 0;
+        int outgoing_transitions = 0;
+        for (Phase other : kAllPhases) {
+            incoming_transitions += program::is_legal_transition(other, phase);
+            outgoing_transitions += program::is_legal_transition(phase, other);
         }
-        CHECK((ways_in > 0) == (phase != Phase::starting));
-        CHECK((ways_out > 0) == (phase != Phase::stopped));
+        CHECK((incoming_transitions > 0) == (phase != Phase::starting));
+        CHECK((outgoing_transitions > 0) == (phase != Phase::stopped));
         CHECK(!program::is_legal_transition(phase, phase));
     }
 }
 
-TEST_CASE("phases: a process that stops never serves again") {
+TEST_CASE("phases: no transition leads from a stopping phase back to a serving one") {
     for (Phase stopping : {Phase::lingering, Phase::handing_over, Phase::draining, Phase::stopped})
         for (Phase regular : {Phase::serving, Phase::reloading, Phase::failing_checks, Phase::closing_idle})
             CHECK(!program::is_legal_transition(stopping, regular));
 }
 
-TEST_CASE("phases: each change is logged, and one that is not in the table is counted") {
-    PhaseLog log;
+TEST_CASE("phases: each transition is logged, and one that is not in the table is counted") {
+    RecordingLogger log;
     program::PhaseMachine phases(log);
     phases.enter(Phase::serving);
     phases.enter(Phase::failing_checks);
--- a/tests/program/program_test.sh
+++ b/tests/program/program_test.sh
@@ -1,13 +1,13 @@
 #!/bin/bash
-# Starts the programs of deploy/balancer.toml as a person would: PROGRAM ADAPTER.
-# No answer is timed; the limits only end what hangs.
+# Runs the programs of deploy/balancer.toml from the command line. Arguments: PROGRAM ADAPTER.
+# No response time is checked; the time limits only end a program that hangs.
 set -u
 program=$1 adapter=$2
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 fail() { echo "FAILED: $*"; cat "$work"/* 2>/dev/null; exit 1; }
 
-# The adapter answers an empty batch and ends with its input.
+# The adapter answers an empty batch and exits at the end of its input.
 [ "$(printf 'SYNC timeMs=1.0 frame=1\nOVER_TO_YOU\n\n' | "$adapter")" = "EOR frame=1" ] || fail "adapter"
 
 cat > "$work/config.json" <<'J'
@@ -18,7 +18,7 @@
 J
 echo '{"enabled":true,"listen":"127.0.0.1:0"}' > "$work/rest.json"
 
-expect() {  # expect STATUS TEXT COMMAND...: the exit status, and words on standard output or error
+expect() {  # expect STATUS TEXT COMMAND...: COMMAND exits with STATUS and prints TEXT to standard output or error
     local status=$1 text=$2 got out
     shift 2
     out=$("$@" 2>&1)
@@ -42,7 +42,7 @@
 expect 0 "REST front off" "$program" check-config --config "$work/config.json"
 expect 0 "1 zones watched" "$program" check-config --config "$work/config.json" --sites "$(dirname "$0")/../../deploy/sites.toml"
 
-# Statements from standard input: one line of JSON each, whatever comes.
+# Each statement from standard input gives one line of JSON, even an invalid one.
 got=$(printf 'SELECT 1\nSELECT nextval(1)\nSELECT "broken\n' | "$program" shapes classify | cut -d, -f2,3 | tr '\n' ' ')
 [ "$got" = '"kind":"read","route":"replica" "kind":"write","route":"primary" "kind":"invalid","route":"refuse" ' ] ||
     fail "shapes classify said $got"
@@ -50,22 +50,23 @@
 expect 1 "rules.toml:2:8: name" "$program" shapes explain --rules "$work/rules.toml" "SELECT 1"
 expect 2 "shapes classify" "$program" shapes
 
-# The one list of packages: what the platform installs is what packages.txt says a build needs.
+# deploy/balancer.toml must name every package that packages.txt lists for a build.
 here=$(dirname "$0")/../..
 for p in $(awk '$1 == "build" && $2 !~ /^(g\+\+|cmake|make)$/ {print $2}' "$here/packages.txt"); do
     grep -q "^packages.*\"$p\"" "$here/deploy/balancer.toml" || fail "deploy/balancer.toml lacks $p"
 done
 
-# The store's commands: what load takes, dump gives; a torn tail is 3, damage 4, and neither is written to.
+# The store commands: dump prints the records that load has read. verify exits with 3 for a torn tail and with 4 for
+# damage. A damaged store is not written to.
 printf '{"space":"hosts","key":"s-9","value":"out"}\n{"space":"positions","key":"00000000000000ff","value":{"commit_us":5,"open":false}}\n' > "$work/lines"
 "$program" store load "$work/kept" < "$work/lines" > /dev/null || fail "store load"
-"$program" store dump "$work/kept" | sed 's/,"sequence":[0-9]*//' | sort | cmp -s - <(sort "$work/lines") || fail "store dump gives other than was loaded"
+"$program" store dump "$work/kept" | sed 's/,"sequence":[0-9]*//' | sort | cmp -s - <(sort "$work/lines") || fail "store dump differs from the loaded records"
 expect 0 "s-9" "$program" store get "$work/kept" hosts s-9
 expect 1 "no such key" "$program" store get "$work/kept" hosts s-8
 expect 0 '"live_records": 2' "$program" store stat "$work/kept"
 expect 0 "whole" "$program" store verify "$work/kept"
 printf '{"space":"hosts","key":"s-1","value":"out"}\n{"space":"nowhere"}\n' > "$work/lines"
-"$program" store load "$work/kept" < "$work/lines" > "$work/out" 2>&1 && fail "store load took a bad line"
+"$program" store load "$work/kept" < "$work/lines" > "$work/out" 2>&1 && fail "store load accepted a malformed line"
 grep -q "line 2: space" "$work/out" || fail "store load did not name the line"
 expect 1 "no such key" "$program" store get "$work/kept" hosts s-1
 expect 0 "2 records" "$program" store compact "$work/kept"
@@ -79,41 +80,42 @@
 expect 1 "damaged" "$program" store compact "$work/kept"
 [ "$before" = "$(cat "$work"/kept/* | cksum)" ] || fail "a damaged store was written to"
 expect 2 "store dump" "$program" store shake "$work/kept"
-# A store that version 789d1a3 wrote, with a record of every space, reads as it did there.
+# A store that version 789d1a3 wrote, with a record of every space, must give the records that it gave to that version.
 cp -r "$here/tests/corpus/store-of-789d1a3" "$work/earlier"
 expect 0 "whole: 8 records" "$program" store verify "$work/earlier"
-"$program" store dump "$work/earlier" | cmp -s - "$here/tests/corpus/store-of-789d1a3.jsonl" || fail "an earlier version's store reads otherwise"
+"$program" store dump "$work/earlier" | cmp -s - "$here/tests/corpus/store-of-789d1a3.jsonl" || fail "the records of an earlier version's store differ"
 rm -r "$work/kept"
 
 export TMPDIR="$work/scratch"
 mkdir "$TMPDIR" "$work/disk"
-# A SIGHUP that comes while the configuration is being read: it is read again, and nothing ends.
+# A SIGHUP that arrives while the configuration is being read must not end the process: the configuration is read
+# again.
 mkfifo "$work/fifo"
-: > "$work/log"  # at once: what the process before said is not read for this one
+: > "$work/log"  # cleared here, so that lines of the previous process are not read as lines of the next one
 "$program" serve --config "$work/fifo" > "$work/log" 2>&1 &
 pid=$!
-exec 5> "$work/fifo"  # opens once the program has opened it, and it reads until this is closed
+exec 5> "$work/fifo"  # blocks until the program has opened the fifo; the program reads until descriptor 5 is closed
 kill -HUP $pid
 cat "$work/config.json" >&5
 exec 5>&-
-# It has read the first by then: a second writer before that would write to the same reading.
+# Once the program serves, it has finished its first read. An earlier second writer would write into that read.
 for _ in $(seq 400); do grep -q "phase.*serving" "$work/log" && break; sleep 0.05; done
-timeout 20 sh -c "cat '$work/config.json' > '$work/fifo'" || fail "a SIGHUP during the start was forgotten"
+timeout 20 sh -c "cat '$work/config.json' > '$work/fifo'" || fail "a SIGHUP during the start was lost"
 for _ in $(seq 400); do grep -q "reload.*read again" "$work/log" && break; sleep 0.05; done
-grep -q "reload.*read again" "$work/log" || fail "a SIGHUP during the start was not followed"
+grep -q "reload.*read again" "$work/log" || fail "a SIGHUP during the start did not reload the configuration"
 kill -TERM $pid
-wait $pid || fail "it ended with an error after an early SIGHUP"
+wait $pid || fail "the process exited with an error after an early SIGHUP"
 rm -f "$TMPDIR"/t1.*
 printf '[store]\nfolder = "%s"\n' "$work/disk" > "$work/store.toml"
-# A process that is killed, and whose scratch is lost: who was taken out is known to the next.
-: > "$work/log"  # at once: what the process before said is not read for this one
+# A process is killed and its scratch folder is lost: the next process still excludes the same hosts.
+: > "$work/log"  # cleared here, so that lines of the previous process are not read as lines of the next one
 "$program" serve --config "$work/config.json" --store "$work/store.toml" > "$work/log" 2>&1 &
 pid=$!
-said() {  # said TEXT: the log comes to hold it
+said() {  # said TEXT: waits until the log has TEXT
     for _ in $(seq 400); do grep -q "$1" "$work/log" && return; sleep 0.05; done
-    fail "it never said '$1'"
+    fail "the log never had '$1'"
 }
-call() {  # call LINE ANSWER: at the control address, its port from the log
+call() {  # call LINE ANSWER: sends LINE to the control address, whose port is in the log; the reply begins with ANSWER
     local port got
     port=$(sed -n 's/.*listening.*front="control" at="127.0.0.1:\([0-9]*\)".*/\1/p' "$work/log")
     exec 4<>"/dev/tcp/127.0.0.1/$port" || fail "the control address does not listen"
@@ -127,15 +129,15 @@
 kill -KILL $pid
 wait $pid 2>/dev/null
 rm -f "$TMPDIR"/t1.down
-: > "$work/log"  # at once: what the process before said is not read for this one
+: > "$work/log"  # cleared here, so that lines of the previous process are not read as lines of the next one
 "$program" serve --config "$work/config.json" --store "$work/store.toml" > "$work/log" 2>&1 &
 pid=$!
 said 'phase.*serving'
-grep -qx s-1 "$TMPDIR/t1.down" || fail "the store forgot who was taken out"
+grep -qx s-1 "$TMPDIR/t1.down" || fail "the store lost an excluded host"
 call "set-up s-1" "+OK in use"
 expect 1 "another process" "$program" store dump "$work/disk"
 kill -TERM $pid
-wait $pid || fail "it ended with an error"
+wait $pid || fail "the process exited with an error"
 grep -q "store.*closed" "$work/log" || fail "the store was not closed"
 expect 0 "whole" "$program" store verify "$work/disk"
 rm -f "$TMPDIR"/t1.*
@@ -150,11 +152,11 @@
 expect 0 "route     replica" "$program" shapes explain --rules "$here/deploy/statements.toml" "SELECT 1"
 printf '[statements]\nread_class = "nobody"\n' > "$work/other.toml"
 expect 1 "no class 'nobody'" "$program" check-config --config "$work/config.json" --statements "$work/other.toml"
-: > "$work/log"  # at once: what the process before said is not read for this one
+: > "$work/log"  # cleared here, so that lines of the previous process are not read as lines of the next one
 "$program" serve --config "$work/config.json" --rest "$work/rest.json" --statements "$work/statements.toml" > "$work/log" 2>&1 &
 pid=$!
 for _ in $(seq 400); do grep -q "phase.*serving" "$work/log" && break; sleep 0.05; done
-grep -q "phase.*serving" "$work/log" || fail "it never served"
+grep -q "phase.*serving" "$work/log" || fail "the process never served"
 port=$(sed -n 's/.*listening.*front="rest" at="127.0.0.1:\([0-9]*\)".*/\1/p' "$work/log")
 exec 3<>"/dev/tcp/127.0.0.1/$port" || fail "the REST front does not listen"
 printf 'GET /health HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n' >&3
@@ -163,10 +165,10 @@
 call check "+OK serving"
 call "set-down s-2" "-ERR"
 call "set-down s-1" "+OK"
-grep -qx s-1 "$TMPDIR/t1.down" || fail "what is taken out is not stored"
+grep -qx s-1 "$TMPDIR/t1.down" || fail "an excluded host is not stored"
 call "set-down s-1" "+OK"
 call "set-up s-1" "+OK"
-grep -q s-1 "$TMPDIR/t1.down" && fail "what is put back is still stored"
+grep -q s-1 "$TMPDIR/t1.down" && fail "a readmitted host is still stored as excluded"
 call shapes "+OK ["
 call "shapes many" "-ERR"
 call drain-on "+OK"
@@ -176,7 +178,7 @@
 call "check" "+OK"
 call "no-such-call" "-ERR"
 
-# SIGHUP: a bad file changes nothing, a good one moves to its discovery; neither ends the program.
+# SIGHUP: an invalid file changes nothing, a valid one changes the discovery service; neither ends the program.
 cp "$work/config.json" "$work/first.json"
 echo '{"listen":' > "$work/config.json"
 kill -HUP $pid
@@ -195,37 +197,37 @@
 said 'reload.*classes="2"'
 said 'take effect at the next start'
 said 'phase.*reloading'
-# A second process beside it: it inherits the listener, and the first ends once its clients have gone over.
+# An upgrade: a second process inherits the listener, and the first one exits once its clients are handed over.
 "$program" serve --config "$work/config.json" --rest "$work/rest.json" --statements "$work/statements.toml" > "$work/log2" 2>&1 &
-heir=$!
+successor=$!
 for _ in $(seq 400); do grep -q "phase.*serving" "$work/log2" && break; sleep 0.05; done
-grep -q "phase.*inheriting" "$work/log2" || fail "the second process found no first one"
+grep -q "phase.*inheriting" "$work/log2" || fail "the second process did not find the first one"
 said 'another process serves as well'
 exec 3<>"/dev/tcp/127.0.0.1/$port"
 printf 'GET /health HTTP/1.1\r\n' >&3
 sleep 0.1
 kill -TERM $pid
 wait $pid
-[ $? = 0 ] || fail "the first process ended with an error"
+[ $? = 0 ] || fail "the first process exited with an error"
 printf 'Host: h\r\nConnection: close\r\n\r\n' >&3
-grep -q '"serving"' <&3 || fail "a client's connection did not go on at the second process"
+grep -q '"serving"' <&3 || fail "a client's connection did not continue at the second process"
 exec 3>&-
-grep -q 'phase.*handing over' "$work/log" || fail "the first process handed nothing over"
-pid=$heir
+grep -q 'phase.*handing over' "$work/log" || fail "the first process did not hand over"
+pid=$successor
 mv "$work/log2" "$work/log"
 call check "+OK serving"
-# Stopping takes its time with a client that is in the middle of something, but no processor: half a second of it
-# would be a loop that wakes itself.
+# While a client with an incomplete request delays the stop, the process must not use the processor: half a second of
+# processor time would mean a loop that wakes itself.
 exec 3<>"/dev/tcp/127.0.0.1/$port"
 printf 'GET /health HTTP/1.1\r\n' >&3
 kill -TERM $pid
 said 'phase.*draining'
 sleep 1
 ticks=$(awk '{print $14 + $15}' /proc/$pid/stat 2>/dev/null)
-[ "${ticks:-0}" -lt 50 ] || fail "it used $ticks ticks of the processor while it stopped"
+[ "${ticks:-0}" -lt 50 ] || fail "the process used $ticks ticks of processor time while it stopped"
 exec 3>&-
 wait $pid
 status=$?
-[ $status = 0 ] || fail "it ended with $status after SIGTERM"
-grep -q "phase.*stopped" "$work/log" || fail "it skipped a phase"
+[ $status = 0 ] || fail "the process exited with $status after SIGTERM"
+grep -q "phase.*stopped" "$work/log" || fail "the phase 'stopped' was skipped"
 echo "1 passed, 0 failed"
--- a/tests/program/resource_budget_test.cpp
+++ b/tests/program/resource_budget_test.cpp
@@ -1,4 +1,4 @@
-// How descriptors and memory are divided.
+// The division of descriptors and memory among clients, hosts and requests.
 #include "program/resource_budget.hpp"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
     return config;
 }
 
-TEST_CASE("budget: all descriptors are given out, and no more than there are") {
+TEST_CASE("budget: the parts of the descriptors add up to the configured number") {
     for (bool rest : {false, true})
         for (bool control : {false, true}) {
             program::Config config = config_with(1024);
@@ -27,7 +27,7 @@
         }
 }
 
-TEST_CASE("budget: memory is divided by fixed shares, what is unread among the fronts that are on") {
+TEST_CASE("budget: memory is divided by fixed shares, and the unread bytes among the fronts that are on") {
     program::Config config = config_with(1024);
     program::ResourceBudget budget = program::make_resource_budget(config);
     CHECK(budget.core.bytes == (25u << 20));
@@ -37,7 +37,7 @@
     CHECK(program::make_resource_budget(config).unread_bytes == (10u << 20));
 }
 
-TEST_CASE("budget: too few descriptors for the fronts that are on end the start") {
+TEST_CASE("budget: too few descriptors for the fronts that are on are a configuration error") {
     CHECK_THROWS_AS(program::make_resource_budget(config_with(63)), program::ConfigError);
     CHECK(program::make_resource_budget(config_with(64)).pg_clients == 17);
 }
--- a/tests/program/services_test.cpp
+++ b/tests/program/services_test.cpp
@@ -1,4 +1,5 @@
-// What stands beside the requests: discovery's watch, the syslog sink, the configuration, the module's holds.
+// Services beside the requests: the discovery client, the syslog sink, the log and the configuration; also
+// rules of the core and of the routing policy.
 #include "adapters/pg_backend.hpp"
 #include "adapters/syslog_sink.hpp"
 #include "program/config.hpp"
@@ -14,7 +15,7 @@
 
 namespace syslog = protocol::syslog;
 
-TEST_CASE("the list is fetched, then watched, through silence, resets and nonsense") {
+TEST_CASE("discovery: the list is fetched, then watched, despite silence, resets and malformed responses") {
     Loop loop;
     NullLogger logger;
     routing::Clock clock;
@@ -22,40 +23,46 @@
     Agent agent(loop, host);
     adapters::PgBackend backend(loop.io);
     routing::LoopCore core(loop.io, clock, settings(), 1, {}, backend, logger);
-    routing::DiscoveryClient catalog(loop.io, *transport::parse_socket_address(agent.address()), {"a"}, core,
-                                     logger,
-                                     {.hold = 10ms,
-                                      .slack = 30ms,
-                                      .whole = 30ms,
-                                      .retry = 1ms,
-                                      .again = 1ms,
-                                      .retry_most = 2ms,
-                                      .connect = 5s});
+    routing::DiscoveryClient discovery_client(loop.io, *transport::parse_socket_address(agent.address()),
+                                              {"a"}, core, logger,
+                                              {.hold = 10ms,
+                                               .slack = 30ms,
+                                               .whole = 30ms,
+                                               .retry = 1ms,
+                                               .again = 1ms,
+                                               .retry_most = 2ms,
+                                               .connect = 5s});
     loop.batch = [&] { core.run_batch(); };
     agent.replies = {
         Agent::reply(
             R"({"rev":41,"all":true,"targets":[{"uid":"m","endpoint":"127.0.0.1:9","az":"a","pod_group":3,"state":"ready"},{"endpoint":"x"}]})"),
         Agent::reply(R"({"rev":43,"all":false,"targets":[]})"),
         "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", "nonsense\r\n\r\n", Agent::reply("{\"rev\":")};
-    catalog.follow();
-    auto requested = [&](std::size_t n) { return loop.until([&] { return host.asked.size() >= n; }); };
-    REQUIRE(requested(3));
+    discovery_client.follow();
+    auto wait_for_requests = [&](std::size_t count) {
+        return loop.until([&] { return host.asked.size() >= count; });
+    };
+    REQUIRE(wait_for_requests(3));
     CHECK(host.asked[0] == "/catalog/members");
     CHECK(host.asked[1] == "/catalog/members?from=41&hold_ms=10");
     CHECK(host.asked[2] == "/catalog/members?from=43&hold_ms=10");
-    REQUIRE(requested(6));
-    CHECK(host.asked[4] == "/catalog/members?from=43&hold_ms=0");  // it goes on from what it has, at once
-    CHECK(host.asked[5] == "/catalog/members");  // after a list that can't be read, from the start
-    REQUIRE(requested(8));                       // silence is given up
+    REQUIRE(wait_for_requests(6));
+    // After a malformed response the watch continues at once from the last revision.
+    CHECK(host.asked[4] == "/catalog/members?from=43&hold_ms=0");
+    // After a malformed list the whole list is fetched again.
+    CHECK(host.asked[5] == "/catalog/members");
+    REQUIRE(wait_for_requests(8));  // a call without a response is given up
     agent.drop_all();
-    REQUIRE(requested(9));  // and so is a reset
-    CHECK(catalog.has_complete_list());
+    REQUIRE(wait_for_requests(9));  // after a reset the client asks again
+    CHECK(discovery_client.has_complete_list());
 }
 
+// If all poolers fetched whole lists, or retried at once after an error, they would overload the discovery
+// service that they share.
 TEST_CASE(
-    "a discovery that all poolers share is asked for what is new, and ever less often where it refuses") {
+    "discovery: polled by all poolers, it is asked only for changes, with growing delays after errors") {
     auto shared = routing::WatchSchedule::shared(48);
-    CHECK(shared.again == 1800ms);  // spread over all that the term of 6 s leaves
+    CHECK(shared.again == 1800ms);  // the calls are spread over the rest of the 6 s term
     CHECK(shared.from_known);
     for (std::uint64_t seed : {1, 2}) {
         Loop loop;
@@ -67,27 +74,29 @@
         routing::LoopCore core(loop.io, clock, settings(), 1, {}, backend, logger);
         routing::DiscoveryClient::Timing timing = shared;
         timing.again = 40ms, timing.retry = 0ms, timing.retry_most = 80ms;
-        routing::DiscoveryClient catalog(loop.io, *transport::parse_socket_address(agent.address()), {"a"},
-                                         core, logger, timing, seed);
+        routing::DiscoveryClient discovery_client(loop.io, *transport::parse_socket_address(agent.address()),
+                                                  {"a"}, core, logger, timing, seed);
         loop.batch = [&] { core.run_batch(); };
-        catalog.seed({41, true, {}});
+        discovery_client.seed({41, true, {}});
         std::string refusal = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
         agent.replies = {Agent::reply(R"({"rev":43,"all":false,"targets":[]})"), refusal, refusal, refusal,
                          refusal};
-        auto began = std::chrono::steady_clock::now();
-        catalog.follow();
+        auto started = std::chrono::steady_clock::now();
+        discovery_client.follow();
         REQUIRE(loop.until([&] { return host.asked.size() >= 3; }));
-        CHECK(host.asked[0] == "/catalog/members?from=41&hold_ms=2500");  // not the whole list
-        CHECK(host.asked[2] == "/catalog/members?from=43&hold_ms=2500");  // a watch is taken up again at once
-        CHECK(catalog.has_complete_list());
+        CHECK(host.asked[0] == "/catalog/members?from=41&hold_ms=2500");  // only changes, not the whole list
+        // The watch continues without a delay.
+        CHECK(host.asked[2] == "/catalog/members?from=43&hold_ms=2500");
+        CHECK(discovery_client.has_complete_list());
         REQUIRE(loop.until([&] { return host.asked.size() >= 5; }));
-        // Two waits of 40 and 80 ms, each half as long at least: a machine's slowness only adds to that.
-        CHECK(std::chrono::steady_clock::now() - began >= 60ms);
+        // Two delays of 40 and 80 ms, each at least half as long. A slow machine only makes them longer.
+        CHECK(std::chrono::steady_clock::now() - started >= 60ms);
     }
 }
 
-// What stands for the catalog's connection: where it goes, and whether that address has told its list.
-TEST_CASE("a new address of discovery is asked for its whole list at once, whatever the watch is doing") {
+// The address moves at random between two discovery services while calls are pending. Guards against a watch
+// that continues at the old address, or from the old address's revision.
+TEST_CASE("discovery: a new address is asked for its whole list at once, in every state of the watch") {
     Dice dice(31);
     for (int round = 0; round < 20; ++round) {
         Loop loop;
@@ -99,37 +108,37 @@
                                           *transport::parse_socket_address(agents[1].address())};
         adapters::PgBackend backend(loop.io);
         routing::LoopCore core(loop.io, clock, settings(), 1, {}, backend, logger);
-        routing::DiscoveryClient catalog(loop.io, at[0], {"a"}, core, logger,
-                                         {.hold = 2ms,
-                                          .slack = 20ms,
-                                          .whole = 20ms,
-                                          .retry = 1ms,
-                                          .again = 1ms,
-                                          .retry_most = 2ms,
-                                          .connect = 5s});
+        routing::DiscoveryClient discovery_client(loop.io, at[0], {"a"}, core, logger,
+                                                  {.hold = 2ms,
+                                                   .slack = 20ms,
+                                                   .whole = 20ms,
+                                                   .retry = 1ms,
+                                                   .again = 1ms,
+                                                   .retry_most = 2ms,
+                                                   .connect = 5s});
         loop.batch = [&] { core.run_batch(); };
-        catalog.follow();
+        discovery_client.follow();
         int now = 0, revision[2] = {100, 900};
         for (int step = 0; step < 40; ++step) {
             auto& asked = hosts[now].asked;
             switch (dice.below(5)) {
-                case 0: {  // the address moves: in a call, in a pause, while connecting, twice in a row
+                case 0: {  // the address moves: during a call, a delay or a connect, or twice in a row
                     std::size_t before = hosts[now = 1 - now].asked.size();
                     agents[now].replies.clear();
-                    catalog.move_to(at[now]);
-                    CHECK(!catalog.has_complete_list());
+                    discovery_client.move_to(at[now]);
+                    CHECK(!discovery_client.has_complete_list());
                     if (dice.below(3) == 0) break;
                     REQUIRE(loop.until([&] { return hosts[now].asked.size() > before; }));
                     CHECK(hosts[now].asked[before] == "/catalog/members");
                     break;
                 }
-                case 1:  // the same address: the watch goes on
-                    catalog.move_to(at[now]);
+                case 1:  // the same address is set again: the watch continues
+                    discovery_client.move_to(at[now]);
                     break;
-                case 2: {  // its list is told, and watched from there
+                case 2: {  // the service sends its list, and the watch continues from there
                     std::string rev = std::to_string(++revision[now]);
                     auto has_list = [&] {
-                        // Told again where a call was given up just before: that depends on the machine.
+                        // Sends the list again if the previous call timed out, which depends on the machine.
                         if (agents[now].replies.empty())
                             agents[now].replies = {
                                 Agent::reply(R"({"rev":)" + rev + R"(,"all":true,"targets":[]})")};
@@ -137,7 +146,7 @@
                                asked.back() == "/catalog/members?from=" + rev + "&hold_ms=2";
                     };
                     REQUIRE(loop.until(has_list));
-                    CHECK(catalog.has_complete_list());
+                    CHECK(discovery_client.has_complete_list());
                     agents[now].replies.clear();
                     break;
                 }
@@ -148,12 +157,12 @@
                     loop.settle();
                     break;
             }
-            agents[1 - now].drop_all();  // the old one closes what it has left
+            agents[1 - now].drop_all();  // the old service closes its connections
         }
     }
 }
 
-TEST_CASE("lists: what is not known is passed over, what is no list is refused") {
+TEST_CASE("endpoint lists: unknown keys and entries are ignored, a malformed list is an error") {
     auto list = routing::read_endpoint_listing(
         json::parse(
             R"({"rev":2,"all":true,"new":1,"targets":[{"uid":"a","state":"draining","az":"z","recovery":"off","boot_ms":17.5},{"uid":"b","state":"gone"},7]})"),
@@ -164,38 +173,38 @@
     CHECK(list.members[0].zone == 1);
     CHECK(list.members[0].boot_unix_ms == 17);
     CHECK(list.members[1].state == policy::EndpointState::gone);
-    for (const char* bad :
+    for (const char* invalid_text :
          {"[]", "{}", R"({"targets":1})", R"({"targets":[{"uid":1}]})", R"({"rev":"x","targets":[]})"})
-        CHECK_THROWS_AS(routing::read_endpoint_listing(json::parse(bad), {}), std::runtime_error);
+        CHECK_THROWS_AS(routing::read_endpoint_listing(json::parse(invalid_text), {}), std::runtime_error);
 }
 
-struct Collector : StandIn {
+struct SyslogCollector : StandIn {
     using StandIn::StandIn;
-    bool take(Peer&, transport::Buffer& in, std::string&) override {
-        std::string_view m;
+    bool take(Peer&, transport::Buffer& input, std::string&) override {
+        std::string_view message;
         std::size_t length = 0;
-        if (syslog::next_frame(in.view(), 65536, m, length) != syslog::Next::message) return false;
-        if (auto line = syslog::read(m)) lines.push_back(*line);
-        in.consume(length);
+        if (syslog::next_frame(input.view(), 65536, message, length) != syslog::Next::message) return false;
+        if (auto line = syslog::read(message)) lines.push_back(*line);
+        input.consume(length);
         return true;
     }
     std::vector<syslog::Message> lines;
 };
 
-TEST_CASE("log lines reach a syslog collector as they were, also after it was away") {
+TEST_CASE("log: lines reach the syslog collector unchanged, also after it has closed the connection") {
     Loop loop;
     Host host;
-    Collector collector(loop, host);
+    SyslogCollector collector(loop, host);
     adapters::SyslogSink sink(loop.io, *transport::parse_socket_address(collector.address()), 1ms);
-    std::vector<std::string> out;
+    std::vector<std::string> lines_written;
     program::Log log("n1", "7", [&](const std::string& line) {
-        out.push_back(line);
+        lines_written.push_back(line);
         return true;
     });
     log.set_second_sink([&](const std::string& line) { sink.send(line); });
     log.log(routing::Level::error, "first", "a \"quoted\" ]text", {{"key", "v\"]\\"}});
     REQUIRE(loop.until([&] { return collector.lines.size() == 1; }));
-    CHECK(collector.lines[0] == *syslog::read(out.at(0)));
+    CHECK(collector.lines[0] == *syslog::read(lines_written.at(0)));
     CHECK(collector.lines[0].data[0].parameters[0].second == "v\"]\\");
     CHECK(collector.lines[0].severity == syslog::Severity::error);
     collector.drop_all();
@@ -203,19 +212,19 @@
     log.log(routing::Level::info, "second", "b", {});
     REQUIRE(loop.until([&] { return collector.lines.size() == 2; }));
     for (int i = 0; i < 5000; ++i) log.log(routing::Level::info, "many", "c", {});
-    CHECK(out.size() < 200);  // a flood is cut
+    CHECK(lines_written.size() < 200);  // the lines of one message id are limited
     for (std::size_t i = 0; i < 2 * adapters::SyslogSink::kQueued; ++i) sink.send("x");
     CHECK(sink.dropped() > 0);
 }
 
-TEST_CASE("a log whose reader stalls holds nothing up, and is told what it has missed") {
+TEST_CASE("log: a reader that stalls does not block the process, and later gets the number of lost lines") {
     int pipe[2];
     REQUIRE(::pipe(pipe) == 0);
     program::LogOutput output(pipe[1]);
     program::Log log("n1", "7", [&](const std::string& line) { return output.write_line(line); });
     const std::string long_text(2000, 'x');
-    for (int kind = 0; kind < 100; ++kind)  // far more than a pipe holds
-        log.log(routing::Level::info, ("kind" + std::to_string(kind)).c_str(), long_text, {});
+    for (int number = 0; number < 100; ++number)  // many more bytes than a pipe can hold
+        log.log(routing::Level::info, ("kind" + std::to_string(number)).c_str(), long_text, {});
     std::string read(1 << 20, '\0');
     CHECK(::read(pipe[0], read.data(), read.size()) > 4096);
     log.log(routing::Level::info, "after", "the reader is back", {});
@@ -233,107 +242,109 @@
  "familyInfo":{"consistency":["recent","own_writes","update"],"oldestDataMs":[3000.0,0.0,0.0],"sessionMarks":"router"},
  "classes":[{"name":"stock view","effect":"retryable","hardLimitMs":1000.0},{"name":"own","hardLimitMs":600.5},{"name":"w","effect":"dedup","group":"cell"}]}})";
 
-TEST_CASE("the configuration says what the simulator's first message says") {
-    auto c = program::parse_platform_config(kConfig);
-    CHECK(c.name == "n3");
-    CHECK(c.seed == 0x8c1f30d27a5be964);
-    CHECK(c.settings.fleet_size == 3u);
-    CHECK(c.settings.max_attempts == 10u);
-    CHECK(c.settings.classes.at(0).staleness_bound == policy::Duration(3s));
-    CHECK(c.settings.classes.at(1).consistency == policy::Consistency::session);
-    CHECK(c.settings.classes.at(1).deadline == policy::Duration(600500us));
-    CHECK(c.classes.find("stock view")->deadline == routing::Duration(1s));
-    CHECK(c.classes.find("w")->write);
-    CHECK(c.idle_limit == routing::Duration(20s));
-    CHECK(c.known.members.at(0).zone == 1);
-    CHECK(!c.rest.enabled);
+TEST_CASE("configuration: settings have the same meaning as in the simulator's first message") {
+    auto config = program::parse_platform_config(kConfig);
+    CHECK(config.name == "n3");
+    CHECK(config.seed == 0x8c1f30d27a5be964);
+    CHECK(config.settings.fleet_size == 3u);
+    CHECK(config.settings.max_attempts == 10u);
+    CHECK(config.settings.classes.at(0).staleness_bound == policy::Duration(3s));
+    CHECK(config.settings.classes.at(1).consistency == policy::Consistency::session);
+    CHECK(config.settings.classes.at(1).deadline == policy::Duration(600500us));
+    CHECK(config.classes.find("stock view")->deadline == routing::Duration(1s));
+    CHECK(config.classes.find("w")->write);
+    CHECK(config.idle_limit == routing::Duration(20s));
+    CHECK(config.known_endpoints.members.at(0).zone == 1);
+    CHECK(!config.rest.enabled);
     program::parse_rest_config(
-        R"({"enabled":true,"listen":"[::1]:80","members":"rest","syslog":"127.0.0.1:601"})", c);
-    CHECK(c.rest.enabled);
-    CHECK(c.members == program::Wire::rest);
-    for (const char* bad :
+        R"({"enabled":true,"listen":"[::1]:80","members":"rest","syslog":"127.0.0.1:601"})", config);
+    CHECK(config.rest.enabled);
+    CHECK(config.members == program::Wire::rest);
+    for (const char* invalid_text :
          {"", "[]", "{}", R"({"listen":"x"})", R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:99999"})"})
-        CHECK_THROWS_AS(program::parse_platform_config(bad), program::ConfigError);
-    for (const char* bad : {"", "[]", R"({"members":"x"})", R"({"page_size":0})", R"({"page_size":900})",
-                            R"({"syslog":"10.0.0.1:601"})", R"({"page_size":"many"})"})
-        CHECK_THROWS_AS(program::parse_rest_config(bad, c), program::ConfigError);
+        CHECK_THROWS_AS(program::parse_platform_config(invalid_text), program::ConfigError);
+    for (const char* invalid_text :
+         {"", "[]", R"({"members":"x"})", R"({"page_size":0})", R"({"page_size":900})",
+          R"({"syslog":"10.0.0.1:601"})", R"({"page_size":"many"})"})
+        CHECK_THROWS_AS(program::parse_rest_config(invalid_text, config), program::ConfigError);
 }
 
 TEST_CASE(
-    "the module: a write without a primary is refused at 45% of its time; a withdrawn one is cancelled") {
+    "routing policy: a write without a primary is rejected after 45% of its timeout, a withdrawn one "
+    "cancelled") {
     using namespace indigovane::policy;
     Time now{100s};
     RoutingPolicy policy(settings(), 3, now);
     Actions actions;
-    auto run = [&](const Event& e) { policy.handle(now, e, actions); };
+    auto handle_event = [&](const Event& event) { policy.handle(now, event, actions); };
     EndpointList list{EndpointListKind::full, {}};
     list.entries.push_back({EndpointId{1}, GroupId{1}, ZoneId{}, EndpointState::draining, true, {}});
     list.entries.push_back({EndpointId{2}, GroupId{1}, ZoneId{}, EndpointState::ready, false, {}});
-    run(list);
+    handle_event(list);
     RequestArrival write;
     write.id = RequestId{1}, write.request_class = ClassId{2}, write.group = GroupId{1},
     write.client_timeout = 1s, write.session = SessionKey{1};
-    run(write);
+    handle_event(write);
     std::optional<Duration> refused;
     for (int ms = 0; ms < 1000 && !refused; ms += 5) {
         now = Time(100s) + std::chrono::milliseconds(ms);
-        run(TimerExpired{TimerId{3}});
-        for (auto& a : actions)
-            if (auto* r = std::get_if<RejectRequest>(&a)) {
+        handle_event(TimerExpired{TimerId{3}});
+        for (auto& action : actions)
+            if (auto* rejection = std::get_if<RejectRequest>(&action)) {
                 refused = now - Time(100s);
-                CHECK(r->retry_after);
-                CHECK(!r->deadline);
+                CHECK(rejection->retry_after);
+                CHECK(!rejection->deadline);
             }
     }
     CHECK(refused == Duration(450ms));
     list.entries[0].state = EndpointState::ready;
-    run(list);
+    handle_event(list);
     write.id = RequestId{2};
-    run(write);
+    handle_event(write);
     actions.clear();
-    run(RequestCancelled{RequestId{2}});
+    handle_event(RequestCancelled{RequestId{2}});
     REQUIRE(actions.size() == 1);
     CHECK(std::get<CancelAttempt>(actions[0]).attempt == 0);
 }
 
-// Connections of a zone that is cut off never come up: a read that waited the connect timeout out came too
-// late.
-TEST_CASE("the core: a read whose connection does not come up goes elsewhere within its aim, a write waits") {
-    struct Made : routing::Clock {
-        Made() : Clock(0) {}
+// Connections to an unreachable zone are never established. A read that waited for the whole connect timeout
+// would miss its latency objective.
+TEST_CASE("core: a read whose connection is not established is retried elsewhere in time, a write waits") {
+    struct ManualClock : routing::Clock {
+        ManualClock() : Clock(0) {}
         policy::Time now() const override { return at; }
         policy::Time at{100s};
     } clock;
     struct Driver : routing::Driver {
         void wake() override {}
-        void alarm(std::optional<policy::Time> at) override { next = at; }
-        std::optional<policy::Time> next;
+        void alarm(std::optional<policy::Time> at) override { next_alarm = at; }
+        std::optional<policy::Time> next_alarm;
     } driver;
-    FakeBackend backend;  // whose connections never come up
-    struct Client : routing::Responder {
+    FakeBackend backend;  // its connections are never established
+    struct IgnoringResponder : routing::Responder {
         void served(const routing::Answer&) override {}
         void ended(const routing::FinalError&) override {}
     } client;
     for (std::uint32_t request_class : {1u, 2u}) {
         backend.opened.clear();
         clock.at = policy::Time(100s);
-        auto s = settings();
-        s.health_checks = false;
-        s.classes[request_class].latency_objective = 200ms;
+        auto changed_settings = settings();
+        changed_settings.health_checks = false;
+        changed_settings.classes[request_class].latency_objective = 200ms;
         NullLogger logger;
-        routing::Core core(driver, clock, s, 3, {}, backend, logger);
-        std::vector<routing::EndpointInfo> infos(3);
+        routing::Core core(driver, clock, changed_settings, 3, {}, backend, logger);
+        std::vector<routing::EndpointInfo> endpoints(3);
         for (std::uint32_t i = 0; i < 3; ++i)
-            infos[i].uid = infos[i].address = std::to_string(i), infos[i].group = 1,
-            infos[i].primary = i == 0;
-        core.apply_endpoint_list(policy::EndpointListKind::full, infos);
-        routing::ClientRequest item;
-        item.id = "a", item.request_class = routing::ClassId{request_class}, item.group = routing::GroupId{1},
-        item.client_timeout = 1s;
-        core.accept(item, client);
+            endpoints[i].uid = endpoints[i].address = std::to_string(i), endpoints[i].group = 1,
+            endpoints[i].primary = i == 0;
+        core.apply_endpoint_list(policy::EndpointListKind::full, endpoints);
+        routing::ClientRequest request;
+        request.id = "a", request.request_class = routing::ClassId{request_class},
+        request.group = routing::GroupId{1}, request.client_timeout = 1s;
+        core.accept(request, client);
         auto until = clock.at + 200ms;  // the connect timeout is 250 ms
-        for (core.run_batch(); driver.next && *driver.next < until; core.run_batch()) {
-            clock.at = std::max(clock.at, *driver.next);
+        for (core.run_batch(); driver.next_alarm && *driver.next_alarm < until; core.run_batch()) {
+            clock.at = std::max(clock.at, *driver.next_alarm);
             core.timer_expired();
         }
         CHECK((backend.opened.size() > 1) == (request_class == 1));
@@ -341,73 +352,77 @@
         CHECK(logger.lines["statistics"] < 2);
         clock.at += 6s;
         core.run_batch();
-        CHECK(logger.lines["statistics"] > 0);  // what it did is told some seconds later, in one line
+        CHECK(logger.lines["statistics"] > 0);  // one statistics line follows some seconds later
     }
 }
 
-TEST_CASE("the module: where probes have a price, each pooler asks but a part of a group at first use") {
+TEST_CASE(
+    "routing policy: if health checks have a price, a pooler checks only part of a group at first use") {
     using namespace indigovane::policy;
     for (auto [price, expected] : {std::pair{0.0, 6}, {0.08, 3}}) {
         Time now{100s};
-        auto s = settings();
-        s.health_check_price = price;
-        RoutingPolicy policy(s, 3, now);
+        auto changed_settings = settings();
+        changed_settings.health_check_price = price;
+        RoutingPolicy policy(changed_settings, 3, now);
         Actions actions;
         EndpointList list{EndpointListKind::full, {}};
         for (std::uint32_t i = 0; i < 6; ++i)
             list.entries.push_back({EndpointId{i}, GroupId{1}, ZoneId{}, EndpointState::ready, i == 4, {}});
         policy.handle(now, list, actions);
         actions.clear();
-        RequestArrival q;
-        q.id = RequestId{1}, q.request_class = ClassId{0}, q.group = GroupId{1}, q.client_timeout = 1s;
-        policy.handle(now, q, actions);
+        RequestArrival arrival;
+        arrival.id = RequestId{1}, arrival.request_class = ClassId{0}, arrival.group = GroupId{1},
+        arrival.client_timeout = 1s;
+        policy.handle(now, arrival, actions);
         int probes = 0;
         bool primary = false;
-        for (auto& a : actions)
-            if (auto* p = std::get_if<CheckHealth>(&a))
-                ++probes, primary = primary || p->endpoint == EndpointId{4};
+        for (auto& action : actions)
+            if (auto* health_check = std::get_if<CheckHealth>(&action))
+                ++probes, primary = primary || health_check->endpoint == EndpointId{4};
         CHECK(probes == expected);
         CHECK(primary);
     }
 }
 
-TEST_CASE("the module: a cold member gets the same share of its work whatever the number of poolers") {
+TEST_CASE("routing policy: an endpoint's share in slow start does not depend on the number of poolers") {
     using namespace indigovane::policy;
     auto sent = [](std::uint32_t fleet) {
         Time now{100s};
-        auto s = settings();
-        s.fleet_size = fleet, s.slow_start_share = 0.5, s.slow_start_ramp = 1h, s.overload_multiple = 2.5;
-        RoutingPolicy policy(s, 3, now);
+        auto changed_settings = settings();
+        changed_settings.fleet_size = fleet, changed_settings.slow_start_share = 0.5,
+        changed_settings.slow_start_ramp = 1h, changed_settings.overload_multiple = 2.5;
+        RoutingPolicy policy(changed_settings, 3, now);
         Actions actions;
-        auto run = [&](const Event& e) { policy.handle(now, e, actions); };
+        auto handle_event = [&](const Event& event) { policy.handle(now, event, actions); };
         EndpointList list{EndpointListKind::full, {}};
         for (std::uint32_t i = 0; i < 3; ++i)
             list.entries.push_back({EndpointId{i}, GroupId{1}, ZoneId{}, EndpointState::ready, i == 0,
                                     i == 2 ? std::optional(now) : std::nullopt});
-        run(list);
-        int cold = 0;
+        handle_event(list);
+        int slow_start_attempts = 0;
         for (std::uint64_t id = 1; id <= 1000; ++id) {
             now += 5ms;
             for (std::uint32_t i = 1; i < 3; ++i) {
-                HealthCheckResult p;
-                p.endpoint = EndpointId{i}, p.status = AttemptStatus::ok, p.latency = 1ms,
-                p.report.position = now;
-                run(p);
+                HealthCheckResult health_check;
+                health_check.endpoint = EndpointId{i}, health_check.status = AttemptStatus::ok,
+                health_check.latency = 1ms, health_check.report.position = now;
+                handle_event(health_check);
             }
-            RequestArrival q;
-            q.id = RequestId{id}, q.request_class = ClassId{0}, q.group = GroupId{1}, q.client_timeout = 1s;
+            RequestArrival arrival;
+            arrival.id = RequestId{id}, arrival.request_class = ClassId{0}, arrival.group = GroupId{1},
+            arrival.client_timeout = 1s;
             actions.clear();
-            run(q);
-            for (auto& a : std::exchange(actions, {}))
-                if (auto* send = std::get_if<SendAttempt>(&a)) {
-                    cold += send->endpoint == EndpointId{2};
-                    AttemptOutcome o;
-                    o.id = q.id, o.endpoint = send->endpoint, o.status = AttemptStatus::ok, o.latency = 10ms,
-                    o.finished = true;
-                    run(o);
+            handle_event(arrival);
+            for (auto& action : std::exchange(actions, {}))
+                if (auto* send = std::get_if<SendAttempt>(&action)) {
+                    slow_start_attempts += send->endpoint == EndpointId{2};
+                    AttemptOutcome outcome;
+                    outcome.id = arrival.id, outcome.endpoint = send->endpoint,
+                    outcome.status = AttemptStatus::ok, outcome.latency = 10ms, outcome.finished = true;
+                    handle_event(outcome);
                 }
         }
-        return cold;
+        return slow_start_attempts;
     };
     for (std::uint32_t fleet : {4u, 48u, 100u}) {
         CHECK(sent(fleet) > 300);  // 1.4 of half a share
@@ -415,163 +430,168 @@
     }
 }
 
-TEST_CASE("the module: a missing primary is looked for at a pace that the group's reads pay for") {
+TEST_CASE("routing policy: health checks for a missing primary become more frequent with the group's reads") {
     using namespace indigovane::policy;
     auto probes = [](int reads) {
         Time now{100s};
         RoutingPolicy policy(settings(), 3, now);
         Actions actions;
-        auto run = [&](const Event& e) { policy.handle(now, e, actions); };
+        auto handle_event = [&](const Event& event) { policy.handle(now, event, actions); };
         EndpointList list{EndpointListKind::full, {}};
         for (std::uint32_t i = 0; i < 4; ++i)
             list.entries.push_back({EndpointId{i}, GroupId{1}, ZoneId{}, EndpointState::ready, false, {}});
-        run(list);
+        handle_event(list);
         std::uint64_t id = 0;
         int count = 0;
-        RequestArrival q;
-        q.id = RequestId{++id}, q.request_class = ClassId{2}, q.group = GroupId{1}, q.client_timeout = 8s,
-        q.session = SessionKey{1};
-        run(q);  // a write is held all the time
+        RequestArrival arrival;
+        arrival.id = RequestId{++id}, arrival.request_class = ClassId{2}, arrival.group = GroupId{1},
+        arrival.client_timeout = 8s, arrival.session = SessionKey{1};
+        handle_event(arrival);  // one write stays queued all the time
         for (int ms = 0; ms < 3000; ms += 20) {
             now = Time(100s) + std::chrono::milliseconds(ms);
             for (int i = 0; i < reads; ++i) {
-                q.id = RequestId{++id}, q.request_class = ClassId{0}, q.client_timeout = 500ms,
-                q.session.reset();
-                run(q);
+                arrival.id = RequestId{++id}, arrival.request_class = ClassId{0},
+                arrival.client_timeout = 500ms, arrival.session.reset();
+                handle_event(arrival);
             }
-            run(TimerExpired{TimerId{0}});
-            auto done = std::exchange(actions, {});
-            for (auto& a : done)
-                if (auto* p = std::get_if<CheckHealth>(&a)) {
+            handle_event(TimerExpired{TimerId{0}});
+            auto processed_actions = std::exchange(actions, {});
+            for (auto& action : processed_actions)
+                if (auto* health_check = std::get_if<CheckHealth>(&action)) {
                     ++count;
-                    HealthCheckResult r;
-                    r.endpoint = p->endpoint, r.status = AttemptStatus::ok, r.report.primary = false;
-                    run(r);
+                    HealthCheckResult result;
+                    result.endpoint = health_check->endpoint, result.status = AttemptStatus::ok,
+                    result.report.primary = false;
+                    handle_event(result);
                 }
         }
         return count;
     };
     int idle = probes(0), busy = probes(2);
-    CHECK(idle <= 20);   // each second
+    CHECK(idle <= 20);   // about one check of each endpoint a second
     CHECK(busy >= 100);  // ten times as often
 }
 
-TEST_CASE("the module: a session read passes over replicas that can't reach its token in time") {
+TEST_CASE("routing policy: a session read skips replicas that can't reach its session token in time") {
     using namespace indigovane::policy;
-    for (auto [behind, expected] : {std::pair{20ms, EndpointId{2}}, {2000ms, EndpointId{1}}}) {
+    for (auto [replication_lag, expected] : {std::pair{20ms, EndpointId{2}}, {2000ms, EndpointId{1}}}) {
         Time now{100s};
         RoutingPolicy policy(settings(), 3, now);
         Actions actions;
-        auto run = [&](const Event& e) {
+        auto handle_event = [&](const Event& event) {
             actions.clear();
-            policy.handle(now, e, actions);
+            policy.handle(now, event, actions);
         };
         EndpointList list{EndpointListKind::full, {}};
         list.entries.push_back({EndpointId{1}, GroupId{1}, ZoneId{}, EndpointState::ready, true, {}});
         list.entries.push_back({EndpointId{2}, GroupId{1}, ZoneId{}, EndpointState::ready, false, {}});
-        run(list);
-        RequestArrival q;
-        q.id = RequestId{1}, q.request_class = ClassId{2}, q.group = GroupId{1}, q.client_timeout = 1s,
-        q.session = SessionKey{1};
-        run(q);
+        handle_event(list);
+        RequestArrival arrival;
+        arrival.id = RequestId{1}, arrival.request_class = ClassId{2}, arrival.group = GroupId{1},
+        arrival.client_timeout = 1s, arrival.session = SessionKey{1};
+        handle_event(arrival);
         now += 50ms;
-        AttemptOutcome o;
-        o.id = q.id, o.endpoint = EndpointId{1}, o.status = AttemptStatus::ok, o.finished = true,
-        o.role = Role::primary;
-        o.position = now;  // the commit
-        run(o);
-        HealthCheckResult p;
-        p.endpoint = EndpointId{2}, p.status = AttemptStatus::ok;
-        p.report.position = now - behind;
-        run(p);
-        q.id = RequestId{2}, q.request_class = ClassId{1};
-        run(q);
-        auto sent = std::find_if(actions.begin(), actions.end(),
-                                 [](const Action& a) { return std::holds_alternative<SendAttempt>(a); });
+        AttemptOutcome outcome;
+        outcome.id = arrival.id, outcome.endpoint = EndpointId{1}, outcome.status = AttemptStatus::ok,
+        outcome.finished = true, outcome.role = Role::primary;
+        outcome.position = now;  // the commit
+        handle_event(outcome);
+        HealthCheckResult health_check;
+        health_check.endpoint = EndpointId{2}, health_check.status = AttemptStatus::ok;
+        health_check.report.position = now - replication_lag;
+        handle_event(health_check);
+        arrival.id = RequestId{2}, arrival.request_class = ClassId{1};
+        handle_event(arrival);
+        auto sent = std::find_if(actions.begin(), actions.end(), [](const Action& action) {
+            return std::holds_alternative<SendAttempt>(action);
+        });
         REQUIRE(sent != actions.end());
         CHECK(std::get<SendAttempt>(*sent).endpoint == expected);
     }
 }
 
 TEST_CASE(
-    "the module: groups and members that are no more cost nothing; a group of nobody is refused at once") {
+    "routing policy: removed groups and endpoints are forgotten, and a request for an empty group is "
+    "rejected at once") {
     using namespace indigovane::policy;
     Time now{100s};
     RoutingPolicy policy(settings(), 3, now);
     Actions actions;
-    auto run = [&](const Event& e) {
+    auto handle_event = [&](const Event& event) {
         actions.clear();
-        policy.handle(now, e, actions);
+        policy.handle(now, event, actions);
     };
     auto refused = [&](std::uint64_t id, std::uint32_t group) {
-        RequestArrival q;
-        q.id = RequestId{id}, q.request_class = ClassId{0}, q.group = GroupId{group}, q.client_timeout = 1s;
-        run(q);
-        return std::any_of(actions.begin(), actions.end(), [](const Action& a) {
-            auto* r = std::get_if<RejectRequest>(&a);
-            return r && r->retry_after && !r->deadline;
+        RequestArrival arrival;
+        arrival.id = RequestId{id}, arrival.request_class = ClassId{0}, arrival.group = GroupId{group},
+        arrival.client_timeout = 1s;
+        handle_event(arrival);
+        return std::any_of(actions.begin(), actions.end(), [](const Action& action) {
+            auto* rejection = std::get_if<RejectRequest>(&action);
+            return rejection && rejection->retry_after && !rejection->deadline;
         });
     };
     EndpointList list{EndpointListKind::full, {}};
     list.entries.push_back({EndpointId{1}, GroupId{1}, ZoneId{}, EndpointState::ready, true, {}});
-    run(list);
-    CHECK(!refused(1, 1));  // held for its first probes
+    handle_event(list);
+    CHECK(!refused(1, 1));  // queued until the first health checks are answered
     CHECK(refused(2, 77));
-    run(EndpointList{EndpointListKind::full, {}});
-    run(RequestCancelled{RequestId{1}});
+    handle_event(EndpointList{EndpointListKind::full, {}});
+    handle_event(RequestCancelled{RequestId{1}});
     now += 61s;
-    run(HealthCheckResult{EndpointId{1}, AttemptStatus::timeout, 250ms, {}});
-    run(TimerExpired{TimerId{0}});
-    run(EndpointList{EndpointListKind::changes, {}});
+    handle_event(HealthCheckResult{EndpointId{1}, AttemptStatus::timeout, 250ms, {}});
+    handle_event(TimerExpired{TimerId{0}});
+    handle_event(EndpointList{EndpointListKind::changes, {}});
     CHECK(refused(4, 1));
 }
 
-TEST_CASE("the module: tokens are kept for a minute; what is forgotten binds all session reads") {
+TEST_CASE("routing policy: session tokens are kept for a minute, then the floor binds all session reads") {
     using namespace indigovane::policy;
     Time now{100s};
     RoutingPolicy policy(settings(), 3, now);
     Actions actions;
-    auto run = [&](const Event& e) {
+    auto handle_event = [&](const Event& event) {
         actions.clear();
-        policy.handle(now, e, actions);
+        policy.handle(now, event, actions);
     };
     EndpointList list{EndpointListKind::full, {}};
     list.entries.push_back({EndpointId{1}, GroupId{1}, ZoneId{}, EndpointState::ready, true, {}});
     list.entries.push_back({EndpointId{2}, GroupId{1}, ZoneId{}, EndpointState::ready, false, {}});
-    run(list);
+    handle_event(list);
     auto write = [&](std::uint64_t id) {
-        RequestArrival q;
-        q.id = RequestId{id}, q.request_class = ClassId{2}, q.group = GroupId{1}, q.client_timeout = 1s,
-        q.session = SessionKey{id};
-        run(q);
-        AttemptOutcome o;
-        o.id = q.id, o.endpoint = EndpointId{1}, o.status = AttemptStatus::ok, o.finished = true,
-        o.role = Role::primary;
-        o.position = now;
-        run(o);
+        RequestArrival arrival;
+        arrival.id = RequestId{id}, arrival.request_class = ClassId{2}, arrival.group = GroupId{1},
+        arrival.client_timeout = 1s, arrival.session = SessionKey{id};
+        handle_event(arrival);
+        AttemptOutcome outcome;
+        outcome.id = arrival.id, outcome.endpoint = EndpointId{1}, outcome.status = AttemptStatus::ok,
+        outcome.finished = true, outcome.role = Role::primary;
+        outcome.position = now;
+        handle_event(outcome);
     };
-    auto needs = [&](std::uint64_t id) {
-        HealthCheckResult p;
-        p.endpoint = EndpointId{2}, p.status = AttemptStatus::ok, p.report.position = now;
-        run(p);
-        RequestArrival q;
-        q.id = RequestId{id}, q.request_class = ClassId{1}, q.group = GroupId{1}, q.client_timeout = 1s,
-        q.session = SessionKey{id};
-        run(q);
-        for (const Action& a : actions)
-            if (auto* sent = std::get_if<SendAttempt>(&a)) return sent->needs;
+    auto needed_position = [&](std::uint64_t id) {
+        HealthCheckResult health_check;
+        health_check.endpoint = EndpointId{2}, health_check.status = AttemptStatus::ok,
+        health_check.report.position = now;
+        handle_event(health_check);
+        RequestArrival arrival;
+        arrival.id = RequestId{id}, arrival.request_class = ClassId{1}, arrival.group = GroupId{1},
+        arrival.client_timeout = 1s, arrival.session = SessionKey{id};
+        handle_event(arrival);
+        for (const Action& action : actions)
+            if (auto* sent = std::get_if<SendAttempt>(&action)) return sent->needs;
         FAIL("not sent");
         return std::optional<Time>();
     };
     write(1);
     Time first = now;
-    CHECK(!needs(50));
+    CHECK(!needed_position(50));
     now += 59s;
     write(2);
-    CHECK(!needs(51));  // still known by its session
+    CHECK(!needed_position(51));  // the first token is still kept
     now += 2s;
     write(3);
-    CHECK(needs(52) == first);
+    CHECK(needed_position(52) == first);
 }
 
 }  // namespace
--- a/tests/program/state_records_test.cpp
+++ b/tests/program/state_records_test.cpp
@@ -1,4 +1,4 @@
-// What is stored for the next process: costs of statement shapes, the endpoint list, the witness.
+// The state stored for the next process: costs of statement shapes, the endpoint list, the crash marker.
 #include <doctest/doctest.h>
 
 #include <nlohmann/json.hpp>
@@ -12,7 +12,7 @@
 namespace indigovane::testing {
 namespace {
 
-TEST_CASE("shape costs: read back until their lifetime has passed, and nothing else is read") {
+TEST_CASE("shape costs: a record is read until its lifetime has passed, a malformed one never") {
     limits::ShapePrior prior{{0x0102, 0xff}, 1500, 1200, 7};
     std::string key = program::shape_cost_key(prior);
     CHECK(key == "000000000000010200000000000000ff");
@@ -25,12 +25,12 @@
     CHECK(read->outcomes == 7);
     CHECK_FALSE(
         program::read_shape_cost(key, "1500 1200 7 1000000", 1'000'001 + program::kShapeCostLifetimeMs));
-    CHECK_FALSE(program::read_shape_cost(key, "1500 1200 7 1000000", 999'999));  // of the future
+    CHECK_FALSE(program::read_shape_cost(key, "1500 1200 7 1000000", 999'999));  // stored in the future
     CHECK_FALSE(program::read_shape_cost(key, "1500 1200", 1'000'000));
     CHECK_FALSE(program::read_shape_cost("ff", "1500 1200 7 1000000", 1'000'000));
 }
 
-TEST_CASE("endpoint list: what is written is read back as discovery's list is") {
+TEST_CASE("endpoint list: the stored form is read back as a list of the discovery service") {
     routing::EndpointInfo endpoint;
     endpoint.uid = "s-1";
     endpoint.address = "127.0.0.1:5432";
@@ -51,14 +51,14 @@
     CHECK(list.members[0].primary);
 }
 
-TEST_CASE("witness: none without a file, lapsed where it is unknown") {
+TEST_CASE("crash marker: none without a file, beyond_lease without a folder") {
     Folder folder;
-    program::CrashMarkerFile witness(folder.path, "n1");
-    CHECK(witness.read() == store::CrashMarker::none);
-    CHECK(witness.write(store::CrashMarker::beyond_lease));
-    CHECK(witness.read() == store::CrashMarker::beyond_lease);
-    CHECK(witness.write(store::CrashMarker::none));
-    CHECK(witness.read() == store::CrashMarker::none);
+    program::CrashMarkerFile crash_marker(folder.path, "n1");
+    CHECK(crash_marker.read() == store::CrashMarker::none);
+    CHECK(crash_marker.write(store::CrashMarker::beyond_lease));
+    CHECK(crash_marker.read() == store::CrashMarker::beyond_lease);
+    CHECK(crash_marker.write(store::CrashMarker::none));
+    CHECK(crash_marker.read() == store::CrashMarker::none);
     CHECK(program::CrashMarkerFile("", "n1").read() == store::CrashMarker::beyond_lease);
     CHECK_FALSE(program::CrashMarkerFile("", "n1").write(store::CrashMarker::beyond_lease));
 }
--- a/tests/program/store_record_test.cpp
+++ b/tests/program/store_record_test.cpp
@@ -1,4 +1,4 @@
-// Records of a store as lines of JSON.
+// Records of a store as lines of JSON: the form that `store dump` prints and `store load` reads.
 #include <doctest/doctest.h>
 
 #include "program/store_record_json.hpp"
@@ -12,7 +12,7 @@
 using store::Record;
 using store::Space;
 
-TEST_CASE("record lines: what is written is read back, text, bytes and sessions alike") {
+TEST_CASE("record lines: a written line is read back as the same record, whether text, bytes or a session") {
     std::string session("\0\0\0\0\0\0\0\xff", 8);
     std::string open_commit = store::encode_u64(store::Positions::encode(5, true));
     for (const Record& record : {Record{Record::Type::put, Space::hosts, "s-9", "out", 0},
@@ -26,14 +26,14 @@
     }
 }
 
-TEST_CASE("record lines: their form is fixed") {
+TEST_CASE("record lines: the JSON form does not change") {
     CHECK(write_record_line({Record::Type::put, Space::hosts, "s-9", "out", 0}, 7) ==
           R"({"space":"hosts","key":"s-9","value":"out","sequence":7})");
     CHECK(write_record_line({Record::Type::put, Space::shapes, "\n", "a", 9}, 1) ==
           R"({"space":"shapes","key":{"hex":"0a"},"value":"a","sequence":1,"expires_ms":9})");
 }
 
-TEST_CASE("record lines: each mistake says what is wanted") {
+TEST_CASE("record lines: the error of a malformed line names the mistake") {
     auto error = [](const std::string& line) -> std::string {
         try {
             read_record_line(line);
@@ -42,14 +42,15 @@
         }
         return "";
     };
-    CHECK(error("{") == "it is no JSON");
-    CHECK(error("5") == "an object is wanted");
-    CHECK(error(R"({"colour":1})") == "a key that is not known");
-    CHECK(error(R"({"space":"nowhere"})") == "space: there is none of this name");
-    CHECK(error(R"({"space":"hosts","key":"a"})") == "key and value are wanted");
-    CHECK(error(R"({"space":"positions","key":"ff","value":{}})") == "key: a session is 16 hex digits");
+    CHECK(error("{") == "the line is not valid JSON");
+    CHECK(error("5") == "expected a JSON object");
+    CHECK(error(R"({"colour":1})") == "unknown key: expected space, key, value, sequence or expires_ms");
+    CHECK(error(R"({"space":"nowhere"})") == "space: no space has this name");
+    CHECK(error(R"({"space":"hosts","key":"a"})") == "'key' and 'value' are required");
+    CHECK(error(R"({"space":"positions","key":"ff","value":{}})") ==
+          "key: expected the 16 hex digits of a session");
     CHECK(error(R"({"space":"hosts","key":"a","value":{"hex":"f"}})") ==
-          R"(key and value: text or {"hex": "..."})");
+          R"(key and value: expected a string or {"hex": "..."})");
 }
 
 }  // namespace
