--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -51,7 +51,7 @@
     check_default_class(config, statements.read_class, "read_class", false, path);
     check_default_class(config, statements.primary_class, "primary_class", true, path);
     check_default_class(config, statements.write_class, "write_class", true, path);
-    if (statements.open && config.members == Wire::rest)
+    if (statements.open && config.host_protocol == Wire::rest)
         throw ConfigError(path, "open: members that speak REST can't be sent open statements");
     statements.analyzer_options.seed = config.seed ^ kStatementSeedMask;
     statements.limits.retry_after = config.settings.retry_after.value_or(false);
--- a/src/program/config.hpp
+++ b/src/program/config.hpp
@@ -59,7 +59,7 @@
     routing::Duration connect_timeout = std::chrono::milliseconds(250);
     routing::Duration idle_limit = std::chrono::seconds(30);
     routing::Duration longest_deadline{};  // the longest of all classes
-    Wire members = Wire::pg;
+    Wire host_protocol = Wire::pg;
     RestConfig rest;
     std::optional<StoreConfig> store;           // without it nothing outlasts the process
     std::optional<StatementConfig> statements;  // without it there are no statement rules or limits
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -68,9 +68,9 @@
 int run(const std::string& command, const std::vector<std::string>& arguments) {
     if (command == "serve") return serve(arguments);
     if (command == "check-config") return check_config(arguments);
-    if (command == "shapes") return program::shapes(arguments, std::cin, std::cout);
-    if (command == "site") return program::site(arguments, std::cout, std::cerr);
-    if (command == "store") return program::store(arguments, std::cin, std::cout, std::cerr);
+    if (command == "shapes") return program::run_shapes_command(arguments, std::cin, std::cout);
+    if (command == "site") return program::run_site_command(arguments, std::cout, std::cerr);
+    if (command == "store") return program::run_store_command(arguments, std::cin, std::cout, std::cerr);
     if (command == "version" || command == "--version") {
         std::cout << "indigovane " INDIGOVANE_VERSION "\n";
         return kSuccess;
--- a/src/program/reload.cpp
+++ b/src/program/reload.cpp
@@ -42,7 +42,7 @@
         warn(services, "statements and limits can be switched on or off only by a restart");
     if (!new_config.statements) return;
     if (services.statements) {
-        if (new_config.statements->open && services.config.members == Wire::rest) return;
+        if (new_config.statements->open && services.config.host_protocol == Wire::rest) return;
         services.statements->set(new_config.statements->rules, statement_options(*new_config.statements));
     }
     services.config.statements = new_config.statements;
--- a/src/program/rest_config.cpp
+++ b/src/program/rest_config.cpp
@@ -21,9 +21,9 @@
 }
 
 Wire read_host_protocol(const json& root) {
-    std::string members = root.value("members", std::string("pg"));
-    if (members != "pg" && members != "rest") throw ConfigError("members: expected 'pg' or 'rest'");
-    return members == "rest" ? Wire::rest : Wire::pg;
+    std::string protocol = root.value("members", std::string("pg"));
+    if (protocol != "pg" && protocol != "rest") throw ConfigError("members: expected 'pg' or 'rest'");
+    return protocol == "rest" ? Wire::rest : Wire::pg;
 }
 
 // Only a loopback address is allowed, because log lines must not leave the machine unencrypted.
@@ -41,7 +41,7 @@
     read_page_sizes(root, rest);
     rest.max_connections = root.value("connections", rest.max_connections);
     check_page_sizes(rest);
-    config.members = read_host_protocol(root);
+    config.host_protocol = read_host_protocol(root);
     if (auto syslog = read_syslog(root)) rest.syslog = syslog;
 }
 
--- a/src/program/shapes_command.cpp
+++ b/src/program/shapes_command.cpp
@@ -86,7 +86,7 @@
 
 }  // namespace
 
-int shapes(const std::vector<std::string>& arguments, std::istream& in, std::ostream& out) {
+int run_shapes_command(const std::vector<std::string>& arguments, std::istream& in, std::ostream& out) {
     options::variables_map values = parse_shapes_arguments(arguments);
     std::vector<std::string> operands;
     if (values.count("words")) operands = values["words"].as<std::vector<std::string>>();
--- a/src/program/shapes_command.hpp
+++ b/src/program/shapes_command.hpp
@@ -11,6 +11,6 @@
 // a JSON object for each to `out`. `explain STATEMENT` describes the classification of one statement. Returns
 // the exit status. Throws boost::program_options::error if the command line is wrong, ConfigError if the
 // rules are.
-int shapes(const std::vector<std::string>& arguments, std::istream& in, std::ostream& out);
+int run_shapes_command(const std::vector<std::string>& arguments, std::istream& in, std::ostream& out);
 
 }  // namespace indigovane::program
--- a/src/program/site_command.cpp
+++ b/src/program/site_command.cpp
@@ -115,7 +115,7 @@
 
 }  // namespace
 
-int site(const std::vector<std::string>& arguments, std::ostream& out, std::ostream& err) {
+int run_site_command(const std::vector<std::string>& arguments, std::ostream& out, std::ostream& err) {
     options::variables_map values = parse_site_arguments(arguments);
     if (!is_plan(values)) {
         err << "usage: indigovane site plan --settings FILE --sites FILE --lose ZONE [--lose ZONE] "
--- a/src/program/startup.cpp
+++ b/src/program/startup.cpp
@@ -140,7 +140,7 @@
 void create_core(Services& services) {
     const Config& config = services.config;
     services.budget = make_resource_budget(config);
-    if (config.members == Wire::rest)
+    if (config.host_protocol == Wire::rest)
         services.backend = std::make_unique<adapters::RestBackend>(services.io);
     else
         services.backend = std::make_unique<adapters::PgBackend>(services.io);
--- a/src/program/store_command.cpp
+++ b/src/program/store_command.cpp
@@ -193,8 +193,8 @@
 
 }  // namespace
 
-int store(const std::vector<std::string>& arguments, std::istream& in, std::ostream& out,
-          std::ostream& errors) {
+int run_store_command(const std::vector<std::string>& arguments, std::istream& in, std::ostream& out,
+                      std::ostream& errors) {
     options::options_description description("options");
     description.add_options()("salvage", "skip damaged parts and keep the records that are provably intact")(
         "words", options::value<std::vector<std::string>>(), "");
--- a/tests/adapters/open_statements_test.cpp
+++ b/tests/adapters/open_statements_test.cpp
@@ -189,7 +189,7 @@
     CHECK(config.settings.classes[0].staleness_bound == 3s);
     CHECK(load("[[class]]\nname = \"stock-view\"\nbound = \"2s\"\n") == "");
     CHECK(config.settings.classes[0].staleness_bound == 2s);
-    config.members = program::Wire::rest;
+    config.host_protocol = program::Wire::rest;
     CHECK(load("[statements]\nopen = true\n").find("members that speak REST") != std::string::npos);
 }
 
--- a/tests/program/services_test.cpp
+++ b/tests/program/services_test.cpp
@@ -259,7 +259,7 @@
     program::parse_rest_config(
         R"({"enabled":true,"listen":"[::1]:80","members":"rest","syslog":"127.0.0.1:601"})", config);
     CHECK(config.rest.enabled);
-    CHECK(config.members == program::Wire::rest);
+    CHECK(config.host_protocol == program::Wire::rest);
     for (const char* invalid_text :
          {"", "[]", "{}", R"({"listen":"x"})", R"({"listen":"127.0.0.1:1","discovery":"127.0.0.1:99999"})"})
         CHECK_THROWS_AS(program::parse_platform_config(invalid_text), program::ConfigError);
--- a/tests/site/site_command_test.cpp
+++ b/tests/site/site_command_test.cpp
@@ -32,7 +32,7 @@
         arguments.insert(arguments.end(), options.begin(), options.end());
         std::ostringstream out;
         std::ostringstream err;
-        int status = program::site(arguments, out, err);
+        int status = program::run_site_command(arguments, out, err);
         text = out.str() + err.str();
         return status;
     };
