--- a/src/program/config.hpp
+++ b/src/program/config.hpp
@@ -77,7 +77,7 @@
     std::string restart_only;
 };
 
-// Reads the platform's file. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_CONTROL replace keys that it lacks.
+// Reads the platform's file. LB_NAME, LB_LISTEN, LB_DISCOVERY and LB_CONTROL supply keys that it lacks.
 // Throws ConfigError.
 Config read_platform_config(const std::string& path);
 Config parse_platform_config(const std::string& text);
--- a/src/program/excluded_endpoints.hpp
+++ b/src/program/excluded_endpoints.hpp
@@ -1,5 +1,5 @@
 // The database hosts that operators have excluded. They are stored in $TMPDIR, so that both processes of an
-// upgrade exclude them. The file has one endpoint id a line.
+// upgrade exclude them. The file has one endpoint id on each line.
 #pragma once
 
 #include <set>
--- a/src/program/graceful_shutdown.hpp
+++ b/src/program/graceful_shutdown.hpp
@@ -12,7 +12,7 @@
   public:
     explicit GracefulShutdown(Services& services) : services_(services), timer_(services.io) {}
 
-    // Begins the end (SIGTERM or SIGINT). Further calls change nothing.
+    // Begins the shutdown (SIGTERM or SIGINT). Further calls change nothing.
     void stop();
     // Called when a successor serves. Does nothing before stop(): the successor may still end.
     void on_successor_ready();
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -32,8 +32,8 @@
     "  help          print this text\n"
     "\n";
 
-// Blocks SIGHUP until release(). Before the event loop handles the signal, it would end the process, or the
-// reload would be missed although an older file has been read.
+// Blocks SIGHUP until release(). A SIGHUP that arrives before the event loop handles signals would end the
+// process, or would be lost although an older file has been read.
 class BlockedReload {
   public:
     BlockedReload() {
--- a/src/program/persistent_state.hpp
+++ b/src/program/persistent_state.hpp
@@ -47,6 +47,7 @@
 
     // Called before the client is notified of the commit.
     void commit(std::uint64_t session, routing::Time commit);
+    // Called when a write of the session is accepted, and when nothing of it is in flight any more.
     void begin_write(std::uint64_t session);
     void end_write(std::uint64_t session);
     // Records commits of another process for sessions that continue here.
--- a/src/program/platform_keys.hpp
+++ b/src/program/platform_keys.hpp
@@ -33,7 +33,7 @@
 inline constexpr const char* kConsistency = "consistency";
 inline constexpr const char* kStalenessBoundMs = "oldestDataMs";
 
-// Environment variables. Each replaces a key that the file lacks.
+// Environment variables. Each supplies a key that the file lacks.
 inline constexpr const char* kNameVariable = "LB_NAME";
 inline constexpr const char* kListenVariable = "LB_LISTEN";
 inline constexpr const char* kDiscoveryVariable = "LB_DISCOVERY";
--- a/src/program/process_handover.hpp
+++ b/src/program/process_handover.hpp
@@ -63,6 +63,7 @@
     bool has_other_process() const {
         return predecessor_ || successor_state_ == State::sharing || successor_state_ == State::ready;
     }
+    // Whether all messages to the successor have been sent.
     bool all_sent() const { return !successor_ || successor_->all_sent(); }
     // Sends a session's commit to the predecessor and the successor.
     void send_commit(std::uint64_t session, routing::Time at);
--- a/src/program/reload.hpp
+++ b/src/program/reload.hpp
@@ -1,10 +1,13 @@
 // Reload (SIGHUP): the configuration is read again, checked, and applied to the running process.
 //
-// Applied from the next batch of the loop on: `settings` (classes, deadlines, zones, timeouts), the address
-// of the discovery service, the rules of statements, the limits by cost and the settings of sites. Applied at
-// the next start: everything else, and whether statements, limits and the watch on sites are on. Never
-// applied: `known`, the endpoint list. It is older than the process's own list and could bring back an
-// endpoint that is gone.
+// Applied from the next batch of the loop on:
+//   `settings` (classes, deadlines, zones, timeouts), the address of the discovery service, the rules of
+//   statements, the limits by cost and the settings of sites
+// Applied at the next start:
+//   everything else, and whether statements, limits and the watch on sites are on
+// Never applied:
+//   `known`, the endpoint list: it is older than the process's own list and could bring back an endpoint that
+//   is gone
 #pragma once
 
 #include <functional>
--- a/src/program/site_config.hpp
+++ b/src/program/site_config.hpp
@@ -1,6 +1,5 @@
 // The operator's TOML file of sites. `serve --sites` uses [sites]. `indigovane site plan` uses also [plan]
-// and
-// [[demand]], which describe the load of the fleet.
+// and [[demand]], which describe the load of the fleet.
 #pragma once
 
 #include <string>
--- a/src/program/store_record_json.hpp
+++ b/src/program/store_record_json.hpp
@@ -4,8 +4,8 @@
 //   {"space": name, "key": ..., "value": ..., "sequence": number, "expires_ms": number}
 //
 // Printable ASCII is written as a string, other bytes as {"hex": "..."}. A session's commit has 16 hex digits
-// as its key, because a JSON number would lose digits of the session's id, and {"commit_us": number, "open":
-// bool} as its value.
+// as its key, because a JSON number would lose digits of the session's id. Its value is
+// {"commit_us": number, "open": bool}.
 #pragma once
 
 #include <optional>
