--- a/src/program/handover_messages.hpp
+++ b/src/program/handover_messages.hpp
@@ -60,7 +60,8 @@
 
 // Returns the bytes of a message. A front's name has at most 255 bytes.
 std::string encode(const Message& message);
-// Returns nothing if the type is unknown or the body is truncated.
+// Returns nothing if the type is unknown, or if the body of a CommitFloor or Readmission is truncated. Of
+// truncated Commits, only the complete entries are returned.
 std::optional<Message> decode(std::string_view bytes);
 
 }  // namespace indigovane::program::handover
--- a/tests/program/operations_test.cpp
+++ b/tests/program/operations_test.cpp
@@ -93,9 +93,7 @@
     CHECK(fixture.calls.calls.empty());
 }
 
-TEST_CASE(
-    "excluded hosts: a change is stored when it returns, and both processes and a new one read the same "
-    "set") {
+TEST_CASE("excluded hosts: a change is stored before the call returns, and all processes read the same set") {
     Folder folder;
     program::ExcludedEndpoints first_process(folder.path, "n1"), second_process(folder.path, "n1"),
         other_pooler(folder.path, "n2");
--- a/tests/program/persistent_state_test.cpp
+++ b/tests/program/persistent_state_test.cpp
@@ -80,7 +80,7 @@
                 if (got != "TDCZ") continue;
                 ++reads;
                 if (acknowledged.count(name))
-                    CHECK_MESSAGE(client.value == acknowledged[name], "life " << run_number);
+                    CHECK_MESSAGE(client.value == acknowledged[name], "run " << run_number);
             }
         }
         primary_rows = run.deployment.hosts[0].rows;
--- a/tests/program/phase_test.cpp
+++ b/tests/program/phase_test.cpp
@@ -22,7 +22,7 @@
     std::vector<std::string> lines;
 };
 
-TEST_CASE("phases: every phase but the first has a predecessor, and every phase but the last a successor") {
+TEST_CASE("phases: every phase but the first can be entered, and every phase but the last can be left") {
     for (Phase phase : kAllPhases) {
         int incoming_transitions = 0;
         int outgoing_transitions = 0;
--- a/tests/program/services_test.cpp
+++ b/tests/program/services_test.cpp
@@ -285,18 +285,18 @@
     write.id = RequestId{1}, write.request_class = ClassId{2}, write.group = GroupId{1},
     write.client_timeout = 1s, write.session = SessionKey{1};
     handle_event(write);
-    std::optional<Duration> refused;
-    for (int ms = 0; ms < 1000 && !refused; ms += 5) {
+    std::optional<Duration> rejected_after;
+    for (int ms = 0; ms < 1000 && !rejected_after; ms += 5) {
         now = Time(100s) + std::chrono::milliseconds(ms);
         handle_event(TimerExpired{TimerId{3}});
         for (auto& action : actions)
             if (auto* rejection = std::get_if<RejectRequest>(&action)) {
-                refused = now - Time(100s);
+                rejected_after = now - Time(100s);
                 CHECK(rejection->retry_after);
                 CHECK(!rejection->deadline);
             }
     }
-    CHECK(refused == Duration(450ms));
+    CHECK(rejected_after == Duration(450ms));
     list.entries[0].state = EndpointState::ready;
     handle_event(list);
     write.id = RequestId{2};
@@ -315,7 +315,7 @@
         policy::Time now() const override { return at; }
         policy::Time at{100s};
     } clock;
-    struct Driver : routing::Driver {
+    struct RecordingDriver : routing::Driver {
         void wake() override {}
         void alarm(std::optional<policy::Time> at) override { next_alarm = at; }
         std::optional<policy::Time> next_alarm;
@@ -521,7 +521,7 @@
         actions.clear();
         policy.handle(now, event, actions);
     };
-    auto refused = [&](std::uint64_t id, std::uint32_t group) {
+    auto is_rejected = [&](std::uint64_t id, std::uint32_t group) {
         RequestArrival arrival;
         arrival.id = RequestId{id}, arrival.request_class = ClassId{0}, arrival.group = GroupId{group},
         arrival.client_timeout = 1s;
@@ -534,15 +534,15 @@
     EndpointList list{EndpointListKind::full, {}};
     list.entries.push_back({EndpointId{1}, GroupId{1}, ZoneId{}, EndpointState::ready, true, {}});
     handle_event(list);
-    CHECK(!refused(1, 1));  // queued until the first health checks are answered
-    CHECK(refused(2, 77));
+    CHECK(!is_rejected(1, 1));  // queued until the first health checks are answered
+    CHECK(is_rejected(2, 77));
     handle_event(EndpointList{EndpointListKind::full, {}});
     handle_event(RequestCancelled{RequestId{1}});
     now += 61s;
     handle_event(HealthCheckResult{EndpointId{1}, AttemptStatus::timeout, 250ms, {}});
     handle_event(TimerExpired{TimerId{0}});
     handle_event(EndpointList{EndpointListKind::changes, {}});
-    CHECK(refused(4, 1));
+    CHECK(is_rejected(4, 1));
 }
 
 TEST_CASE("routing policy: session tokens are kept for a minute, then the floor binds all session reads") {
