--- a/src/site/contact_evidence.cpp
+++ b/src/site/contact_evidence.cpp
@@ -10,27 +10,27 @@
 void clear_unanswered(HostEvidence& evidence) {
     evidence.unanswered_since.reset();
     evidence.last_unanswered.reset();
-    evidence.unanswered = 0;
+    evidence.unanswered_contacts = 0;
     evidence.resets = 0;
 }
 
-// Adds one host's evidence to its site's. `site.last_answer` is complete already.
+// Adds the evidence about a host to that about its site. The caller has set `site.last_answer` before.
 void add_host(SiteEvidence& site, const HostEvidence& host, Time now, Duration evidence_window,
               Duration response_timeout) {
-    // Only hosts in recent use: a small pooler has dealt with every host of a large site in time, and would
-    // never see its share of unresponsive ones within the window.
-    bool sent_lately = host.last_sent != Time::min() && now - host.last_sent <= evidence_window;
-    if (host.in_flight > 0 || sent_lately) ++site.in_use;
-    bool overdue = host.in_flight > 0 && now - host.waiting_since >= response_timeout;
-    bool unanswered = host.unanswered_since && now - *host.last_unanswered <= evidence_window;
-    if (overdue || unanswered) {
+    // Only hosts in recent use count: over time a pooler with little traffic uses every host of a large site,
+    // and would never see the required share of them unresponsive within the window.
+    bool was_sent_recently = host.last_sent != Time::min() && now - host.last_sent <= evidence_window;
+    if (host.in_flight > 0 || was_sent_recently) ++site.in_use;
+    bool is_overdue = host.in_flight > 0 && now - host.waiting_since >= response_timeout;
+    bool is_unanswered = host.unanswered_since && now - *host.last_unanswered <= evidence_window;
+    if (is_overdue || is_unanswered) {
         ++site.unresponsive;
-        if (overdue || !site.last_answer || *host.last_unanswered > *site.last_answer)
+        if (is_overdue || !site.last_answer || *host.last_unanswered > *site.last_answer)
             ++site.newly_unresponsive;
-        if (unanswered && host.resets * 2 > host.unanswered) ++site.resetting;
-        Time since = unanswered ? *host.unanswered_since : host.waiting_since;
+        if (is_unanswered && host.resets * 2 > host.unanswered_contacts) ++site.resetting;
+        Time since = is_unanswered ? *host.unanswered_since : host.waiting_since;
         site.unresponsive_since = std::min(site.unresponsive_since.value_or(since), since);
-        Time last = overdue ? now : *host.last_unanswered;
+        Time last = is_overdue ? now : *host.last_unanswered;
         site.last_unanswered = std::max(site.last_unanswered.value_or(last), last);
     } else if (!host.unanswered_since && host.last_answer && now - *host.last_answer <= evidence_window) {
         ++site.answering;
@@ -60,7 +60,7 @@
 void ContactEvidence::set_hosts(const std::vector<Host>& hosts) {
     for (const Host& host : hosts) {
         const Host* before = find_host(host.id);
-        // What an earlier incarnation of the process did says nothing about this one.
+        // Evidence about an earlier incarnation of the process does not apply to the present one.
         bool restarted = before && host.started && before->started != host.started;
         if (restarted) evidence_.erase(std::uint32_t(host.id));
     }
@@ -93,11 +93,11 @@
         clear_unanswered(evidence);
         return;
     }
-    // Sent before the last answer arrived: slow or dropped, while the host was able to answer.
+    // The contact began before the last answer arrived: it was slow or dropped while the host could answer.
     if (evidence.last_answer && sent < *evidence.last_answer) return;
     if (!evidence.unanswered_since) evidence.unanswered_since = sent;
     evidence.last_unanswered = now;
-    ++evidence.unanswered;
+    ++evidence.unanswered_contacts;
     if (result == ContactResult::reset) ++evidence.resets;
 }
 
@@ -113,7 +113,8 @@
     for (const Host& host : hosts_) {
         auto it = host.site == site ? evidence_.find(std::uint32_t(host.id)) : evidence_.end();
         if (it == evidence_.end()) continue;
-        // What is in flight was sent before: it will end, and says nothing about the present.
+        // Contacts in flight began before and still have to end. They are no evidence about the present
+        // state.
         std::uint32_t in_flight = it->second.in_flight;
         it->second = {};
         it->second.in_flight = in_flight;
@@ -123,19 +124,20 @@
 
 SiteEvidence ContactEvidence::of_site(SiteId site, Time now, Duration evidence_window,
                                       Duration response_timeout) const {
-    SiteEvidence sum;
+    SiteEvidence site_evidence;
     for (const Host& host : hosts_) {
         const HostEvidence* evidence = host.site == site ? of_host(host.id) : nullptr;
         if (!evidence || !evidence->last_answer) continue;
-        sum.last_answer = std::max(sum.last_answer.value_or(*evidence->last_answer), *evidence->last_answer);
+        site_evidence.last_answer =
+            std::max(site_evidence.last_answer.value_or(*evidence->last_answer), *evidence->last_answer);
     }
     for (const Host& host : hosts_) {
         if (host.site != site || !host.ready) continue;
-        ++sum.hosts;
+        ++site_evidence.hosts;
         const HostEvidence* evidence = of_host(host.id);
-        if (evidence) add_host(sum, *evidence, now, evidence_window, response_timeout);
+        if (evidence) add_host(site_evidence, *evidence, now, evidence_window, response_timeout);
     }
-    return sum;
+    return site_evidence;
 }
 
 const HostEvidence* ContactEvidence::of_host(HostId host) const {
--- a/src/site/decaying_rate.hpp
+++ b/src/site/decaying_rate.hpp
@@ -1,4 +1,4 @@
-// Rates of arrivals as exponentially decaying averages.
+// Arrival rates as exponentially decaying averages, in arrivals per second.
 #pragma once
 
 #include <cmath>
@@ -7,10 +7,12 @@
 
 namespace indigovane::site {
 
-constexpr Duration kRateTimeConstant = seconds(5);  // long enough for several requests of a small pooler
-constexpr double kRatePerArrival = 1e6 / double(kRateTimeConstant.count());  // a second
+// Long enough for a pooler with little traffic to receive several requests.
+constexpr Duration kRateTimeConstant = seconds(5);
+// By how much one arrival raises a rate, in arrivals per second.
+constexpr double kRatePerArrival = 1e6 / double(kRateTimeConstant.count());
 
-// The factor by which a rate has decayed after `elapsed` without an arrival.
+// Factor by which a rate has decayed after `elapsed` without an arrival.
 inline double rate_decay(Duration elapsed) {
     return std::exp(-double(elapsed.count()) / double(kRateTimeConstant.count()));
 }
--- a/src/site/failover_plan.cpp
+++ b/src/site/failover_plan.cpp
@@ -8,32 +8,33 @@
 
 namespace {
 
-constexpr double kNegligible = 1e-9;  // seconds of work
+constexpr double kNegligibleWork = 1e-9;  // seconds of work
 
-// The part of each demand that fits into `capacity`, in the order given. Each class gets its minimum before
-// any gets more, so that none starves for another.
-std::vector<double> fill(const std::vector<const Demand*>& demands, double capacity, double min_share) {
+// Returns the share of each demand that fits into `capacity`, in the given order. Each class gets `min_share`
+// before any class gets more, so that no class starves.
+std::vector<double> admitted_shares(const std::vector<const Demand*>& demands, double capacity,
+                                    double min_share) {
     std::vector<double> shares(demands.size(), 0);
     double minimum_work = 0;
     for (const Demand* demand : demands) minimum_work += demand->work() * min_share;
-    double scale = minimum_work > capacity && minimum_work > kNegligible ? capacity / minimum_work : 1;
+    double scale = minimum_work > capacity && minimum_work > kNegligibleWork ? capacity / minimum_work : 1;
     for (double& share : shares) share = min_share * scale;
     capacity -= minimum_work * scale;
     for (std::size_t i = 0; i < shares.size(); ++i) {
-        double rest = demands[i]->work() * (1 - shares[i]);
-        if (rest <= kNegligible) {
-            bool fits = capacity > 0 || demands[i]->work() <= kNegligible;
-            if (fits) shares[i] = 1;
+        double remaining_work = demands[i]->work() * (1 - shares[i]);
+        if (remaining_work <= kNegligibleWork) {
+            bool has_capacity = capacity > 0 || demands[i]->work() <= kNegligibleWork;
+            if (has_capacity) shares[i] = 1;
             continue;
         }
-        double part = std::clamp(capacity / rest, 0.0, 1.0);
-        shares[i] += (1 - shares[i]) * part;
-        capacity -= rest * part;
+        double fitting_share = std::clamp(capacity / remaining_work, 0.0, 1.0);
+        shares[i] += (1 - shares[i]) * fitting_share;
+        capacity -= remaining_work * fitting_share;
     }
     return shares;
 }
 
-// A group's members that take new work.
+// Members of a group that accept new work.
 struct Members {
     std::vector<const Host*> replicas;
     const Host* primary = nullptr;
@@ -71,12 +72,12 @@
     }
 
   private:
-    // One role of one group: the primary's work, or the replicas'.
+    // A role in one group: the primary, or the replicas together.
     struct Role {
         GroupId group{};
         bool primary = false;
-        bool changed = false;  // a member of it is lost
-        double capacity = 0;
+        bool has_lost_member = false;
+        double capacity = 0;  // seconds of work per second
     };
 
     bool is_lost(const Host& host) const {
@@ -104,29 +105,31 @@
     }
 
     void plan_primary(GroupPlan& planned, const Members& before, const Members& after) {
-        bool changed = before.primary != after.primary;
+        bool has_lost_member = before.primary != after.primary;
         double capacity = after.primary ? after.primary->capacity : 0;
-        auto [offered, admitted] = admit({planned.group, true, changed, capacity});
+        auto [offered, admitted] = admit({planned.group, true, has_lost_member, capacity});
         planned.shed += offered - admitted;
         if (before.primary) load_before_[before.primary] += offered;
         if (after.primary) load_after_[after.primary] += admitted;
-        if (changed) planned.moved += admitted;
+        if (has_lost_member) planned.moved += admitted;
     }
 
-    // Each replica gets as much as any other: the random selection knows no capacity.
+    // Each replica gets the same load, because the random selection of replicas ignores capacities.
     void plan_replicas(GroupPlan& planned, const Members& before, const Members& after) {
         auto count_before = double(before.replicas.size());
         auto count_after = double(after.replicas.size());
-        bool changed = before.replicas.size() != after.replicas.size();
-        auto [offered, admitted] = admit({planned.group, false, changed, planned.replica_capacity_after});
+        bool has_lost_member = before.replicas.size() != after.replicas.size();
+        auto [offered, admitted] =
+            admit({planned.group, false, has_lost_member, planned.replica_capacity_after});
         planned.shed += offered - admitted;
         for (const Host* host : before.replicas) load_before_[host] += offered / count_before;
         for (const Host* host : after.replicas) load_after_[host] += admitted / count_after;
-        double stays = before.replicas.empty() ? 0 : offered * count_after / count_before;
-        planned.moved += std::max(0.0, admitted - stays);
+        double staying_work = before.replicas.empty() ? 0 : offered * count_after / count_before;
+        planned.moved += std::max(0.0, admitted - staying_work);
         if (!after.replicas.empty()) planned.load_ratio = count_before / count_after;
     }
 
+    // Seconds of work per second.
     struct Work {
         double offered = 0;
         double admitted = 0;
@@ -141,13 +144,13 @@
             work.offered += demand->work();
         }
         std::sort(demands.begin(), demands.end(), [&](const Demand* a, const Demand* b) {
-            return is_shed_before(*b, *a, input_.protected_classes);  // most valuable first
+            return is_shed_before(*b, *a, input_.protected_classes);  // the most valuable class first
         });
-        // Nothing is shed where nothing is lost: the plan is for the loss alone.
+        // A role that has lost no member sheds nothing: the plan covers only the effects of the loss.
         double min_share = role.capacity > 0 ? input_.min_class_share : 0;
-        std::vector<double> shares = role.changed
-                                         ? fill(demands, role.capacity * input_.max_utilization, min_share)
-                                         : std::vector<double>(demands.size(), 1);
+        std::vector<double> shares =
+            role.has_lost_member ? admitted_shares(demands, role.capacity * input_.max_utilization, min_share)
+                                 : std::vector<double>(demands.size(), 1);
         for (std::size_t i = 0; i < demands.size(); ++i) {
             const Demand& demand = *demands[i];
             plan_.shares.push_back({role.group, demand.request_class, role.primary, 0, demand.rate, shares[i],
@@ -160,13 +163,13 @@
     }
 
     std::map<std::string, double> tenant_shares(const Demand& demand, double admitted) const {
-        std::vector<WeightedDemand> weighted;  // in the order of `demand.tenants`
+        std::vector<WeightedDemand> weighted_demands;  // in the order of `demand.tenants`
         for (const auto& [tenant, rate] : demand.tenants)
-            weighted.push_back({rate, weight_of(input_.tenant_shares, tenant)});
-        double level = fair_level(weighted, admitted * demand.rate);
+            weighted_demands.push_back({rate, tenant_weight(input_.tenant_shares, tenant)});
+        double level = fair_level(weighted_demands, admitted * demand.rate);
         std::map<std::string, double> shares;
         for (const auto& [tenant, rate] : demand.tenants)
-            shares[tenant] = satisfied_share(weighted[shares.size()], level);
+            shares[tenant] = satisfied_share(weighted_demands[shares.size()], level);
         return shares;
     }
 
@@ -176,7 +179,7 @@
                                    load_before_[&host], load_after_[&host]});
     }
 
-    // Classes of one name share a rank.
+    // Entries of the same class in several groups have the same rank.
     void rank_shares() {
         auto demand_of = [&](const AdmittedShare& share) -> const Demand& {
             return *std::find_if(input_.demand.begin(), input_.demand.end(), [&](const Demand& demand) {
@@ -188,8 +191,8 @@
             return is_shed_before(demand_of(a), demand_of(b), input_.protected_classes);
         });
         for (std::size_t i = 0; i < shares.size(); ++i) {
-            bool same_class = i > 0 && shares[i].request_class == shares[i - 1].request_class;
-            shares[i].rank = same_class ? shares[i - 1].rank : unsigned(i);
+            bool is_same_class = i > 0 && shares[i].request_class == shares[i - 1].request_class;
+            shares[i].rank = is_same_class ? shares[i - 1].rank : unsigned(i);
         }
     }
 
@@ -198,7 +201,7 @@
     std::map<GroupId, Members> before_;
     std::map<GroupId, Members> after_;
     std::map<GroupId, std::vector<const Demand*>> demand_;
-    std::map<const Host*, double> load_before_;  // seconds of work a second
+    std::map<const Host*, double> load_before_;  // seconds of work per second
     std::map<const Host*, double> load_after_;
 };
 
@@ -212,8 +215,8 @@
     auto position_a = position(a);
     auto position_b = position(b);
     if (position_a != position_b) return position_a > position_b;
-    double value_a = a.priority_weight / std::max(kNegligible, a.cost);
-    double value_b = b.priority_weight / std::max(kNegligible, b.cost);
+    double value_a = a.priority_weight / std::max(kNegligibleWork, a.cost);
+    double value_b = b.priority_weight / std::max(kNegligibleWork, b.cost);
     if (value_a != value_b) return value_a < value_b;
     return a.request_class < b.request_class;
 }
--- a/src/site/load_shedder.cpp
+++ b/src/site/load_shedder.cpp
@@ -7,11 +7,11 @@
 namespace indigovane::site {
 
 namespace {
-constexpr double kCostGain = 0.05;        // weight of an answer in a class's average cost
-constexpr double kMinCost = 1e-6;         // seconds
-constexpr double kUtilizationGain = 0.2;  // weight of a report in a host's average utilization
-constexpr double kMinUtilization = 0.05;
-constexpr double kUnlimitedCapacity = 1e9;  // seconds of work a second
+constexpr double kCostGain = 0.05;          // weight of one answer in the average cost of a class
+constexpr double kMinCost = 1e-6;           // seconds
+constexpr double kUtilizationGain = 0.2;    // weight of one report in the average utilization of a host
+constexpr double kMinUtilization = 0.05;    // lower reports are raised to this before work is divided by them
+constexpr double kUnlimitedCapacity = 1e9;  // seconds of work per second
 constexpr std::size_t kMaxAdmissionRecords = 4096;
 }  // namespace
 
@@ -28,23 +28,23 @@
     if (!shedding_) return true;
     auto class_share = admitted_shares_.find(key);
     if (class_share == admitted_shares_.end() || class_share->second >= 1) return true;
-    bool late = arrival.retry || arrival.time_left * 2 < flow.max_time_left;
-    flow.tenants.record_arrival(arrival.tenant, late, settings_, now);
-    double share = flow.tenants.admitted_share(arrival.tenant, late, class_share->second, settings_, now);
+    bool is_late = arrival.is_retry || arrival.time_left * 2 < flow.max_time_left;
+    flow.tenants.record_arrival(arrival.tenant, is_late, settings_, now);
+    double share = flow.tenants.admitted_share(arrival.tenant, is_late, class_share->second, settings_, now);
     if (admit_share(arrival, share, now)) return true;
     ++rejected_;
     return false;
 }
 
-// Admits a part of the requests, and one of each class and tenant in each starvation interval. Tenants beyond
-// the number that is recorded count as one.
+// Admits a share of the requests, and at least one request of each class and tenant in each starvation
+// interval. Tenants beyond `kMaxAdmissionRecords` records count as one tenant.
 bool LoadShedder::admit_share(const RequestArrival& arrival, double admitted_share, Time now) {
     std::string key = std::to_string(std::uint32_t(arrival.group)) + "/" +
                       std::to_string(arrival.request_class) + "/" +
                       (last_admitted_.size() < kMaxAdmissionRecords ? arrival.tenant : std::string());
-    auto [last, first] = last_admitted_.try_emplace(std::move(key), now);
-    bool starving = first || now - last->second >= settings_.starvation_interval;
-    if (!starving && arrival.draw >= admitted_share) return false;
+    auto [last, is_first] = last_admitted_.try_emplace(std::move(key), now);
+    bool is_starving = is_first || now - last->second >= settings_.starvation_interval;
+    if (!is_starving && arrival.draw >= admitted_share) return false;
     last->second = now;
     return true;
 }
@@ -56,8 +56,8 @@
 }
 
 void LoadShedder::record_utilization(HostId host, double utilization) {
-    auto [it, first] = utilization_.try_emplace(std::uint32_t(host), utilization);
-    if (!first) it->second += kUtilizationGain * (utilization - it->second);
+    auto [it, is_first] = utilization_.try_emplace(std::uint32_t(host), utilization);
+    if (!is_first) it->second += kUtilizationGain * (utilization - it->second);
 }
 
 void LoadShedder::replace_classes(std::vector<Demand> classes) {
@@ -66,21 +66,22 @@
     admitted_shares_.clear();
 }
 
-// A pooler knows its own traffic and the utilization of hosts. What they can do for it is then its own work
-// there over their utilization: a replica at one half, with work w of this pooler, could do 2 w of it, if all
-// poolers' traffic grew alike, as it does when a site is lost.
+// A pooler knows its own traffic and the utilization of hosts. It takes its own work at a host divided by the
+// utilization of the host as the capacity that it can use: a replica at utilization 0.5 with work w of this
+// pooler could do work 2 w. This holds if the traffic of all poolers grows alike, as it does when a site is
+// lost.
 PlanInput LoadShedder::plan_input(const std::vector<Host>& hosts, Time now) const {
     PlanInput input;
     input.hosts = hosts;
     input.protected_classes = settings_.protected_classes;
     input.max_utilization = settings_.max_utilization;
     input.min_class_share = settings_.min_class_share;
-    std::map<GroupId, GroupWork> work;
-    std::map<GroupId, unsigned> replicas;
+    std::map<GroupId, GroupWork> work_by_group;
+    std::map<GroupId, unsigned> replica_counts;
     for (const Host& host : hosts) {
-        replicas[host.group] += host.ready && !host.primary;
-        auto [group_work, first] = work.try_emplace(host.group);
-        if (!first) continue;
+        replica_counts[host.group] += host.ready && !host.primary;
+        auto [group_work, is_first] = work_by_group.try_emplace(host.group);
+        if (!is_first) continue;
         for (std::size_t index = 0; index < classes_.size(); ++index) {
             auto flow = flows_.find(flow_key(host.group, index));
             if (flow == flows_.end()) continue;
@@ -94,10 +95,10 @@
     }
     for (Host& host : input.hosts) {
         auto utilization = utilization_.find(std::uint32_t(host.id));
-        const GroupWork& group_work = work[host.group];
-        double own_work =
-            host.primary ? group_work.primary : group_work.replicas / std::max(1u, replicas[host.group]);
-        // A host that reports nothing is taken to have capacity for everything.
+        const GroupWork& group_work = work_by_group[host.group];
+        double own_work = host.primary ? group_work.primary
+                                       : group_work.replicas / std::max(1u, replica_counts[host.group]);
+        // A host that reports no utilization is assumed to have unlimited capacity.
         host.capacity = utilization == utilization_.end()
                             ? kUnlimitedCapacity
                             : own_work / std::clamp(utilization->second, kMinUtilization, 1.0);
--- a/src/site/max_min_fairness.cpp
+++ b/src/site/max_min_fairness.cpp
@@ -13,7 +13,8 @@
         total_weight += demand.weight;
     }
     if (total_rate <= capacity) return std::numeric_limits<double>::infinity();
-    // The smallest demands for their weight are satisfied first; what they leave is for the others.
+    // Demands with the smallest rate for their weight are satisfied first. The others share the remaining
+    // capacity.
     std::sort(demands.begin(), demands.end(), [](const WeightedDemand& a, const WeightedDemand& b) {
         return a.rate / a.weight < b.rate / b.weight;
     });
@@ -30,7 +31,7 @@
     return demand.rate <= 0 ? 1 : std::min(1.0, demand.weight * level / demand.rate);
 }
 
-double weight_of(const std::map<std::string, double>& weights, const std::string& tenant) {
+double tenant_weight(const std::map<std::string, double>& weights, const std::string& tenant) {
     auto it = weights.find(tenant);
     return it == weights.end() ? 1 : it->second;
 }
--- a/src/site/max_min_fairness.hpp
+++ b/src/site/max_min_fairness.hpp
@@ -1,4 +1,4 @@
-// Max-min fairness by water filling: how a limited rate is divided among weighted demands. Pure arithmetic.
+// Max-min fairness by water filling: divides a limited rate among weighted demands.
 // Source: D. Bertsekas, R. Gallager, Data Networks, 2nd ed., section 6.5.2.
 #pragma once
 
@@ -9,18 +9,18 @@
 namespace indigovane::site {
 
 struct WeightedDemand {
-    double rate = 0;    // requests a second
-    double weight = 1;  // above 0
+    double rate = 0;    // requests per second
+    double weight = 1;  // must be above 0
 };
 
-// The level at which each demand gets min(rate, weight x level) and all together get `capacity` (requests a
-// second). Infinite where all demands fit.
+// Returns the level at which each demand gets min(rate, weight x level) and their sum is `capacity`, in
+// requests per second. Infinite if all demands fit.
 double fair_level(std::vector<WeightedDemand> demands, double capacity);
 
-// The part of a demand that is satisfied at that level, from 0 to 1.
+// Returns the share of a demand that is satisfied at a level of fair_level(), from 0 to 1.
 double satisfied_share(const WeightedDemand& demand, double level);
 
-// A tenant's weight: 1 for a tenant without one.
-double weight_of(const std::map<std::string, double>& weights, const std::string& tenant);
+// Returns the weight of a tenant. A tenant that is not in `weights` has weight 1.
+double tenant_weight(const std::map<std::string, double>& weights, const std::string& tenant);
 
 }  // namespace indigovane::site
--- a/src/site/recovery_ramp.cpp
+++ b/src/site/recovery_ramp.cpp
@@ -6,26 +6,27 @@
 
 namespace {
 
-// Part of the ramp, from 0 to 1, within which a group's hosts are readmitted.
+// Interval of the ramp in which the hosts of a group are readmitted. 0 is the start of the ramp, 1 its end.
 struct Interval {
     double begin = 0;
     double end = 1;
 };
 
-// By load ratio. An interval begins at half of the part of all hosts that come before it and ends at half of
-// the part that comes after: hosts of loaded groups come early, no interval is shorter than half of the ramp,
-// and it is the full ramp where all ratios are equal.
+// Returns the interval of each load ratio. Let b be the share of all hosts with a higher ratio and a the
+// share with a lower one: the interval is from b / 2 to 1 - a / 2. Hosts of loaded groups therefore come
+// early, no interval is shorter than half of the ramp, and the interval is the full ramp if all ratios are
+// equal.
 std::map<double, Interval, std::greater<>> readmission_intervals(
     const std::vector<Host>& hosts, const std::function<double(GroupId)>& load_ratio) {
     std::map<double, double, std::greater<>> hosts_by_ratio;
     for (const Host& host : hosts) ++hosts_by_ratio[load_ratio(host.group)];
     std::map<double, Interval, std::greater<>> intervals;
     auto total = double(hosts.size());
-    double before = 0;
+    double hosts_before = 0;
     for (const auto& [ratio, count] : hosts_by_ratio) {
-        double after = total - before - count;
-        intervals[ratio] = {0.5 * before / total, 1 - 0.5 * after / total};
-        before += count;
+        double hosts_after = total - hosts_before - count;
+        intervals[ratio] = {0.5 * hosts_before / total, 1 - 0.5 * hosts_after / total};
+        hosts_before += count;
     }
     return intervals;
 }
@@ -35,7 +36,7 @@
 void RecoveryRamp::start(const std::vector<Host>& hosts, const std::function<double(GroupId)>& load_ratio,
                          const Parameters& parameters, const std::function<double()>& draw, Time now) {
     excluded_.clear();
-    probes_ = parameters.probes;
+    requires_answer_ = parameters.requires_answer;
     auto intervals = readmission_intervals(hosts, load_ratio);
     for (const Host& host : hosts) {
         double drawn = draw();
@@ -47,22 +48,22 @@
 }
 
 void RecoveryRamp::record_answer(HostId host) {
-    if (auto it = excluded_.find(host); it != excluded_.end()) it->second.answered = true;
+    if (auto it = excluded_.find(host); it != excluded_.end()) it->second.has_answered = true;
 }
 
-RecoveryRamp::Due RecoveryRamp::take_due(Time now, Duration probe_interval) {
-    Due due;
+RecoveryRamp::DueHosts RecoveryRamp::take_due_hosts(Time now, Duration probe_interval) {
+    DueHosts due_hosts;
     for (auto& [host, readmission] : excluded_) {
         if (now < readmission.due) continue;
-        if (!probes_ || readmission.answered) {
-            due.readmit.push_back(host);
-        } else if (!readmission.probed || now - *readmission.probed >= probe_interval) {
-            readmission.probed = now;
-            due.probe.push_back(host);
+        if (!requires_answer_ || readmission.has_answered) {
+            due_hosts.to_readmit.push_back(host);
+        } else if (!readmission.last_probe || now - *readmission.last_probe >= probe_interval) {
+            readmission.last_probe = now;
+            due_hosts.to_probe.push_back(host);
         }
     }
-    for (HostId host : due.readmit) excluded_.erase(host);
-    return due;
+    for (HostId host : due_hosts.to_readmit) excluded_.erase(host);
+    return due_hosts;
 }
 
 }  // namespace indigovane::site
--- a/src/site/site_health.cpp
+++ b/src/site/site_health.cpp
@@ -6,7 +6,7 @@
 namespace indigovane::site {
 
 namespace {
-// Doubled with each loss after the first.
+// Doubles `initial` with each loss after the first, up to `max`.
 Duration exponential_backoff(Duration initial, Duration max, unsigned losses) {
     Duration duration = initial;
     for (unsigned i = 1; i < losses && duration < max; ++i) duration *= 2;
@@ -22,12 +22,13 @@
     return is_lost(state) || state == SiteState::drained;
 }
 
-// Answers from before the loss do not count against it: most of a site's hosts have been sent nothing since.
-// That the unanswered work was sent `unresponsive_after` ago matters as much as when it ended: a shorter
-// pause of the network loses no site.
+// Hosts that answered before the loss do not prevent it: most hosts of a site have been sent nothing since.
+// The time counts from the last answer or, if there is none, from when the unanswered work was sent. When
+// that work ended is not enough: a network pause shorter than `unresponsive_after` must not lose a site.
 bool SiteHealthTracker::is_unresponsive(const SiteEvidence& evidence, Time now) const {
-    auto of_those_in_use = unsigned(std::ceil(settings_.lost_share * double(evidence.in_use)));
-    unsigned required = std::max(std::min(evidence.hosts, settings_.min_unresponsive_hosts), of_those_in_use);
+    auto required_of_hosts_in_use = unsigned(std::ceil(settings_.lost_share * double(evidence.in_use)));
+    unsigned required =
+        std::max(std::min(evidence.hosts, settings_.min_unresponsive_hosts), required_of_hosts_in_use);
     if (evidence.hosts == 0 || evidence.newly_unresponsive < std::max(1u, required)) return false;
     return now - evidence.last_answer.value_or(*evidence.unresponsive_since) >= settings_.unresponsive_after;
 }
@@ -46,12 +47,12 @@
     health.excluded_until =
         now + exponential_backoff(settings_.min_exclusion, settings_.max_exclusion, health.losses);
     health.last_confirmed = now;
-    health.restarted = state == SiteState::lost && evidence.resetting * 2 > evidence.unresponsive;
-    health.warm = state == SiteState::partitioned;
+    health.has_restarted = state == SiteState::lost && evidence.resetting * 2 > evidence.unresponsive;
+    health.is_warm = state == SiteState::partitioned;
 }
 
-StateChange SiteHealthTracker::enter(SiteId site, SiteState state, Time now, const SiteEvidence& evidence,
-                                     const char* reason) {
+StateChange SiteHealthTracker::enter_state(SiteId site, SiteState state, Time now,
+                                           const SiteEvidence& evidence, const char* reason) {
     SiteHealth& health = sites_[site];
     StateChange change{site, health.state, state, evidence, reason};
     if (is_lost(state) && !is_lost(health.state)) {
@@ -59,9 +60,9 @@
         answers_.erase(site);
     }
     if (state == SiteState::recovering) {
-        Duration initial = health.restarted ? settings_.restart_ramp
-                           : health.warm    ? settings_.warm_ramp
-                                            : settings_.default_ramp;
+        Duration initial = health.has_restarted ? settings_.restart_ramp
+                           : health.is_warm     ? settings_.warm_ramp
+                                                : settings_.default_ramp;
         health.ramp = exponential_backoff(initial, settings_.max_ramp, health.losses);
     }
     health.state = state;
@@ -70,49 +71,54 @@
     return change;
 }
 
-SiteHealthTracker::Survey SiteHealthTracker::survey(const ContactEvidence& evidence, Time now,
-                                                    Duration response_timeout) {
-    Survey survey;
+SiteHealthTracker::FleetEvidence SiteHealthTracker::collect_evidence(const ContactEvidence& evidence,
+                                                                     Time now, Duration response_timeout) {
+    FleetEvidence fleet;
     for (SiteId site : evidence.sites()) {
-        SiteEvidence sum = evidence.of_site(site, now, settings_.evidence_window, response_timeout);
-        bool lost = is_unresponsive(sum, now) || is_lost(sites_[site].state);
-        (lost ? survey.unresponsive_hosts : survey.answering_hosts) += sum.hosts;
-        // An answer from before the others became unresponsive says nothing about this pooler's own link.
-        if (!lost && sum.last_answer && now - *sum.last_answer < settings_.unresponsive_after)
-            survey.any_answer = true;
-        if (!lost && sum.unresponsive == 0) survey.any_unused = true;
-        survey.sites[site] = sum;
+        SiteEvidence site_evidence = evidence.of_site(site, now, settings_.evidence_window, response_timeout);
+        bool is_unavailable = is_unresponsive(site_evidence, now) || is_lost(sites_[site].state);
+        (is_unavailable ? fleet.unresponsive_hosts : fleet.answering_hosts) += site_evidence.hosts;
+        // An older answer may have arrived before the other sites became unresponsive. It is no evidence that
+        // this pooler's own link works.
+        if (!is_unavailable && site_evidence.last_answer &&
+            now - *site_evidence.last_answer < settings_.unresponsive_after)
+            fleet.has_answering_site = true;
+        if (!is_unavailable && site_evidence.unresponsive == 0) fleet.has_unsuspected_site = true;
+        fleet.sites[site] = site_evidence;
     }
-    return survey;
+    return fleet;
 }
 
-// With no site answering, none is lost. Where a site has had nothing to answer it is open which of the two it
-// is, and the evidence is retained: a pooler with a few requests a second has such moments all the time.
-bool SiteHealthTracker::is_uplink_down(const Survey& survey, Time now) const {
-    if (!settings_.detect_own_faults || survey.any_answer || survey.unresponsive_hosts == 0) return false;
-    if (!uplink_down_ && survey.any_unused) return false;
-    return std::any_of(survey.sites.begin(), survey.sites.end(),
+// If no site answers, the own link is down and no site is lost. If a site that is not lost has no
+// unresponsive host, the fault may be at the other sites or on the own link. The link is then not declared
+// down, and the evidence is retained: a pooler with a few requests per second is in this situation often.
+bool SiteHealthTracker::is_uplink_down(const FleetEvidence& fleet, Time now) const {
+    if (!settings_.detect_own_faults || fleet.has_answering_site || fleet.unresponsive_hosts == 0)
+        return false;
+    if (!uplink_down_ && fleet.has_unsuspected_site) return false;
+    return std::any_of(fleet.sites.begin(), fleet.sites.end(),
                        [&](const auto& site) { return is_unresponsive(site.second, now); });
 }
 
 std::vector<StateChange> SiteHealthTracker::evaluate(const ContactEvidence& evidence, Time now,
                                                      Duration response_timeout) {
-    Survey current = survey(evidence, now, response_timeout);
-    std::erase_if(sites_, [&](const auto& site) { return !current.sites.count(site.first); });
-    std::erase_if(answers_, [&](const auto& site) { return !current.sites.count(site.first); });
-
-    bool was_down = std::exchange(uplink_down_, is_uplink_down(current, now));
-    // What was unanswered while the link was down says nothing about any site: the caller discards it first.
-    if (was_down && !uplink_down_) {
+    FleetEvidence fleet = collect_evidence(evidence, now, response_timeout);
+    std::erase_if(sites_, [&](const auto& site) { return !fleet.sites.count(site.first); });
+    std::erase_if(answers_, [&](const auto& site) { return !fleet.sites.count(site.first); });
+
+    bool was_uplink_down = std::exchange(uplink_down_, is_uplink_down(fleet, now));
+    // Contacts unanswered while the link was down are no evidence about any site. The caller discards them
+    // before the next evaluation.
+    if (was_uplink_down && !uplink_down_) {
         uplink_recovered_ = true;
         return {};
     }
     std::vector<StateChange> changes;
-    for (const auto& [site, sum] : current.sites) {
+    for (const auto& [site, site_evidence] : fleet.sites) {
         SiteState state = sites_[site].state;
         if (state == SiteState::drained) continue;
-        auto change =
-            is_lost(state) ? evaluate_lost(site, sum, now) : evaluate_present(site, sum, current, now);
+        auto change = is_lost(state) ? evaluate_lost(site, site_evidence, now)
+                                     : evaluate_not_lost(site, site_evidence, fleet, now);
         if (change) changes.push_back(*change);
     }
     return changes;
@@ -130,30 +136,33 @@
     if (now < health.excluded_until) return std::nullopt;
     unsigned required = std::max(1u, std::min(settings_.min_recovered_hosts, evidence.hosts));
     if (answers.size() >= required)
-        return enter(site, SiteState::recovering, now, evidence, "hosts answer again");
+        return enter_state(site, SiteState::recovering, now, evidence, "hosts of the site answer again");
     if (now - health.last_confirmed > settings_.unconfirmed_loss_timeout)
-        return enter(site, SiteState::recovering, now, evidence, "the verdict has lapsed");
+        return enter_state(site, SiteState::recovering, now, evidence,
+                           "no recent evidence confirms the loss of the site");
     return std::nullopt;
 }
 
-std::optional<StateChange> SiteHealthTracker::evaluate_present(SiteId site, const SiteEvidence& evidence,
-                                                               const Survey& survey, Time now) {
-    if (is_unresponsive(evidence, now) && survey.any_answer) {
-        // Most hosts answer: it is that site. Most are unresponsive: it may as well be this pooler's side.
-        if (survey.unresponsive_hosts > survey.answering_hosts)
-            return enter(site, SiteState::partitioned, now, evidence,
-                         "silent, as most hosts are to this pooler");
-        bool resets = evidence.resetting > evidence.unresponsive / 2;
-        return enter(site, SiteState::lost, now, evidence,
-                     resets ? "its hosts refuse or reset" : "its hosts are silent");
+std::optional<StateChange> SiteHealthTracker::evaluate_not_lost(SiteId site, const SiteEvidence& evidence,
+                                                                const FleetEvidence& fleet, Time now) {
+    if (is_unresponsive(evidence, now) && fleet.has_answering_site) {
+        // If most hosts are unresponsive, the fault may be on this pooler's side.
+        if (fleet.unresponsive_hosts > fleet.answering_hosts)
+            return enter_state(site, SiteState::partitioned, now, evidence,
+                               "neither the site nor most other hosts answer this pooler");
+        bool is_resetting = evidence.resetting > evidence.unresponsive / 2;
+        return enter_state(site, SiteState::lost, now, evidence,
+                           is_resetting ? "hosts of the site refuse or reset connections"
+                                        : "hosts of the site do not answer");
     }
     SiteState state = sites_[site].state;
-    if (state == SiteState::recovering) return std::nullopt;  // ends by complete_recovery() or a relapse
+    if (state == SiteState::recovering) return std::nullopt;  // ended by complete_recovery() or a relapse
     if (state == SiteState::reachable && is_degraded(evidence) && !uplink_down_)
-        return enter(site, SiteState::degraded, now, evidence, "several of its hosts are silent");
-    // Hysteresis: it ends where unresponsive hosts are few, not where they are a little fewer.
+        return enter_state(site, SiteState::degraded, now, evidence,
+                           "several hosts of the site do not answer");
+    // Hysteresis: the state ends at half of the share at which it begins.
     if (state == SiteState::degraded && evidence.unresponsive_share() < settings_.degraded_share / 2)
-        return enter(site, SiteState::reachable, now, evidence, "its hosts answer");
+        return enter_state(site, SiteState::reachable, now, evidence, "hosts of the site answer");
     return std::nullopt;
 }
 
@@ -165,18 +174,18 @@
 std::optional<StateChange> SiteHealthTracker::complete_recovery(SiteId site, Time now) {
     auto it = sites_.find(site);
     if (it == sites_.end() || it->second.state != SiteState::recovering) return std::nullopt;
-    return enter(site, SiteState::reachable, now, {}, "all of its hosts are in use");
+    return enter_state(site, SiteState::reachable, now, {}, "all hosts of the site are in use");
 }
 
 std::optional<StateChange> SiteHealthTracker::drain(SiteId site, bool drained, Time now) {
     SiteHealth& health = sites_[site];
     if (drained == (health.state == SiteState::drained)) return std::nullopt;
-    if (!drained && !health.drain_ordered) return std::nullopt;
-    health.drain_ordered = drained;
-    health.warm = true;
-    health.restarted = false;
-    if (drained) return enter(site, SiteState::drained, now, {}, "operators sent its load away");
-    return enter(site, SiteState::recovering, now, {}, "operators let it back");
+    if (!drained && !health.is_drain_ordered) return std::nullopt;
+    health.is_drain_ordered = drained;
+    health.is_warm = true;
+    health.has_restarted = false;
+    if (drained) return enter_state(site, SiteState::drained, now, {}, "operators drained the site");
+    return enter_state(site, SiteState::recovering, now, {}, "operators ended the drain of the site");
 }
 
 const SiteHealth& SiteHealthTracker::of_site(SiteId site) const {
@@ -190,7 +199,7 @@
     return it != answers_.end() && !it->second.empty();
 }
 
-bool SiteHealthTracker::any_fault() const {
+bool SiteHealthTracker::has_any_fault() const {
     return std::any_of(sites_.begin(), sites_.end(),
                        [](const auto& site) { return site.second.state != SiteState::reachable; });
 }
--- a/src/site/site_manager.cpp
+++ b/src/site/site_manager.cpp
@@ -6,11 +6,14 @@
 namespace indigovane::site {
 
 namespace {
-constexpr Duration kFaultInterval = milliseconds(50);  // between evaluations while anything is unresponsive
-constexpr Duration kIdleInterval = seconds(1);         // else: evidence ages, rates decay
-constexpr double kLatencyGain = 0.02;                  // weight of an answer in the usual latency
-
-bool same_classes(const std::vector<Demand>& a, const std::vector<Demand>& b) {
+// Time between evaluations while a host is unresponsive or a site has a fault.
+constexpr Duration kFaultInterval = milliseconds(50);
+// Time between evaluations otherwise. They are needed because evidence ages and rates decay.
+constexpr Duration kIdleInterval = seconds(1);
+// Weight of one answer in the average latency.
+constexpr double kLatencyGain = 0.02;
+
+bool are_classes_equal(const std::vector<Demand>& a, const std::vector<Demand>& b) {
     return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](const Demand& x, const Demand& y) {
         return x.request_class == y.request_class && x.priority_weight == y.priority_weight &&
                x.primary == y.primary;
@@ -23,19 +26,19 @@
       context_(std::move(context)),
       draw_(std::move(draw)),
       health_(settings),
-      prober_(settings, draw_),
+      probe_scheduler_(settings, draw_),
       shedder_(settings, context_.classes),
       retry_budget_(settings) {}
 
 void SiteManager::update_settings(const Settings& settings, FleetContext context) {
-    bool same = same_classes(context.classes, context_.classes);
+    bool are_classes_unchanged = are_classes_equal(context.classes, context_.classes);
     settings_ = settings;
     context_ = std::move(context);
     health_.update_settings(settings);
-    prober_.update_settings(settings);
+    probe_scheduler_.update_settings(settings);
     shedder_.update_settings(settings);
     retry_budget_.update_settings(settings);
-    if (!same) shedder_.replace_classes(context_.classes);
+    if (!are_classes_unchanged) shedder_.replace_classes(context_.classes);
     plan_outdated_ = true;
 }
 
@@ -47,8 +50,8 @@
     for (const Host& host : hosts) {
         listed.insert(host.id);
         auto before = started_before.find(host.id);
-        bool known = before != started_before.end();
-        update_listed_host(host, known, known ? before->second : std::nullopt, now);
+        bool was_listed = before != started_before.end();
+        update_listed_host(host, was_listed, was_listed ? before->second : std::nullopt, now);
     }
     for (auto& [site, ramp] : ramps_)
         for (const auto& [id, started] : started_before)
@@ -59,32 +62,33 @@
     next_evaluation_ = now;
 }
 
-void SiteManager::update_listed_host(const Host& host, bool known, std::optional<Time> started_before,
+void SiteManager::update_listed_host(const Host& host, bool was_listed, std::optional<Time> started_before,
                                      Time now) {
     if (!is_site_excluded(host.site)) return;
-    bool restarted = known && host.started && started_before != host.started;
-    // A start since the loss, as told by discovery, is as good as an answer.
-    if (restarted && *host.started > health_.of_site(host.site).since) {
-        if (mostly_restarted(host.site)) health_.mark_restarted(host.site);
+    bool has_restarted = was_listed && host.started && started_before != host.started;
+    // A restart after the loss, as the endpoint list reports it, counts as an answer.
+    if (has_restarted && *host.started > health_.of_site(host.site).since) {
+        if (has_mostly_restarted(host.site)) health_.mark_restarted(host.site);
         health_.record_answer(host.site, host.id, now);
     }
-    // The list may describe a host from before its site was lost: a new one stays excluded until recovery.
-    if (settings_.exclude && !known && excluded_.insert(host.id).second)
+    // The list may describe a new host as it was before its site was lost. The host stays excluded until the
+    // site recovers.
+    if (settings_.exclude && !was_listed && excluded_.insert(host.id).second)
         actions_.push_back(ExcludeHost{host.id});
 }
 
-// One host may restart during a partition by coincidence: the others need no slow start then, and that one
-// has it by the endpoint list.
-bool SiteManager::mostly_restarted(SiteId site) const {
+// A single host may restart by coincidence during a partition. The other hosts then need no slow start, and
+// the endpoint list gives that host its slow start.
+bool SiteManager::has_mostly_restarted(SiteId site) const {
     Time since = health_.of_site(site).since;
-    unsigned ready = 0;
-    unsigned restarted = 0;
+    unsigned ready_count = 0;
+    unsigned restarted_count = 0;
     for (const Host& host : evidence_.hosts()) {
         if (host.site != site || !host.ready) continue;
-        ++ready;
-        restarted += host.started && *host.started > since;
+        ++ready_count;
+        restarted_count += host.started && *host.started > since;
     }
-    return restarted * 2 >= ready;
+    return restarted_count * 2 >= ready_count;
 }
 
 void SiteManager::record_primary(HostId id) {
@@ -102,8 +106,9 @@
 
 void SiteManager::record_sent(HostId host, Time now) {
     evidence_.record_sent(host, now);
-    bool confirms = settings_.confirmation_probes > 0;
-    schedule_evaluation(now + (confirms ? settings_.unresponsive_after / 2 : settings_.unresponsive_after));
+    bool sends_confirmations = settings_.confirmation_probes > 0;
+    schedule_evaluation(
+        now + (sends_confirmations ? settings_.unresponsive_after / 2 : settings_.unresponsive_after));
 }
 
 void SiteManager::schedule_evaluation(Time at) {
@@ -112,12 +117,12 @@
 
 void SiteManager::record_latency(GroupId group, std::size_t request_class, Duration latency) {
     shedder_.record_latency(group, request_class, latency);
-    usual_latency_us_ += kLatencyGain * (double(latency.count()) - usual_latency_us_);
+    average_latency_us_ += kLatencyGain * (double(latency.count()) - average_latency_us_);
 }
 
 Duration SiteManager::response_timeout() const {
-    Duration of_usual(std::int64_t(usual_latency_us_ * settings_.response_timeout_multiple));
-    return std::max(settings_.unresponsive_after, of_usual);
+    Duration multiple_of_average(std::int64_t(average_latency_us_ * settings_.response_timeout_multiple));
+    return std::max(settings_.unresponsive_after, multiple_of_average);
 }
 
 bool SiteManager::admit(const RequestArrival& arrival, Time now) {
@@ -127,7 +132,7 @@
 }
 
 bool SiteManager::may_retry() {
-    if (!settings_.limit_retries || !health_.any_fault()) return true;
+    if (!settings_.limit_retries || !health_.has_any_fault()) return true;
     if (retry_budget_.spend()) return true;
     ++retries_denied_;
     return false;
@@ -144,22 +149,22 @@
 }
 
 SiteActions SiteManager::evaluate(Time now) {
-    // Called much later than asked for: this process was paused, or its machine. What it did not receive
-    // meanwhile is no evidence: no site is lost before new evidence has arrived.
-    bool paused = next_evaluation_ && now - *next_evaluation_ > settings_.process_pause_threshold;
-    if (settings_.detect_own_faults && paused) evidence_.discard_unanswered(now);
+    // If the call comes much later than requested, this process or its machine was paused. Answers missed
+    // during the pause are no evidence, so no site is lost before new evidence has arrived.
+    bool was_paused = next_evaluation_ && now - *next_evaluation_ > settings_.process_pause_threshold;
+    if (settings_.detect_own_faults && was_paused) evidence_.discard_unanswered(now);
     for (const StateChange& change : std::exchange(operator_changes_, {})) apply(change, now);
     for (const StateChange& change : health_.evaluate(evidence_, now, response_timeout())) apply(change, now);
     if (health_.take_uplink_recovered()) evidence_.discard_unanswered(now);
     send_probes(now);
     advance_ramps(now);
     if (std::exchange(plan_outdated_, false)) update_plan(now);
-    bool fault = health_.any_fault() || !ramps_.empty() || any_unresponsive_host(now);
-    next_evaluation_ = now + (fault ? kFaultInterval : kIdleInterval);
+    bool has_fault = health_.has_any_fault() || !ramps_.empty() || has_unresponsive_host(now);
+    next_evaluation_ = now + (has_fault ? kFaultInterval : kIdleInterval);
     return std::exchange(actions_, {});
 }
 
-bool SiteManager::any_unresponsive_host(Time now) const {
+bool SiteManager::has_unresponsive_host(Time now) const {
     std::vector<SiteId> sites = evidence_.sites();
     return std::any_of(sites.begin(), sites.end(), [&](SiteId site) {
         return evidence_.of_site(site, now, settings_.evidence_window, response_timeout()).unresponsive > 0;
@@ -172,15 +177,16 @@
 
 void SiteManager::send_probes(Time now) {
     if (settings_.confirmation_probes > 0 && context_.probes)
-        for (HostId host : prober_.confirmation_probes(probe_view(), now))
+        for (HostId host : probe_scheduler_.confirmation_probes(probe_view(), now))
             actions_.push_back(ProbeHost{host});
     for (const auto& [site, health] : health_.sites()) {
         if (!is_lost(health.state)) continue;
         if (context_.probes) {
-            if (auto host = prober_.recovery_probe(probe_view(), site, now))
+            if (auto host = probe_scheduler_.recovery_probe(probe_view(), site, now))
                 actions_.push_back(ProbeHost{*host});
-        } else if (auto host = prober_.recovery_trial(probe_view(), site, now)) {
-            // A request has to find out: one host is readmitted, and the one before it excluded again.
+        } else if (auto host = probe_scheduler_.recovery_trial(probe_view(), site, now)) {
+            // Probes are not allowed, so a client's request tests the site: one host is readmitted, and the
+            // host of the previous trial is excluded again.
             exclude_site(site, now);
             readmit(*host, false, now);
         }
@@ -189,11 +195,11 @@
 
 void SiteManager::advance_ramps(Time now) {
     for (auto it = ramps_.begin(); it != ramps_.end();) {
-        auto due = it->second.take_due(now, settings_.probe_interval);
-        for (HostId host : due.probe) actions_.push_back(ProbeHost{host});
-        bool restarted = health_.of_site(it->first).restarted;
-        for (HostId host : due.readmit) readmit(host, restarted, now);
-        if (!it->second.finished()) {
+        auto due_hosts = it->second.take_due_hosts(now, settings_.probe_interval);
+        for (HostId host : due_hosts.to_probe) actions_.push_back(ProbeHost{host});
+        bool has_restarted = health_.of_site(it->first).has_restarted;
+        for (HostId host : due_hosts.to_readmit) readmit(host, has_restarted, now);
+        if (!it->second.is_finished()) {
             ++it;
             continue;
         }
@@ -213,8 +219,8 @@
     plan_outdated_ = true;
     switch (change.after) {
         case SiteState::degraded:
-            break;  // the routing policy judges host by host; retries are limited by their budget from here
-                    // on
+            // The routing policy judges each host by itself. The retry budget applies from now on.
+            break;
         case SiteState::lost:
         case SiteState::partitioned:
         case SiteState::drained:
@@ -231,40 +237,40 @@
 
 void SiteManager::exclude_site(SiteId site, Time now) {
     if (!settings_.exclude) return;
-    bool drained = health_.of_site(site).state == SiteState::drained;
+    bool is_drained = health_.of_site(site).state == SiteState::drained;
     for (const Host& host : evidence_.hosts()) {
         if (host.site != site || excluded_.count(host.id)) continue;
         const HostEvidence* evidence = evidence_.of_host(host.id);
-        bool answers = evidence && evidence->last_answer && !evidence->unanswered_since &&
-                       now - *evidence->last_answer < settings_.unresponsive_after;
-        if (!drained && answers) continue;
+        bool is_answering = evidence && evidence->last_answer && !evidence->unanswered_since &&
+                            now - *evidence->last_answer < settings_.unresponsive_after;
+        if (!is_drained && is_answering) continue;
         excluded_.insert(host.id);
-        actions_.push_back(ExcludeHost{host.id, !drained && settings_.abandon_unresponsive});
+        actions_.push_back(ExcludeHost{host.id, !is_drained && settings_.abandon_unresponsive});
     }
 }
 
 void SiteManager::start_recovery(SiteId site, Time now) {
-    std::vector<Host> returning;
-    std::map<GroupId, unsigned> ready;
-    std::map<GroupId, unsigned> excluded;
+    std::vector<Host> recovering_hosts;
+    std::map<GroupId, unsigned> ready_counts;
+    std::map<GroupId, unsigned> excluded_counts;
     for (const Host& host : evidence_.hosts()) {
         if (!host.ready) continue;
-        bool is_excluded = excluded_.count(host.id) > 0;
-        ++ready[host.group];
-        excluded[host.group] += is_excluded;
-        if (host.site == site && is_excluded) returning.push_back(host);
+        bool is_host_excluded = excluded_.count(host.id) > 0;
+        ++ready_counts[host.group];
+        excluded_counts[host.group] += is_host_excluded;
+        if (host.site == site && is_host_excluded) recovering_hosts.push_back(host);
     }
     auto load_ratio = [&](GroupId group) {
-        unsigned in_use = ready[group] - excluded[group];
-        return in_use == 0 ? double(ready[group]) + 1 : double(ready[group]) / in_use;
+        unsigned in_use = ready_counts[group] - excluded_counts[group];
+        return in_use == 0 ? double(ready_counts[group]) + 1 : double(ready_counts[group]) / in_use;
     };
-    // Evidence from before would end the recovery at once.
+    // Evidence from before the recovery would end it at once.
     evidence_.forget_site(site, now);
     RecoveryRamp::Parameters parameters;
     parameters.length = settings_.pace_recovery ? health_.of_site(site).ramp : Duration::zero();
     parameters.initial_share = settings_.initial_share;
-    parameters.probes = context_.probes && settings_.probe_before_readmission;
-    ramps_[site].start(returning, load_ratio, parameters, draw_, now);
+    parameters.requires_answer = context_.probes && settings_.probe_before_readmission;
+    ramps_[site].start(recovering_hosts, load_ratio, parameters, draw_, now);
 }
 
 void SiteManager::readmit_site(SiteId site, Time now) {
@@ -275,9 +281,9 @@
 void SiteManager::readmit(HostId host, bool slow_start, Time now) {
     if (excluded_.erase(host) == 0) return;
     plan_outdated_ = true;
-    // A machine that has lost its process may be back before the list says so.
-    bool from_now = slow_start && settings_.pace_recovery;
-    actions_.push_back(ReadmitHost{host, from_now ? std::optional(now) : std::nullopt});
+    // A restarted host may answer before the endpoint list reports its start.
+    bool starts_slowly = slow_start && settings_.pace_recovery;
+    actions_.push_back(ReadmitHost{host, starts_slowly ? std::optional(now) : std::nullopt});
 }
 
 std::vector<Host> SiteManager::hosts_with_roles() const {
@@ -294,14 +300,15 @@
     return input;
 }
 
-// Hosts that only this pooler can't reach carry all others' load as before, and so do the ones it has left:
-// what it knows of their load says nothing about what they can do for it.
+// Hosts of a partitioned site still carry load of other poolers, and so do the hosts that this pooler still
+// reaches. What this pooler knows of their load does not tell how much they can take over from it. Such hosts
+// therefore do not count as lost in the plan.
 void SiteManager::update_plan(Time now) {
     std::set<HostId> lost;
     for (HostId id : excluded_) {
         const Host* host = evidence_.find_host(id);
-        bool partitioned = host && health_.of_site(host->site).state == SiteState::partitioned;
-        if (settings_.shed_by_plan && host && !partitioned) lost.insert(id);
+        bool is_partitioned = host && health_.of_site(host->site).state == SiteState::partitioned;
+        if (settings_.shed_by_plan && host && !is_partitioned) lost.insert(id);
     }
     shedder_.update_plan(hosts_with_roles(), lost, now);
 }
--- a/src/site/tenant_admission.cpp
+++ b/src/site/tenant_admission.cpp
@@ -7,9 +7,12 @@
 namespace indigovane::site {
 
 namespace {
+// A level is computed anew when it is older than this.
 constexpr Duration kLevelLifetime = milliseconds(200);
-constexpr double kNegligibleRate = 0.01;  // requests a second; such a tenant may be dropped
-const std::string kOtherTenants = std::string("\0others", 7);  // no tenant on the wire has such a name
+// Requests per second. A tenant below this rate may be dropped.
+constexpr double kNegligibleRate = 0.01;
+// Name under which tenants beyond `kMaxTenants` are counted. No tenant on the wire can have it.
+const std::string kOtherTenants = std::string("\0others", 7);
 }  // namespace
 
 TimelinessShares split_by_timeliness(double admitted_share, double late_share) {
@@ -20,7 +23,7 @@
 
 void TenantAdmission::ArrivalRate::decay(Time now) {
     double factor = rate_decay(now - updated);
-    all *= factor;
+    total *= factor;
     late *= factor;
     updated = now;
 }
@@ -30,28 +33,28 @@
     auto it = tenants_.find(tenant);
     if (it == tenants_.end() && tenants_.size() >= kMaxTenants) {
         for (auto& [name, rate] : tenants_) rate.decay(now);
-        std::erase_if(tenants_, [](const auto& entry) { return entry.second.all < kNegligibleRate; });
+        std::erase_if(tenants_, [](const auto& entry) { return entry.second.total < kNegligibleRate; });
         it = tenants_.try_emplace(tenants_.size() >= kMaxTenants ? kOtherTenants : tenant).first;
     } else if (it == tenants_.end()) {
         it = tenants_.try_emplace(tenant).first;
     }
     ArrivalRate& rate = it->second;
     rate.decay(now);
-    rate.all += kRatePerArrival;
+    rate.total += kRatePerArrival;
     if (late) rate.late += kRatePerArrival;
-    rate.weight = weight_of(settings.tenant_shares, tenant);
+    rate.weight = tenant_weight(settings.tenant_shares, tenant);
 }
 
 void TenantAdmission::update_level(double class_share, Time now) {
     if (level_class_share_ == class_share && now - level_updated_ < kLevelLifetime) return;
     std::vector<WeightedDemand> demands;
-    double total = 0;
+    double total_rate = 0;
     for (auto& [tenant, rate] : tenants_) {
         rate.decay(now);
-        demands.push_back({rate.all, rate.weight});
-        total += rate.all;
+        demands.push_back({rate.total, rate.weight});
+        total_rate += rate.total;
     }
-    level_ = fair_level(std::move(demands), class_share * total);
+    level_ = fair_level(std::move(demands), class_share * total_rate);
     level_class_share_ = class_share;
     level_updated_ = now;
 }
@@ -65,10 +68,10 @@
     double share = class_share;
     if (settings.tenant_fairness) {
         update_level(class_share, now);
-        share = satisfied_share({rate.all, rate.weight}, level_);
+        share = satisfied_share({rate.total, rate.weight}, level_);
     }
-    if (!settings.shed_late_first || rate.all <= 0) return share;
-    TimelinessShares shares = split_by_timeliness(share, rate.late / rate.all);
+    if (!settings.shed_late_first || rate.total <= 0) return share;
+    TimelinessShares shares = split_by_timeliness(share, rate.late / rate.total);
     return late ? shares.late : shares.timely;
 }
 
--- a/src/site/types.hpp
+++ b/src/site/types.hpp
@@ -1,8 +1,9 @@
-// Loss and recovery of a site: detection, failover plan, load shedding and recovery ramp. Pure decisions:
-// events with a time go in, actions come out. No I/O, no clock, no thread, no random device: the caller hands
-// in times, which never go back, and uniform draws. One thread at a time per object.
+// Terms that the parts of site failover share. The library detects the loss of a site, plans the failover,
+// sheds load and paces the recovery.
 //
-// This header: the terms that all parts share. Design: docs/site-loss.md.
+// It only takes decisions: the caller passes events with their time and gets actions back. There is no I/O,
+// no clock, no thread and no random generator: the caller passes monotonic times and uniform draws. Each
+// object is used by one thread at a time. Design: docs/site-loss.md.
 #pragma once
 
 #include <chrono>
@@ -29,30 +30,32 @@
     HostId id{};
     SiteId site{};
     GroupId group{};
-    bool ready = true;            // the list allows new work
-    bool primary = false;         // as last known
-    std::optional<Time> started;  // latest start of its process; none: before this pooler's knowledge
-    double capacity = 1;          // of work, in one unit for all hosts of a list
+    bool ready = true;     // the endpoint list allows new work on the host
+    bool primary = false;  // the host was the primary of its group when its role was last seen
+    // Latest start of the host's process. None: it started before this pooler knew the host.
+    std::optional<Time> started;
+    // Work that the host can do, in the same unit for all hosts of a list.
+    double capacity = 1;
 };
 
-// A site's state as this pooler sees it.
+// State of a site as this pooler sees it.
 enum class SiteState : std::uint8_t {
-    reachable,    // answers arrive, or nothing is known
-    degraded,     // several of its hosts are unresponsive, not all
-    lost,         // unresponsive, while most of the fleet's hosts answer
-    partitioned,  // unresponsive, as most hosts are to this pooler: the fault may be on this side
-    drained,      // operators have sent its load elsewhere
-    recovering,   // answers again; its hosts are readmitted along the recovery ramp
+    reachable,    // its hosts answer, or there is no evidence about them
+    degraded,     // several of its hosts are unresponsive, but not all
+    lost,         // it is unresponsive while most hosts of the fleet answer
+    partitioned,  // it is unresponsive, and so are most hosts: the fault may be on this pooler's side
+    drained,      // operators have drained it
+    recovering,   // it answers again, and its hosts are readmitted along the recovery ramp
 };
 
-// The state's name on the control address and in the log.
+// Name of the state in the replies of the control address and in the log.
 const char* state_name(SiteState state);
 
-// How one attempt, health check or connection ended, as evidence about its host.
+// How an attempt, a health check or a connection ended, as evidence about its host.
 enum class ContactResult : std::uint8_t {
-    answered,    // any response, an error or a rejection too
-    unanswered,  // nothing arrived in the time it had, or no connection was established
-    reset,       // connection refused or reset: the machine is there, the process may not be
+    answered,    // the host sent a response; an error or a rejection counts too
+    unanswered,  // no response arrived in time, or no connection was established
+    reset,       // the connection was refused or reset: the machine runs, its process may not
 };
 
 }  // namespace indigovane::site
--- a/tests/site/contact_evidence_test.cpp
+++ b/tests/site/contact_evidence_test.cpp
@@ -74,7 +74,7 @@
 
     CHECK(!evidence.of_host(HostId{0}));
     REQUIRE(evidence.of_host(HostId{1}));
-    CHECK(evidence.of_host(HostId{1})->unanswered == 1);
+    CHECK(evidence.of_host(HostId{1})->unanswered_contacts == 1);
 }
 
 }  // namespace
--- a/tests/site/recovery_ramp_test.cpp
+++ b/tests/site/recovery_ramp_test.cpp
@@ -33,10 +33,10 @@
         hosts_of_groups({0, 0}), equal_load, {seconds(4), 0.05, false}, [&] { return draws[drawn++]; },
         kStart);
 
-    CHECK(ramp.take_due(kStart, kProbeInterval).readmit == std::vector{HostId{0}});
-    CHECK(ramp.take_due(kStart + milliseconds(1999), kProbeInterval).readmit.empty());
-    CHECK(ramp.take_due(kStart + seconds(2), kProbeInterval).readmit == std::vector{HostId{1}});
-    CHECK(ramp.finished());
+    CHECK(ramp.take_due_hosts(kStart, kProbeInterval).to_readmit == std::vector{HostId{0}});
+    CHECK(ramp.take_due_hosts(kStart + milliseconds(1999), kProbeInterval).to_readmit.empty());
+    CHECK(ramp.take_due_hosts(kStart + seconds(2), kProbeInterval).to_readmit == std::vector{HostId{1}});
+    CHECK(ramp.is_finished());
 }
 
 TEST_CASE("recovery ramp: hosts of the groups with the highest load ratio come first") {
@@ -45,8 +45,8 @@
     ramp.start(
         hosts_of_groups({0, 1}), load_ratio, {seconds(4), 0, false}, [] { return 0.0; }, kStart);
 
-    CHECK(ramp.take_due(kStart, kProbeInterval).readmit == std::vector{HostId{1}});
-    CHECK(ramp.take_due(kStart + seconds(1), kProbeInterval).readmit == std::vector{HostId{0}});
+    CHECK(ramp.take_due_hosts(kStart, kProbeInterval).to_readmit == std::vector{HostId{1}});
+    CHECK(ramp.take_due_hosts(kStart + seconds(1), kProbeInterval).to_readmit == std::vector{HostId{0}});
 }
 
 TEST_CASE("recovery ramp: with probes a host is readmitted after an answer, and probed once an interval") {
@@ -54,11 +54,11 @@
     ramp.start(
         hosts_of_groups({0}), equal_load, {seconds(4), 0, true}, [] { return 0.0; }, kStart);
 
-    CHECK(ramp.take_due(kStart, kProbeInterval).probe == std::vector{HostId{0}});
-    CHECK(ramp.take_due(kStart + kProbeInterval / 2, kProbeInterval).probe.empty());
-    CHECK(ramp.take_due(kStart + kProbeInterval, kProbeInterval).probe == std::vector{HostId{0}});
+    CHECK(ramp.take_due_hosts(kStart, kProbeInterval).to_probe == std::vector{HostId{0}});
+    CHECK(ramp.take_due_hosts(kStart + kProbeInterval / 2, kProbeInterval).to_probe.empty());
+    CHECK(ramp.take_due_hosts(kStart + kProbeInterval, kProbeInterval).to_probe == std::vector{HostId{0}});
     ramp.record_answer(HostId{0});
-    CHECK(ramp.take_due(kStart + kProbeInterval, kProbeInterval).readmit == std::vector{HostId{0}});
+    CHECK(ramp.take_due_hosts(kStart + kProbeInterval, kProbeInterval).to_readmit == std::vector{HostId{0}});
 }
 
 }  // namespace
--- a/tests/site/site_test.cpp
+++ b/tests/site/site_test.cpp
@@ -20,7 +20,7 @@
         CHECK(fixture.state_of(1) == SiteState::lost);
         CHECK(fixture.excluded_of(1) == 6);
         CHECK(fixture.excluded.size() == 6);
-        CHECK(fixture.manager.health().of_site(SiteId{1}).restarted == resets);
+        CHECK(fixture.manager.health().of_site(SiteId{1}).has_restarted == resets);
         CHECK(fixture.manager.health().of_site(SiteId{1}).evidence.newly_unresponsive >= 3);
     }
 }
--- a/tests/site/tenant_admission_test.cpp
+++ b/tests/site/tenant_admission_test.cpp
@@ -57,7 +57,7 @@
     for (int i = 0; i < 5000; ++i)
         many.record_arrival("t" + std::to_string(i), false, settings, Time(seconds(1)));
     CHECK(many.admitted_share("t4999", false, 0.5, settings, Time(seconds(1))) < 0.5);
-    CHECK(many.tenants() <= TenantAdmission::kMaxTenants + 1);
+    CHECK(many.tenant_count() <= TenantAdmission::kMaxTenants + 1);
 }
 
 }  // namespace
