--- a/src/program/site_command.cpp
+++ b/src/program/site_command.cpp
@@ -48,7 +48,7 @@
         of_group.rate = demand.per_second * part;
         for (const auto& [name, rate] : demand.tenants) of_group.tenants[name] = rate * part;
         of_group.cost = double(demand.work.count()) / 1e6;  // seconds
-        input.demand.push_back(std::move(of_group));
+        input.demands.push_back(std::move(of_group));
     }
 }
 
@@ -105,7 +105,7 @@
     if (sites.demand.empty())
         throw ConfigError(path, "a plan needs [[demand]]: what each class asks for, and what it costs");
     site::PlanInput input = plan_input(config, sites, path);
-    input.lost = lost_sites(config, values["lose"].as<std::vector<std::string>>());
+    input.lost_sites = lost_sites(config, values["lose"].as<std::vector<std::string>>());
     return site::make_plan(input);
 }
 
--- a/src/program/site_text.cpp
+++ b/src/program/site_text.cpp
@@ -43,7 +43,7 @@
 }
 
 bool is_shed(const site::AdmittedShare& share) {
-    return share.admitted < 1;
+    return share.admitted_share < 1;
 }
 
 ordered_json groups_json(const site::Plan& plan) {
@@ -52,8 +52,8 @@
         ordered_json json;
         json["group"] = std::uint32_t(id);
         json["primary_lost"] = group.primary_lost;
-        json["moved"] = rounded(group.moved);
-        json["refused"] = rounded(group.shed);
+        json["moved"] = rounded(group.moved_work);
+        json["refused"] = rounded(group.shed_work);
         json["strain"] = rounded(group.load_ratio);
         groups.push_back(std::move(json));
     }
@@ -68,7 +68,7 @@
         json["rank"] = share.rank;
         json["class"] = share.request_class;
         json["group"] = std::uint32_t(share.group);
-        json["let_in"] = rounded(share.admitted);
+        json["let_in"] = rounded(share.admitted_share);
         for (const auto& [tenant, part] : share.tenants) json["tenants"][tenant] = rounded(part);
         shed.push_back(std::move(json));
     }
@@ -83,9 +83,9 @@
         json["host"] = host_name(host.host);
         json["zone"] = zone_name(zones, host.site);
         json["group"] = std::uint32_t(host.group);
-        json["lost"] = host.lost;
-        json["before"] = rounded(host.before);
-        json["after"] = rounded(host.after);
+        json["lost"] = host.is_lost;
+        json["before"] = rounded(host.load_before);
+        json["after"] = rounded(host.load_after);
         if (host.capacity < kUnlimitedCapacity) json["capacity"] = rounded(host.capacity);
         hosts.push_back(std::move(json));
     }
@@ -96,7 +96,8 @@
     std::string out = "group  primary            work moved  work refused  a replica's load\n";
     for (const auto& [id, group] : plan.groups)
         out += line("%-6u %-18s %10.2f  %12.2f  %10.2f times\n", std::uint32_t(id),
-                    group.primary_lost ? "lost: waits" : "stays", group.moved, group.shed, group.load_ratio);
+                    group.primary_lost ? "lost: waits" : "stays", group.moved_work, group.shed_work,
+                    group.load_ratio);
     return out;
 }
 
@@ -107,7 +108,7 @@
         if (!is_shed(share)) continue;
         any = true;
         out += line("%-6u %-20s %5u  %5.1f%%\n", share.rank, share.request_class.c_str(),
-                    std::uint32_t(share.group), share.admitted * 100);
+                    std::uint32_t(share.group), share.admitted_share * 100);
         for (const auto& [tenant, part] : share.tenants)
             out += line("         tenant %-24s %5.1f%%\n", tenant.c_str(), part * 100);
     }
@@ -116,8 +117,8 @@
 }
 
 std::string utilization_text(const site::HostLoad& host) {
-    if (host.lost) return "lost";
-    return host.capacity > 0 ? line("%.0f%%", host.after / host.capacity * 100) : "";
+    if (host.is_lost) return "lost";
+    return host.capacity > 0 ? line("%.0f%%", host.load_after / host.capacity * 100) : "";
 }
 
 std::string hosts_text(const site::Plan& plan, const std::vector<std::string>& zones,
@@ -126,7 +127,7 @@
     for (const site::HostLoad& host : plan.hosts)
         out += line("%-20s %-12s %5u  %-8s %8.2f %8.2f  %s\n", host_name(host.host).c_str(),
                     zone_name(zones, host.site).c_str(), std::uint32_t(host.group),
-                    host.primary ? "primary" : "replica", host.before, host.after,
+                    host.primary ? "primary" : "replica", host.load_before, host.load_after,
                     utilization_text(host).c_str());
     return out;
 }
@@ -184,8 +185,8 @@
                          site::Time now) {
     ordered_json json;
     json["own_link_down"] = manager.health().uplink_down();
-    json["hosts_out"] = manager.excluded_hosts();
-    json["refused"] = manager.rejected();
+    json["hosts_out"] = manager.excluded_host_count();
+    json["refused"] = manager.rejected_requests();
     json["repeats_held_back"] = manager.retries_denied();
     json["sites"] = ordered_json::array();
     for (site::SiteId id : manager.evidence().sites())
--- a/src/routing/site_controller.cpp
+++ b/src/routing/site_controller.cpp
@@ -87,7 +87,7 @@
         site::Demand demand;
         if (demands.size() < names.size()) demand.request_class = names[demands.size()];
         auto consistency = class_settings.consistency.value_or(Consistency::write);
-        demand.primary = consistency == Consistency::write || consistency == Consistency::fresh;
+        demand.needs_primary = consistency == Consistency::write || consistency == Consistency::fresh;
         demand.priority_weight = class_settings.priority_weight.value_or(1);
         demands.push_back(std::move(demand));
     }
--- a/src/site/failover_plan.cpp
+++ b/src/site/failover_plan.cpp
@@ -61,7 +61,7 @@
             Members& after = after_[host.group];
             if (!is_lost(host)) after.add(host);
         }
-        for (const Demand& demand : input_.demand) demand_[demand.group].push_back(&demand);
+        for (const Demand& demand : input_.demands) demand_[demand.group].push_back(&demand);
     }
 
     Plan build() {
@@ -81,7 +81,7 @@
     };
 
     bool is_lost(const Host& host) const {
-        return input_.lost.count(host.site) > 0 || input_.excluded.count(host.id) > 0;
+        return input_.lost_sites.count(host.site) > 0 || input_.excluded_hosts.count(host.id) > 0;
     }
 
     void plan_group(GroupId group, Members& after) {
@@ -108,10 +108,10 @@
         bool has_lost_member = before.primary != after.primary;
         double capacity = after.primary ? after.primary->capacity : 0;
         auto [offered, admitted] = admit({planned.group, true, has_lost_member, capacity});
-        planned.shed += offered - admitted;
+        planned.shed_work += offered - admitted;
         if (before.primary) load_before_[before.primary] += offered;
         if (after.primary) load_after_[after.primary] += admitted;
-        if (has_lost_member) planned.moved += admitted;
+        if (has_lost_member) planned.moved_work += admitted;
     }
 
     // Each replica gets the same load, because the random selection of replicas ignores capacities.
@@ -121,11 +121,11 @@
         bool has_lost_member = before.replicas.size() != after.replicas.size();
         auto [offered, admitted] =
             admit({planned.group, false, has_lost_member, planned.replica_capacity_after});
-        planned.shed += offered - admitted;
+        planned.shed_work += offered - admitted;
         for (const Host* host : before.replicas) load_before_[host] += offered / count_before;
         for (const Host* host : after.replicas) load_after_[host] += admitted / count_after;
         double staying_work = before.replicas.empty() ? 0 : offered * count_after / count_before;
-        planned.moved += std::max(0.0, admitted - staying_work);
+        planned.moved_work += std::max(0.0, admitted - staying_work);
         if (!after.replicas.empty()) planned.load_ratio = count_before / count_after;
     }
 
@@ -139,7 +139,7 @@
         std::vector<const Demand*> demands;
         Work work;
         for (const Demand* demand : demand_[role.group]) {
-            if (demand->primary != role.primary) continue;
+            if (demand->needs_primary != role.primary) continue;
             demands.push_back(demand);
             work.offered += demand->work();
         }
@@ -182,7 +182,7 @@
     // Entries of the same class in several groups have the same rank.
     void rank_shares() {
         auto demand_of = [&](const AdmittedShare& share) -> const Demand& {
-            return *std::find_if(input_.demand.begin(), input_.demand.end(), [&](const Demand& demand) {
+            return *std::find_if(input_.demands.begin(), input_.demands.end(), [&](const Demand& demand) {
                 return demand.group == share.group && demand.request_class == share.request_class;
             });
         };
@@ -223,7 +223,7 @@
 
 double Plan::admitted_share(GroupId group, const std::string& request_class) const {
     for (const AdmittedShare& share : shares)
-        if (share.group == group && share.request_class == request_class) return share.admitted;
+        if (share.group == group && share.request_class == request_class) return share.admitted_share;
     return 1;
 }
 
--- a/src/site/failover_plan.hpp
+++ b/src/site/failover_plan.hpp
@@ -19,9 +19,9 @@
 struct Demand {
     GroupId group{};
     std::string request_class;
-    bool primary = false;  // only the primary of the group can serve the class
-    double rate = 0;       // requests per second
-    double cost = 0;       // seconds of work per request
+    bool needs_primary = false;  // only the primary of the group can serve the class
+    double rate = 0;             // requests per second
+    double cost = 0;             // seconds of work per request
     double priority_weight = 1;
     std::map<std::string, double> tenants = {};  // requests per second by tenant; empty: unknown
     // Seconds of work per second.
@@ -30,9 +30,9 @@
 
 struct PlanInput {
     std::vector<Host> hosts;  // Host::capacity is in seconds of work per second
-    std::vector<Demand> demand;
-    std::set<SiteId> lost;
-    std::set<HostId> excluded;                    // hosts of other sites that are lost too
+    std::vector<Demand> demands;
+    std::set<SiteId> lost_sites;
+    std::set<HostId> excluded_hosts;              // hosts of other sites that are lost too
     std::vector<std::string> protected_classes;   // classes that are shed last, the most protected one first
     double max_utilization = 0.8;                 // maximum load of a host as a share of its capacity
     double min_class_share = 0.05;                // share of each class that is admitted before any gets more
@@ -45,20 +45,20 @@
     SiteId site{};
     GroupId group{};
     bool primary = false;
-    bool lost = false;
+    bool is_lost = false;
     double capacity = 0;
-    double before = 0;
-    double after = 0;
+    double load_before = 0;
+    double load_after = 0;
 };
 
 // The share of one class that is admitted at one group.
 struct AdmittedShare {
     GroupId group{};
     std::string request_class;
-    bool primary = false;
+    bool needs_primary = false;
     unsigned rank = 0;                      // order of shedding; rank 0 is shed first
-    double demanded = 0;                    // requests per second
-    double admitted = 1;                    // share of the demanded requests, from 0 to 1
+    double demanded_rate = 0;               // requests per second
+    double admitted_share = 1;              // part of the demanded requests that is admitted, from 0 to 1
     std::map<std::string, double> tenants;  // admitted share of each tenant's requests
 };
 
@@ -68,8 +68,8 @@
     bool primary_lost = false;  // writes wait until the successor of the primary is known
     double replica_capacity_before = 0;
     double replica_capacity_after = 0;
-    double moved = 0;  // admitted work that moves to other hosts
-    double shed = 0;   // work that no host takes
+    double moved_work = 0;  // admitted work that moves to other hosts
+    double shed_work = 0;   // work that no host takes
     // Load of a remaining replica as a multiple of its load before the loss, if nothing is shed.
     double load_ratio = 1;
 };
--- a/src/site/load_shedder.cpp
+++ b/src/site/load_shedder.cpp
@@ -32,7 +32,7 @@
     flow.tenants.record_arrival(arrival.tenant, is_late, settings_, now);
     double share = flow.tenants.admitted_share(arrival.tenant, is_late, class_share->second, settings_, now);
     if (admit_share(arrival, share, now)) return true;
-    ++rejected_;
+    ++rejected_requests_;
     return false;
 }
 
@@ -89,8 +89,9 @@
             demand.group = host.group;
             demand.rate = current_rate(flow->second, now);
             demand.cost = std::max(kMinCost, flow->second.cost);
-            (demand.primary ? group_work->second.primary : group_work->second.replicas) += demand.work();
-            input.demand.push_back(std::move(demand));
+            (demand.needs_primary ? group_work->second.primary : group_work->second.replicas) +=
+                demand.work();
+            input.demands.push_back(std::move(demand));
         }
     }
     for (Host& host : input.hosts) {
@@ -115,14 +116,14 @@
         return;
     }
     PlanInput input = plan_input(hosts, now);
-    input.excluded = excluded;
+    input.excluded_hosts = excluded;
     for (const AdmittedShare& share : make_plan(input).shares) {
-        if (share.admitted >= 1) continue;
+        if (share.admitted_share >= 1) continue;
         auto request_class = std::find_if(classes_.begin(), classes_.end(), [&](const Demand& demand) {
             return demand.request_class == share.request_class;
         });
         auto index = std::size_t(request_class - classes_.begin());
-        admitted_shares_[flow_key(share.group, index)] = share.admitted;
+        admitted_shares_[flow_key(share.group, index)] = share.admitted_share;
         shedding_ = true;
     }
 }
--- a/src/site/load_shedder.hpp
+++ b/src/site/load_shedder.hpp
@@ -44,7 +44,7 @@
     void replace_classes(std::vector<Demand> classes);
 
     // Number of requests rejected since the start.
-    std::uint64_t rejected() const { return rejected_; }
+    std::uint64_t rejected_requests() const { return rejected_requests_; }
     // Input for a plan from the present rates, costs and utilizations. The capacity of a host is the part of
     // it that this pooler can use.
     PlanInput plan_input(const std::vector<Host>& hosts, Time now) const;
@@ -78,7 +78,7 @@
         admitted_shares_;  // by flow; a flow that is not in the map is admitted in full
     std::unordered_map<std::string, Time> last_admitted_;  // by group, class and tenant
     bool shedding_ = false;
-    std::uint64_t rejected_ = 0;
+    std::uint64_t rejected_requests_ = 0;
 };
 
 }  // namespace indigovane::site
--- a/src/site/site_manager.cpp
+++ b/src/site/site_manager.cpp
@@ -16,7 +16,7 @@
 bool are_classes_equal(const std::vector<Demand>& a, const std::vector<Demand>& b) {
     return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](const Demand& x, const Demand& y) {
         return x.request_class == y.request_class && x.priority_weight == y.priority_weight &&
-               x.primary == y.primary;
+               x.needs_primary == y.needs_primary;
     });
 }
 }  // namespace
@@ -176,12 +176,12 @@
 }
 
 void SiteManager::send_probes(Time now) {
-    if (settings_.confirmation_probes > 0 && context_.probes)
+    if (settings_.confirmation_probes > 0 && context_.may_probe)
         for (HostId host : probe_scheduler_.confirmation_probes(probe_view(), now))
             actions_.push_back(ProbeHost{host});
     for (const auto& [site, health] : health_.sites()) {
         if (!is_lost(health.state)) continue;
-        if (context_.probes) {
+        if (context_.may_probe) {
             if (auto host = probe_scheduler_.recovery_probe(probe_view(), site, now))
                 actions_.push_back(ProbeHost{*host});
         } else if (auto host = probe_scheduler_.recovery_trial(probe_view(), site, now)) {
@@ -269,7 +269,7 @@
     RecoveryRamp::Parameters parameters;
     parameters.length = settings_.pace_recovery ? health_.of_site(site).ramp : Duration::zero();
     parameters.initial_share = settings_.initial_share;
-    parameters.requires_answer = context_.probes && settings_.probe_before_readmission;
+    parameters.requires_answer = context_.may_probe && settings_.probe_before_readmission;
     ramps_[site].start(recovering_hosts, load_ratio, parameters, draw_, now);
 }
 
@@ -296,7 +296,7 @@
 
 PlanInput SiteManager::plan_input(const std::set<SiteId>& lost, Time now) const {
     PlanInput input = shedder_.plan_input(hosts_with_roles(), now);
-    input.lost = lost;
+    input.lost_sites = lost;
     return input;
 }
 
--- a/src/site/site_manager.hpp
+++ b/src/site/site_manager.hpp
@@ -48,8 +48,8 @@
 
 // Facts about the fleet from the platform's settings.
 struct FleetContext {
-    unsigned poolers = 1;  // number of poolers in the fleet
-    bool probes = false;   // health checks may be sent
+    unsigned poolers = 1;    // number of poolers in the fleet
+    bool may_probe = false;  // health checks may be sent
     // One entry for each class index: name, priority weight, and whether the class needs the primary.
     std::vector<Demand> classes;
 };
@@ -98,9 +98,9 @@
     // Input for a plan of the loss of `lost` sites.
     PlanInput plan_input(const std::set<SiteId>& lost, Time now) const;
     // Number of hosts that are excluded now.
-    std::size_t excluded_hosts() const { return excluded_.size(); }
+    std::size_t excluded_host_count() const { return excluded_.size(); }
     // Number of requests rejected by load shedding since the start.
-    std::uint64_t rejected() const { return shedder_.rejected(); }
+    std::uint64_t rejected_requests() const { return shedder_.rejected_requests(); }
     // Number of calls of may_retry() since the start that returned false.
     std::uint64_t retries_denied() const { return retries_denied_; }
 
--- a/tests/site/failover_plan_test.cpp
+++ b/tests/site/failover_plan_test.cpp
@@ -19,9 +19,9 @@
         host.capacity = 5;
         input.hosts.push_back(host);
     }
-    input.demand = {{kGroup, "view", false, reads, 0.05, 1},
-                    {kGroup, "own", false, reads / 2, 0.05, 3},
-                    {kGroup, "book", true, writes, 0.1, 6}};
+    input.demands = {{kGroup, "view", false, reads, 0.05, 1},
+                     {kGroup, "own", false, reads / 2, 0.05, 3},
+                     {kGroup, "book", true, writes, 0.1, 6}};
     return input;
 }
 
@@ -29,43 +29,44 @@
     "plan: remaining hosts get what they can carry, beyond that the priority weight for the cost decides") {
     PlanInput input = input_of(100, 10);  // 7.5 of work on three replicas of five
     Plan without_loss = make_plan(input);
-    for (const AdmittedShare& share : without_loss.shares) CHECK(share.admitted == 1);
-    for (const HostLoad& host : without_loss.hosts) CHECK(host.after == doctest::Approx(host.before));
-    input.lost = {SiteId{1}};
+    for (const AdmittedShare& share : without_loss.shares) CHECK(share.admitted_share == 1);
+    for (const HostLoad& host : without_loss.hosts)
+        CHECK(host.load_after == doctest::Approx(host.load_before));
+    input.lost_sites = {SiteId{1}};
     Plan one_lost = make_plan(input);  // 7.5 on two replicas: 8 are within the maximal utilization
     CHECK(one_lost.admitted_share(kGroup, "view") == 1);
-    CHECK(one_lost.hosts[1].after == doctest::Approx(3.75));
-    CHECK(one_lost.hosts[2].after == 0);
-    CHECK(one_lost.groups[kGroup].moved == doctest::Approx(2.5));
+    CHECK(one_lost.hosts[1].load_after == doctest::Approx(3.75));
+    CHECK(one_lost.hosts[2].load_after == 0);
+    CHECK(one_lost.groups[kGroup].moved_work == doctest::Approx(2.5));
     CHECK(one_lost.groups[kGroup].load_ratio == doctest::Approx(1.5));
-    input.lost = {SiteId{1}, SiteId{2}};
+    input.lost_sites = {SiteId{1}, SiteId{2}};
     Plan two_lost = make_plan(input);  // 4 of 7.5: all of the more valuable 2.5, of the other 5 the rest
     CHECK(two_lost.admitted_share(kGroup, "own") == doctest::Approx(1));
     CHECK(two_lost.admitted_share(kGroup, "view") == doctest::Approx(0.3));
     CHECK(two_lost.shares.front().request_class == "view");
-    CHECK(two_lost.groups[kGroup].shed == doctest::Approx(3.5));
+    CHECK(two_lost.groups[kGroup].shed_work == doctest::Approx(3.5));
     input.protected_classes = {"view"};
     CHECK(make_plan(input).admitted_share(kGroup, "view") > 0.7);  // as operators say
     for (const HostLoad& host : two_lost.hosts)
-        CHECK(host.after <= input.max_utilization * host.capacity + 1e-9);
+        CHECK(host.load_after <= input.max_utilization * host.capacity + 1e-9);
 }
 
 TEST_CASE(
     "plan: a lost primary's work goes to its successor, whose reads the others take; no class loses all") {
     PlanInput input = input_of(60, 10);
-    input.lost = {SiteId{0}};
+    input.lost_sites = {SiteId{0}};
     Plan plan = make_plan(input);
     CHECK(plan.groups[kGroup].primary_lost);
     CHECK(plan.admitted_share(kGroup, "book") == 1);
     double reads = 0;
-    for (const HostLoad& host : plan.hosts) reads += host.after;
+    for (const HostLoad& host : plan.hosts) reads += host.load_after;
     CHECK(reads == doctest::Approx(4 + 1));  // one replica at maximal utilization, and the writes
     input = input_of(10000, 10);
-    input.lost = {SiteId{1}, SiteId{2}};
+    input.lost_sites = {SiteId{1}, SiteId{2}};
     CHECK(make_plan(input).admitted_share(kGroup, "view") ==
           doctest::Approx(input.min_class_share * 4 / (input.min_class_share * 750)));
-    input.lost = {SiteId{0}, SiteId{1}, SiteId{2}};
-    for (const AdmittedShare& share : make_plan(input).shares) CHECK(share.admitted == 0);
+    input.lost_sites = {SiteId{0}, SiteId{1}, SiteId{2}};
+    for (const AdmittedShare& share : make_plan(input).shares) CHECK(share.admitted_share == 0);
 }
 
 TEST_CASE("plan: classes are shed by priority weight for their cost, protected ones last") {
--- a/tests/site/load_shedder_test.cpp
+++ b/tests/site/load_shedder_test.cpp
@@ -37,7 +37,7 @@
     CHECK(shedder.admit(arrival_with_draw(0.99), kStart));  // the first one
     CHECK(!shedder.admit(arrival_with_draw(0.99), kStart));
     CHECK(shedder.admit(arrival_with_draw(0.99), kStart + Settings{}.starvation_interval));
-    CHECK(shedder.rejected() == 1);
+    CHECK(shedder.rejected_requests() == 1);
 
     shedder.update_plan(primary_and_two_replicas(), {}, kStart);
     CHECK(shedder.admit(arrival_with_draw(0.99), kStart));
--- a/tests/site/site_fixture.hpp
+++ b/tests/site/site_fixture.hpp
@@ -59,7 +59,7 @@
         std::vector<Demand> classes(2);
         classes[0].request_class = "read";
         classes[1].request_class = "write";
-        classes[1].primary = true;
+        classes[1].needs_primary = true;
         classes[1].priority_weight = 6;
         return classes;
     }
--- a/tests/site/site_test.cpp
+++ b/tests/site/site_test.cpp
@@ -243,7 +243,7 @@
     CHECK(admitted > 450);  // 0.8 of one replica over 1.4
     CHECK(admitted < 680);
     CHECK(of_rare_tenant >= 5);  // one in two seconds at the least
-    CHECK(fixture.manager.rejected() > 300);
+    CHECK(fixture.manager.rejected_requests() > 300);
 }
 
 }  // namespace
