--- a/src/limits/fair_queue.cpp
+++ b/src/limits/fair_queue.cpp
@@ -6,16 +6,18 @@
 namespace indigovane::limits {
 
 namespace {
-// Within a tenant, where both lanes have queued requests; by QueuedRequest::privileged.
+// Weights of the two lanes of a tenant while both have queued requests. The index is
+// QueuedRequest::is_privileged.
 constexpr std::array<double, 2> kLaneWeights{1, 3};
-// Tenants without a weight of their own have a flow each up to this many where no weights are configured at
-// all, else one flow together. Guards against a client that takes a new name, and so a new share, for each
-// request.
+// If no weights are configured, each tenant has its own flow up to this number of flows, and further tenants
+// share one flow. If weights are configured, all tenants without a weight share one flow. This guards against
+// a client that uses a new tenant name, and so gets a new share, for each request.
 constexpr std::size_t kMaxUnnamedFlows = 64;
+// Idle flows are dropped above this number of flows, in addition to those with a configured weight.
 constexpr std::size_t kRetainedUnnamedFlows = kMaxUnnamedFlows / 2;
-constexpr const char* kSharedFlow = "*";
-constexpr double kMinWeight = 1e-9;
-constexpr std::size_t kMinPlaces = 2;
+constexpr const char* kSharedFlow = "*";  // name of the flow that tenants share
+constexpr double kMinWeight = 1e-9;       // guards against a division by zero
+constexpr std::size_t kMinQueuedPerFlow = 2;
 
 double queued_per_weight(const Flow& flow, std::size_t queued) {
     return double(queued) / flow.weight;
@@ -28,16 +30,17 @@
 }
 
 Flow& FairQueue::flow(std::string_view tenant) {
-    bool named = settings_.shares.count(std::string(tenant)) > 0;
-    bool any_named = !settings_.shares.empty();
-    if (auto it = flows_.find(tenant); it != flows_.end() && (named || !any_named)) return it->second;
+    bool has_own_weight = settings_.shares.count(std::string(tenant)) > 0;
+    bool are_weights_configured = !settings_.shares.empty();
+    if (auto it = flows_.find(tenant); it != flows_.end() && (has_own_weight || !are_weights_configured))
+        return it->second;
     std::string_view key = tenant;
-    if (!named && (any_named || flows_.size() >= kMaxUnnamedFlows)) key = kSharedFlow;
+    if (!has_own_weight && (are_weights_configured || flows_.size() >= kMaxUnnamedFlows)) key = kSharedFlow;
     auto [it, inserted] = flows_.try_emplace(std::string(key));
     Flow& flow = it->second;
     if (inserted) {
         flow.name = key;
-        flow.weight = named ? weight(tenant) : settings_.other_share;
+        flow.weight = has_own_weight ? weight(tenant) : settings_.other_share;
         flow.virtual_time = virtual_time_;
     }
     return flow;
@@ -64,12 +67,12 @@
 
 void FairQueue::enqueue(QueuedRequest& request) {
     Flow& flow = *request.flow;
-    // Time that a flow or lane was idle earns no credit.
+    // A flow or lane gets no credit for the time in which it was idle.
     if (flow.queued == 0 && flow.in_flight == 0)
         flow.virtual_time = std::max(flow.virtual_time, virtual_time_);
-    Lane& lane = flow.lanes[request.privileged];
-    if (lane.queued.empty()) lane.virtual_time = std::max(lane.virtual_time, flow.lanes_virtual_time);
-    request.place = lane.queued.insert(lane.queued.end(), &request);
+    Lane& lane = flow.lanes[request.is_privileged];
+    if (lane.requests.empty()) lane.virtual_time = std::max(lane.virtual_time, flow.lanes_virtual_time);
+    request.position = lane.requests.insert(lane.requests.end(), &request);
     flow.queued_work += request.charge;
     ++flow.queued;
     ++queued_;
@@ -77,22 +80,23 @@
 
 void FairQueue::remove(QueuedRequest& request) {
     Flow& flow = *request.flow;
-    flow.lanes[request.privileged].queued.erase(request.place);
+    flow.lanes[request.is_privileged].requests.erase(request.position);
     flow.queued_work -= request.charge;
     --flow.queued;
     --queued_;
 }
 
-// By the lanes' virtual times, the first request of a lane that is eligible.
+// Returns the first eligible request of a lane. If both lanes have one, the lane with the lower virtual time
+// goes first.
 QueuedRequest* FairQueue::first_eligible(Flow& flow, bool privileged_only, const Eligible& eligible) {
     QueuedRequest* best = nullptr;
-    for (bool privileged : {true, false}) {
-        if (!privileged && privileged_only) continue;
-        const Lane& lane = flow.lanes[privileged];
-        auto first = std::find_if(lane.queued.begin(), lane.queued.end(),
+    for (bool is_privileged : {true, false}) {
+        if (!is_privileged && privileged_only) continue;
+        const Lane& lane = flow.lanes[is_privileged];
+        auto first = std::find_if(lane.requests.begin(), lane.requests.end(),
                                   [&](const QueuedRequest* request) { return eligible(*request); });
-        if (first == lane.queued.end()) continue;
-        if (!best || lane.virtual_time < flow.lanes[best->privileged].virtual_time) best = *first;
+        if (first == lane.requests.end()) continue;
+        if (!best || lane.virtual_time < flow.lanes[best->is_privileged].virtual_time) best = *first;
     }
     return best;
 }
@@ -101,30 +105,31 @@
     return Duration(std::int64_t(double(settings_.work.count()) * (1 - settings_.reserve)));
 }
 
-// A request of any charge fits where nothing is in flight, so that it is admitted some time.
-bool FairQueue::fits(const QueuedRequest& request, Exhausted& exhausted) const {
-    if (!request.privileged && unprivileged_work_in_flight_.count() > 0 &&
+// A request with any charge fits while nothing is in flight. Without this rule a large request might never be
+// admitted.
+bool FairQueue::fits(const QueuedRequest& request, ExhaustedCapacity& exhausted) const {
+    if (!request.is_privileged && unprivileged_work_in_flight_.count() > 0 &&
         unprivileged_work_in_flight_ + request.charge > unprivileged_capacity()) {
-        exhausted.unprivileged = true;
+        exhausted.is_unprivileged_full = true;
         return false;
     }
     if (in_flight_ > 0 && work_in_flight_ + request.charge > settings_.work) {
-        exhausted.all = true;
+        exhausted.is_full = true;
         return false;
     }
     return true;
 }
 
-QueuedRequest* FairQueue::next(Exhausted& exhausted, const Eligible& eligible) {
+QueuedRequest* FairQueue::next(ExhaustedCapacity& exhausted, const Eligible& eligible) {
     std::vector<Flow*> flows;
     for (auto& [name, flow] : flows_)
         if (flow.queued > 0) flows.push_back(&flow);
     std::sort(flows.begin(), flows.end(),
               [](const Flow* a, const Flow* b) { return a->virtual_time < b->virtual_time; });
     for (Flow* flow : flows) {
-        while (QueuedRequest* request = first_eligible(*flow, exhausted.unprivileged, eligible)) {
+        while (QueuedRequest* request = first_eligible(*flow, exhausted.is_unprivileged_full, eligible)) {
             if (fits(*request, exhausted)) return request;
-            if (exhausted.all) return nullptr;
+            if (exhausted.is_full) return nullptr;
         }
     }
     return nullptr;
@@ -135,11 +140,11 @@
     Flow& flow = *request.flow;
     virtual_time_ = std::max(virtual_time_, flow.virtual_time);
     flow.virtual_time += double(request.charge.count()) / flow.weight;
-    Lane& lane = flow.lanes[request.privileged];
+    Lane& lane = flow.lanes[request.is_privileged];
     flow.lanes_virtual_time = std::max(flow.lanes_virtual_time, lane.virtual_time);
-    lane.virtual_time += double(request.charge.count()) / kLaneWeights[request.privileged];
+    lane.virtual_time += double(request.charge.count()) / kLaneWeights[request.is_privileged];
     work_in_flight_ += request.charge;
-    if (!request.privileged) unprivileged_work_in_flight_ += request.charge;
+    if (!request.is_privileged) unprivileged_work_in_flight_ += request.charge;
     ++flow.in_flight;
     ++in_flight_;
 }
@@ -147,13 +152,13 @@
 void FairQueue::finish(QueuedRequest& request, Duration work) {
     Flow& flow = *request.flow;
     work_in_flight_ -= request.charge;
-    if (!request.privileged) unprivileged_work_in_flight_ -= request.charge;
+    if (!request.is_privileged) unprivileged_work_in_flight_ -= request.charge;
     --flow.in_flight;
     --in_flight_;
     flow.virtual_time += double((work - request.charge).count()) / flow.weight;
 }
 
-QueuedRequest* FairQueue::displaceable(const Flow& newcomer) const {
+QueuedRequest* FairQueue::find_displaceable(const Flow& newcomer) const {
     const Flow* longest = nullptr;
     for (const auto& [name, flow] : flows_)
         if (!longest || queued_per_weight(flow, flow.queued) > queued_per_weight(*longest, longest->queued))
@@ -162,20 +167,21 @@
     if (queued_per_weight(*longest, longest->queued - 1) < queued_per_weight(newcomer, newcomer.queued))
         return nullptr;
     for (const Lane& lane : longest->lanes)
-        if (!lane.queued.empty()) return lane.queued.back();
+        if (!lane.requests.empty()) return lane.requests.back();
     return nullptr;
 }
 
-std::size_t FairQueue::places(const Flow& flow) const {
+std::size_t FairQueue::max_queued(const Flow& flow) const {
     double share = flow.weight / total_weight();
-    return std::max(kMinPlaces, std::size_t(double(settings_.queue) * share));
+    return std::max(kMinQueuedPerFlow, std::size_t(double(settings_.queue) * share));
 }
 
-Duration FairQueue::drain_time(const Flow& flow, double mean_us) const {
+Duration FairQueue::drain_time(const Flow& flow, double mean_duration_us) const {
     auto work = double(flow.queued_work.count());
-    bool idle = flow.queued + flow.in_flight == 0;  // not in the total yet
-    double share = flow.weight / (total_weight() + (idle ? flow.weight : 0));
-    double work_rate = double(settings_.work.count()) / std::max(1.0, mean_us);  // of work, per time
+    bool is_idle = flow.queued + flow.in_flight == 0;  // its weight is not in total_weight()
+    double share = flow.weight / (total_weight() + (is_idle ? flow.weight : 0));
+    double work_rate =
+        double(settings_.work.count()) / std::max(1.0, mean_duration_us);  // work done per unit of time
     return Duration(std::int64_t(work / std::max(kMinWeight, work_rate * share)));
 }
 
--- a/src/limits/heavy_hitters.hpp
+++ b/src/limits/heavy_hitters.hpp
@@ -1,6 +1,6 @@
-// The few keys of the largest weights, in fixed memory (Metwally, Agrawal, El Abbadi: "Space-Saving", 2005).
-// A key's weight is too high by its error at most, and never too low; a key with more than 1/capacity of all
-// weight is always there.
+// Finds the keys with the largest weights in bounded memory (Metwally, Agrawal, El Abbadi: "Space-Saving",
+// 2005). The weight of a key is never too low, and too high by at most its error. A key with more than
+// 1/capacity of the total weight always has a counter.
 #pragma once
 
 #include <algorithm>
@@ -15,11 +15,11 @@
     struct Counter {
         Key key{};
         double weight = 0;
-        double error = 0;
+        double error = 0;  // maximum by which `weight` is too high
     };
     explicit HeavyHitters(std::size_t capacity) : capacity_(capacity) { counters_.reserve(capacity); }
 
-    // Where there is no counter left, the key takes over the smallest one.
+    // Adds `weight` to a key. A new key replaces the key with the smallest weight if all counters are in use.
     void add(const Key& key, double weight) {
         Counter* smallest = nullptr;
         for (Counter& counter : counters_) {
@@ -37,14 +37,14 @@
         smallest->weight += weight;
         smallest->key = key;
     }
-    // Called from time to time: a key that was heavy long ago gives way.
+    // Halves all weights. Called periodically, so that keys that are no longer heavy are replaced.
     void halve() {
         for (Counter& counter : counters_) {
             counter.weight /= 2;
             counter.error /= 2;
         }
     }
-    // At most `limit`, the largest weight first.
+    // Returns at most `limit` counters, the largest weight first.
     std::vector<Counter> top(std::size_t limit) const {
         std::vector<Counter> counters = counters_;
         std::sort(counters.begin(), counters.end(),
--- a/src/limits/limiter.cpp
+++ b/src/limits/limiter.cpp
@@ -7,7 +7,7 @@
 namespace {
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(20);
 constexpr Duration kInitialMeanDuration = std::chrono::milliseconds(20);
-constexpr double kMeanWeight = 0.05;  // of one request in a group's mean duration
+constexpr double kMeanWeight = 0.05;  // weight of one request in the mean duration of a group
 constexpr std::size_t kMaxGroups = 256;
 constexpr Duration kHeavyHittersHalfLife = std::chrono::seconds(10);
 }  // namespace
@@ -18,17 +18,18 @@
     std::uint32_t number;
     FairQueue queue;
     GroupOutcomes outcomes;
-    double mean_us = double(kInitialMeanDuration.count());  // of requests that ended lately
-    bool due = false;  // something has changed: release() has to look at the queue
+    double mean_duration_us = double(kInitialMeanDuration.count());  // of requests that ended recently
+    // The state has changed since the last release(), so that the next one must check the queue.
+    bool needs_release = false;
 };
 
 struct Limiter::Request : QueuedRequest {
     Arrival arrival;
     Group* group = nullptr;
-    Time started{};  // in flight since then
-    Time expires{};  // of a queued one
+    Time started{};  // when the request was admitted; before that, when it arrived
+    Time expires{};  // when a queued request is rejected
     bool is_queued = false;
-    bool is_probe = false;  // of a quarantined shape
+    bool is_probe = false;  // a probe of a quarantined shape
 };
 
 const char* name(RejectionCause cause) {
@@ -46,7 +47,8 @@
 
 Limiter::Group& Limiter::group(std::uint32_t number) {
     if (auto it = groups_.find(number); it != groups_.end()) return *it->second;
-    // Clients name groups: idle ones are forgotten, or they would grow without bound.
+    // Clients choose group numbers. Idle groups are dropped, because their number would otherwise grow
+    // without bound.
     if (groups_.size() > kMaxGroups)
         std::erase_if(groups_, [](const auto& item) {
             const FairQueue& queue = item.second->queue;
@@ -78,7 +80,7 @@
     ShapeCost shape_cost = cost(request, now);
     if (shape_cost.state == ShapeState::quarantined) {
         if (!may_probe(request, shape_cost, now)) return reject(request, RejectionCause::quarantined, now);
-        costs_.probe_admitted(arrival.shape, now);
+        costs_.record_probe(arrival.shape, now);
         request.is_probe = true;
         ++counts_.probes;
     }
@@ -94,14 +96,14 @@
     Group& target = group(arrival.group);
     request->group = &target;
     request->flow = &target.queue.flow(arrival.tenant);
-    request->privileged = arrival.privileged;
+    request->is_privileged = arrival.privileged;
     request->arrival = arrival;
-    request->arrival.tenant = request->flow->name;  // the caller's text ends with the call
+    request->arrival.tenant = request->flow->name;  // the caller's string is valid only during the call
     request->started = now;
     return *request;
 }
 
-// One at a time, when the next probe is due.
+// Admits one probe of a quarantined shape at a time in each group, when the next probe is due.
 bool Limiter::may_probe(const Request& request, const ShapeCost& cost, Time now) const {
     return now >= cost.next_probe_at &&
            shapes_in_flight_.count(request.group->number, request.arrival.shape) == 0;
@@ -110,13 +112,13 @@
 void Limiter::set_charge(Request& request, const ShapeCost& cost, Time now) {
     Duration half_of_time_left = std::max(Duration::zero(), (request.arrival.deadline - now) / 2);
     request.expires = now + std::min(settings_.wait, half_of_time_left);
-    // No charge may be so large that there would never be capacity for it.
-    auto largest = Duration(std::int64_t(double(settings_.work.count()) * (1 - settings_.reserve) / 2));
-    request.charge = std::clamp(cost.mean, Duration(1), std::max(Duration(1), largest));
+    // A larger charge might never fit into the capacity.
+    auto max_charge = Duration(std::int64_t(double(settings_.work.count()) * (1 - settings_.reserve) / 2));
+    request.charge = std::clamp(cost.mean, Duration(1), std::max(Duration(1), max_charge));
 }
 
-// Adds it to the queue, from where it may be admitted at once. Others may be as well: they are given by
-// release(), which is due at once then.
+// Adds the request to the queue, from where it may be admitted at once. Returns whether it was admitted.
+// Other queued requests may be admitted too: release() returns their decisions and is then due at once.
 bool Limiter::dispatch_arrival(Request& request, Time now) {
     Group& group = *request.group;
     group.queue.enqueue(request);
@@ -127,7 +129,7 @@
     for (const AdmissionDecision& decision : admitted) {
         if (decision.id == request.arrival.id) continue;
         pending_decisions_.push_back(decision);
-        group.due = true;
+        group.needs_release = true;
     }
     return !request.is_queued;
 }
@@ -147,25 +149,26 @@
     const FairQueue& queue = request.group->queue;
     const Flow& flow = *request.flow;
     if (queue.queued() > settings_.queue) return RejectionCause::queue_full;
-    if (flow.queued > queue.places(flow)) return RejectionCause::share_full;
-    Duration ahead = std::min(queue.drain_time(flow, request.group->mean_us), settings_.wait);
-    if (request.expires <= now || now + ahead + request.charge > request.arrival.deadline)
+    if (flow.queued > queue.max_queued(flow)) return RejectionCause::share_full;
+    Duration queueing_time =
+        std::min(queue.drain_time(flow, request.group->mean_duration_us), settings_.wait);
+    if (request.expires <= now || now + queueing_time + request.charge > request.arrival.deadline)
         return RejectionCause::deadline_unreachable;
     return RejectionCause::none;
 }
 
-// Guards a tenant that becomes active against a queue that others have filled beyond their shares.
+// Makes room for a tenant that becomes active when other tenants have filled the queue beyond their shares.
 void Limiter::displace(Group& group, const Flow& newcomer, Time now) {
-    QueuedRequest* last = group.queue.displaceable(newcomer);
-    if (!last) return;
+    QueuedRequest* displaced = group.queue.find_displaceable(newcomer);
+    if (!displaced) return;
     pending_decisions_.push_back(
-        reject_queued(static_cast<Request&>(*last), RejectionCause::share_full, now));
+        reject_queued(static_cast<Request&>(*displaced), RejectionCause::share_full, now));
 }
 
 // ---- the queue -----------------------------------------------------------------------------------
 
 void Limiter::dispatch_queued(Group& group, Time now, std::vector<AdmissionDecision>& decisions) {
-    FairQueue::Exhausted exhausted;
+    FairQueue::ExhaustedCapacity exhausted;
     FairQueue::Eligible eligible = [this, now](const QueuedRequest& queued) {
         const auto& request = static_cast<const Request&>(queued);
         return request.is_probe || !is_capped(request, now);
@@ -200,8 +203,8 @@
     pending_decisions_.clear();
     reject_expired(now, decisions);
     for (auto& [number, group] : groups_) {
-        bool due = std::exchange(group->due, false);
-        if (!due || group->queue.queued() == 0) continue;
+        bool needs_release = std::exchange(group->needs_release, false);
+        if (!needs_release || group->queue.queued() == 0) continue;
         reject_quarantined(*group, now, decisions);
         dispatch_queued(*group, now, decisions);
     }
@@ -210,7 +213,7 @@
 std::optional<Time> Limiter::next() const {
     if (!pending_decisions_.empty()) return Time::min();
     for (const auto& [number, group] : groups_)
-        if (group->due && group->queue.queued() > 0) return Time::min();
+        if (group->needs_release && group->queue.queued() > 0) return Time::min();
     if (expiry_.empty()) return std::nullopt;
     auto [expires, id] = expiry_.begin()->first;
     return expires;
@@ -221,15 +224,15 @@
 void Limiter::reject_expired(Time now, std::vector<AdmissionDecision>& decisions) {
     while (!expiry_.empty() && expiry_.begin()->first.first <= now) {
         Request& request = *expiry_.begin()->second;
-        request.group->due = true;
+        request.group->needs_release = true;
         decisions.push_back(reject_queued(request, RejectionCause::queue_timeout, now));
     }
 }
 
-// What is queued and whose shape has been quarantined since will not be admitted.
+// Rejects queued requests whose shape was quarantined while they were queued, except probes.
 void Limiter::reject_quarantined(Group& group, Time now, std::vector<AdmissionDecision>& decisions) {
     std::vector<Request*> quarantined;
-    group.queue.each_queued([&](QueuedRequest& queued) {
+    group.queue.visit_queued([&](QueuedRequest& queued) {
         auto& request = static_cast<Request&>(queued);
         if (!request.is_probe && cost(request, now).state == ShapeState::quarantined)
             quarantined.push_back(&request);
@@ -253,21 +256,21 @@
 
 Duration Limiter::retry_after(const Request& request, RejectionCause cause, Time now) const {
     const Group& group = *request.group;
-    Duration after =
-        cause == RejectionCause::quarantined
-            ? cost(request, now).next_probe_at - now
-            : group.queue.drain_time(*request.flow, group.mean_us) + Duration(std::int64_t(group.mean_us));
-    return std::clamp(after, kMinRetryAfter, std::max(kMinRetryAfter, settings_.max_retry_after));
+    Duration delay = cause == RejectionCause::quarantined
+                         ? cost(request, now).next_probe_at - now
+                         : group.queue.drain_time(*request.flow, group.mean_duration_us) +
+                               Duration(std::int64_t(group.mean_duration_us));
+    return std::clamp(delay, kMinRetryAfter, std::max(kMinRetryAfter, settings_.max_retry_after));
 }
 
-// ---- ends ----------------------------------------------------------------------------------------
+// ---- ended requests ------------------------------------------------------------------------------
 
 void Limiter::finish(std::uint64_t id, Outcome outcome, std::uint64_t bytes, Time now) {
     auto it = requests_.find(id);
     if (it == requests_.end()) return;
     Request& request = *it->second;
     Group& group = *request.group;
-    group.due = true;
+    group.needs_release = true;
     if (request.is_queued)
         dequeue(request);
     else
@@ -278,31 +281,31 @@
 
 void Limiter::finish_in_flight(Request& request, Outcome outcome, std::uint64_t bytes, Time now) {
     Group& group = *request.group;
-    Duration took = std::max(Duration(1), now - request.started);
+    Duration duration = std::max(Duration(1), now - request.started);
     shapes_in_flight_.remove(group.number, request.arrival.shape);
-    bool ran = outcome != Outcome::never_ran;
-    group.queue.finish(request, ran ? took : Duration::zero());
-    if (ran) {
-        group.mean_us += (double(took.count()) - group.mean_us) * kMeanWeight;
-        record_usage(request, took, now);
+    bool has_run = outcome != Outcome::never_ran;
+    group.queue.finish(request, has_run ? duration : Duration::zero());
+    if (has_run) {
+        group.mean_duration_us += (double(duration.count()) - group.mean_duration_us) * kMeanWeight;
+        record_usage(request, duration, now);
     }
-    costs_.record(request.arrival.shape, outcome, took, bytes, group.outcomes, now);
+    costs_.record(request.arrival.shape, outcome, duration, bytes, group.outcomes, now);
 }
 
-void Limiter::record_usage(const Request& request, Duration took, Time now) {
-    heavy_hitters_.add({request.arrival.shape, request.flow->name}, double(took.count()));
+void Limiter::record_usage(const Request& request, Duration duration, Time now) {
+    heavy_hitters_.add({request.arrival.shape, request.flow->name}, double(duration.count()));
     if (now - heavy_hitters_halved_ <= kHeavyHittersHalfLife) return;
     heavy_hitters_halved_ = now;
     heavy_hitters_.halve();
 }
 
-// ---- settings and figures ------------------------------------------------------------------------
+// ---- settings and usage --------------------------------------------------------------------------
 
 void Limiter::set(const Settings& settings) {
     settings_ = settings;
     costs_.set(settings);
     for (auto& [number, group] : groups_) {
-        group->due = true;
+        group->needs_release = true;
         group->queue.update_weights();
     }
 }
--- a/src/limits/limiter.hpp
+++ b/src/limits/limiter.hpp
@@ -1,9 +1,9 @@
-// Admission control: which request is admitted now, which is queued, which is rejected. Each group of
-// requests has a fair queue of its own (fair_queue.hpp); concurrency limits of single shapes (shape_caps.hpp)
-// and quarantine (cost_model.hpp) stand beside it.
+// Admission control: decides which request is admitted, queued or rejected. Each group of requests has its
+// own fair queue (fair_queue.hpp). In addition, single shapes have concurrency limits (shape_caps.hpp) and
+// can be quarantined (cost_model.hpp).
 //
-// Invariants: a request is queued, in flight, or unknown. For each queued one release() gives exactly one
-// further decision.
+// Invariants: a request is queued, in flight or unknown. release() returns exactly one further decision for
+// each queued request that is not withdrawn.
 #pragma once
 
 #include <map>
@@ -24,32 +24,32 @@
 namespace indigovane::limits {
 
 struct Arrival {
-    std::uint64_t id = 0;  // the caller's; not in use
+    std::uint64_t id = 0;  // chosen by the caller; no other queued or in-flight request may have it
     std::uint32_t group = 0;
-    std::string_view tenant;
+    std::string_view tenant;  // must be valid only during the call
     ShapeId shape;
-    Duration estimate{};      // where nothing is known of the shape
-    bool privileged = false;  // a write or a session read: may use the reserve
+    Duration estimate{};      // cost that is assumed for an unknown shape
+    bool privileged = false;  // a write or a session read, which may use the reserve
     Time deadline{};
 };
 
 enum class Admission : std::uint8_t { admit, queue, reject };
 enum class RejectionCause : std::uint8_t {
     none,
-    queue_full,            // of the group
-    share_full,            // the tenant's share of the queue
-    deadline_unreachable,  // it would be admitted too late
-    queue_timeout,         // it was queued for as long as it may be
-    quarantined,           // its shape
+    queue_full,            // the queue of the group is full
+    share_full,            // the tenant's share of the queue is full
+    deadline_unreachable,  // the request would be admitted too late for its deadline
+    queue_timeout,         // the request was in the queue for its maximum time
+    quarantined,           // the shape of the request is quarantined
 };
-// As it stands in logs.
+// Text of the cause in log lines.
 const char* name(RejectionCause cause);
 
 struct AdmissionDecision {
     std::uint64_t id = 0;
     Admission admission = Admission::admit;
-    RejectionCause cause = RejectionCause::none;  // of a rejection
-    std::optional<Duration> retry_after;          // of a rejection
+    RejectionCause cause = RejectionCause::none;  // set if the request is rejected
+    std::optional<Duration> retry_after;          // may be set if the request is rejected
 };
 
 // Used by one thread.
@@ -58,44 +58,48 @@
     explicit Limiter(const Settings& settings);
     ~Limiter();
 
-    // The decision on this request. Others that are decided because of it are given by release().
+    // Returns the decision on this request. release() returns the decisions on other requests that it causes.
     AdmissionDecision arrive(const Arrival& arrival, Time now);
-    // A request in flight has ended, or a queued one has been withdrawn. Unknown ids change nothing.
+    // Records that a request in flight has ended or that a queued one has been withdrawn. `bytes` is the size
+    // of the answer. Unknown ids are ignored.
     void finish(std::uint64_t id, Outcome outcome, std::uint64_t bytes, Time now);
-    // Appends the decisions on queued requests that have become due: admit or reject, never queue.
+    // Appends the decisions on queued requests that are due: admit or reject, never queue.
     void release(Time now, std::vector<AdmissionDecision>& decisions);
-    // When release() is due at the latest, if nothing else happens; Time::min(): at once; nothing: never.
+    // Returns the time at which release() must be called, unless another event comes first. Time::min(): at
+    // once. None: no call is due.
     std::optional<Time> next() const;
-    // What is in flight and queued goes on under the new settings; costs are retained.
+    // Applies new settings to requests in flight and queued too. Learned costs are retained.
     void set(const Settings& settings);
 
     bool idle() const { return requests_.empty(); }
     std::size_t queued() const { return queued_; }
     std::size_t in_flight() const { return requests_.size() - queued_; }
+    // Sum of the charges of the group's requests in flight.
     Duration work_in_flight(std::uint32_t group) const;
 
+    // Costs of at most `limit` shapes that are to be stored, beginning with the most recently recorded shape.
     std::vector<ShapePrior> priors(std::size_t limit) const { return costs_.priors(limit); }
     void load_prior(const ShapePrior& prior, Time now) { costs_.load_prior(prior, now); }
 
-    // A shape's recent use by one tenant.
+    // Recent use of a shape by one tenant.
     struct ShapeUsage {
         ShapeId shape;
         std::string tenant;
-        Duration work{};  // recent, by the heavy hitters' sketch
+        Duration work{};  // recent work, estimated by HeavyHitters
         ShapeCost cost;
-        unsigned cap = 0;        // concurrency limit in a group; 0: none
-        unsigned in_flight = 0;  // of all tenants and groups
+        unsigned cap = 0;        // concurrency limit of the shape in each group; 0: no limit
+        unsigned in_flight = 0;  // requests of the shape in flight, of all tenants and groups
     };
-    // At most `limit`, the largest work first.
+    // Returns at most `limit` entries, the largest work first.
     std::vector<ShapeUsage> top(std::size_t limit, Time now) const;
 
-    // Since the start.
+    // Numbers of requests since the start.
     struct Counts {
         std::uint64_t admitted = 0;
         std::uint64_t queued = 0;
         std::uint64_t rejected = 0;
-        std::uint64_t capped = 0;  // of the queued ones, by their shape's concurrency limit
-        std::uint64_t probes = 0;  // of quarantined shapes
+        std::uint64_t capped = 0;  // queued because of the concurrency limit of their shape
+        std::uint64_t probes = 0;  // admitted as probes of quarantined shapes
     };
     const Counts& counts() const { return counts_; }
 
@@ -126,21 +130,22 @@
     void reject_expired(Time now, std::vector<AdmissionDecision>& decisions);
     void reject_quarantined(Group& group, Time now, std::vector<AdmissionDecision>& decisions);
     AdmissionDecision reject_queued(Request& request, RejectionCause cause, Time now);
-    AdmissionDecision reject(Request& request, RejectionCause cause, Time now);  // one that is not queued
+    // Rejects a request that is not queued.
+    AdmissionDecision reject(Request& request, RejectionCause cause, Time now);
     Duration retry_after(const Request& request, RejectionCause cause, Time now) const;
-    void record_usage(const Request& request, Duration took, Time now);
+    void record_usage(const Request& request, Duration duration, Time now);
 
-    static constexpr std::size_t kHeavyHitters = 64;
+    static constexpr std::size_t kMaxHeavyHitters = 64;
 
     Settings settings_;
     CostModel costs_;
     ShapesInFlight shapes_in_flight_;
-    HeavyHitters<TenantShape> heavy_hitters_{kHeavyHitters};
+    HeavyHitters<TenantShape> heavy_hitters_{kMaxHeavyHitters};
     Time heavy_hitters_halved_{};
     std::unordered_map<std::uint32_t, std::unique_ptr<Group>> groups_;
     std::unordered_map<std::uint64_t, std::unique_ptr<Request>> requests_;  // by id
-    std::map<std::pair<Time, std::uint64_t>, Request*> expiry_;             // queued ones, by time and id
-    std::vector<AdmissionDecision> pending_decisions_;                      // of the next release()
+    std::map<std::pair<Time, std::uint64_t>, Request*> expiry_;  // queued requests by expiry time and id
+    std::vector<AdmissionDecision> pending_decisions_;           // returned by the next release()
     std::size_t queued_ = 0;
     Counts counts_;
 };
--- a/src/limits/shape_caps.cpp
+++ b/src/limits/shape_caps.cpp
@@ -15,8 +15,8 @@
         case ShapeState::costly:
             break;
     }
-    // By its 95th percentile: a shape that is cheap for most literals is limited by what it does with the
-    // others.
+    // The limit depends on the 95th percentile, so that a shape that is cheap with most literals is limited
+    // by the cost of its expensive ones.
     double allowed_us = settings.shape_share * double(settings.work.count());
     auto p95_us = double(std::max<std::int64_t>(1, cost.p95.count()));
     return std::max(1u, unsigned(allowed_us / p95_us));
--- a/src/limits/shape_caps.hpp
+++ b/src/limits/shape_caps.hpp
@@ -1,5 +1,5 @@
-// Concurrency limits of single statement shapes: how many requests of a shape are in flight in a group, and
-// how many may be.
+// Concurrency limits of single statement shapes. Counts the requests of each shape in flight in each group,
+// and computes how many may be.
 #pragma once
 
 #include <optional>
@@ -10,17 +10,19 @@
 
 namespace indigovane::limits {
 
-// How many requests of a shape may be in flight in one group; nothing: no limit. At least 1, so that each
-// shape makes progress and is learned.
+// Returns how many requests of a shape may be in flight in one group. None: no limit. At least 1, so that
+// each shape makes progress and is learned.
 std::optional<unsigned> shape_cap(const ShapeCost& cost, const Settings& settings);
 
 // Requests in flight by group and shape.
 class ShapesInFlight {
   public:
     void add(std::uint32_t group, const ShapeId& shape);
-    void remove(std::uint32_t group, const ShapeId& shape);  // one that was added
+    // Removes a request that was added.
+    void remove(std::uint32_t group, const ShapeId& shape);
     unsigned count(std::uint32_t group, const ShapeId& shape) const;
-    unsigned count(const ShapeId& shape) const;  // of all groups
+    // Returns the number of requests of the shape in all groups together.
+    unsigned count(const ShapeId& shape) const;
 
   private:
     struct Key {
--- a/src/limits/types.hpp
+++ b/src/limits/types.hpp
@@ -1,6 +1,8 @@
-// Admission control by cost: what tenants, groups and statement shapes may have in flight. Pure decisions:
-// events with a time in, admission decisions out. No I/O, no clock, no randomness, no threads: an object is
-// used by one thread at a time. This header: terms and settings.
+// Terms and settings of admission control by cost. It limits the work that tenants, groups and statement
+// shapes may have in flight.
+//
+// The library only takes decisions: the caller passes events with their time and gets admission decisions
+// back. There is no I/O, no clock, no randomness and no thread. Each object is used by one thread at a time.
 #pragma once
 
 #include <chrono>
@@ -14,7 +16,7 @@
 using Duration = std::chrono::microseconds;
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-// 128 bits that name a statement's shape, made by the caller.
+// Identifies the shape of a statement with 128 bits that the caller computes.
 struct ShapeId {
     std::uint64_t high = 0;
     std::uint64_t low = 0;
@@ -27,40 +29,44 @@
     }
 };
 
-// Work is the time that a request keeps a host busy, as seen from here: from its sending to its answer.
-// Fields have the names of the settings' keys.
+// Settings, with the names of their keys in the operators' file. Work is the time that a request keeps a host
+// busy, as the pooler measures it: from sending the request to its answer.
 struct Settings {
     bool enabled = false;
-    Duration work = std::chrono::milliseconds(1500);  // most work in flight per group
-    double reserve = 0.25;                            // fraction of it for privileged requests only
-    std::size_t queue = 128;                          // most queued requests per group
-    Duration wait = std::chrono::milliseconds(150);   // longest time in the queue
+    Duration work = std::chrono::milliseconds(1500);  // maximum work in flight per group
+    double reserve = 0.25;                            // fraction of `work` reserved for privileged requests
+    std::size_t queue = 128;                          // maximum number of queued requests per group
+    Duration wait = std::chrono::milliseconds(150);   // maximum time of a request in the queue
 
-    std::map<std::string, double> shares;  // weights by tenant; all other tenants share one weight
-    double other_share = 1;                // the weight of all other tenants together
+    std::map<std::string, double> shares;  // weight of each named tenant
+    double other_share = 1;                // weight of all other tenants together
 
-    std::size_t shapes = 8192;                         // most shapes whose costs are retained
-    double shape_share = 0.25;                         // fraction of the work that a costly shape may use
-    Duration costly = std::chrono::milliseconds(250);  // a shape of this mean or above is costly
-    double costlier = 5;                               // so is one that costs this multiple of its baseline,
-    Duration costlier_from = std::chrono::milliseconds(50);  // if its mean is this at least
-    unsigned trial = 2;                                      // concurrency limit of a shape being learned
-    unsigned trial_outcomes = 5;                             // outcomes after which a shape is learned
-    unsigned timeouts = 3;                                   // consecutive time-outs that quarantine a shape
-    Duration quarantine = std::chrono::seconds(1);           // until the first probe; doubles each time
-    Duration quarantine_most = std::chrono::seconds(30);     // upper bound of the time between probes
+    std::size_t shapes = 8192;  // maximum number of shapes whose costs are retained
+    double shape_share = 0.25;  // fraction of `work` that a costly shape may use
+    // A shape with at least this mean duration is costly.
+    Duration costly = std::chrono::milliseconds(250);
+    // A shape is also costly if its mean is above this multiple of its baseline and at least `costlier_from`.
+    double costlier = 5;
+    Duration costlier_from = std::chrono::milliseconds(50);
+    unsigned trial = 2;           // concurrency limit of a shape that is being learned
+    unsigned trial_outcomes = 5;  // number of outcomes after which a shape is learned
+    unsigned timeouts = 3;        // number of consecutive timeouts after which a shape is quarantined
+    // Time until the first probe of a quarantined shape. Doubles with each failed probe, up to
+    // `quarantine_most`.
+    Duration quarantine = std::chrono::seconds(1);
+    Duration quarantine_most = std::chrono::seconds(30);
 
-    bool retry_after = true;  // rejections say when to come back
+    bool retry_after = true;  // rejections tell the client when to retry
     Duration max_retry_after = std::chrono::seconds(2);
 };
 
-// How a request ended, as observed by the caller.
+// How a request ended, as the caller observed it.
 enum class Outcome : std::uint8_t {
     served,
-    failed,     // it ran and failed, or may have run
-    timed_out,  // given up at its deadline: a lower bound of its cost
-    never_ran,  // rejected further on: says nothing about its cost
-    cancelled,  // its client left: a lower bound of its cost
+    failed,     // it ran or may have run, and failed
+    timed_out,  // abandoned at its deadline: its duration is a lower bound of its cost
+    never_ran,  // rejected after its admission: no evidence about its cost
+    cancelled,  // its client left: its duration is a lower bound of its cost
 };
 
 }  // namespace indigovane::limits
--- a/tests/limits/fair_queue_test.cpp
+++ b/tests/limits/fair_queue_test.cpp
@@ -14,7 +14,7 @@
     Settings settings;
     FairQueue queue{settings};
     std::list<QueuedRequest> requests;
-    FairQueue::Exhausted exhausted;
+    FairQueue::ExhaustedCapacity exhausted;
 
     QueueFixture() {
         settings.work = 100ms;
@@ -26,7 +26,7 @@
         QueuedRequest& request = requests.emplace_back();
         request.flow = &queue.flow(tenant);
         request.charge = charge;
-        request.privileged = privileged;
+        request.is_privileged = privileged;
         queue.enqueue(request);
         return request;
     }
@@ -44,7 +44,7 @@
     CHECK(fixture.next() == &first);
     fixture.queue.admit(first);
     CHECK(fixture.next() == nullptr);
-    CHECK(fixture.exhausted.unprivileged);
+    CHECK(fixture.exhausted.is_unprivileged_full);
     fixture.queue.enqueue(privileged);
     CHECK(fixture.next() == &privileged);
     fixture.queue.admit(privileged);
@@ -70,7 +70,7 @@
     fixture.enqueue("heavy", 10ms, true);
     auto eligible = [&](const QueuedRequest& request) { return &request != &capped; };
     CHECK(fixture.queue.next(fixture.exhausted, eligible) == nullptr);
-    CHECK(fixture.exhausted.all);
+    CHECK(fixture.exhausted.is_full);
     fixture.queue.finish(running, 30ms);
     fixture.exhausted = {};
     CHECK(fixture.queue.next(fixture.exhausted, eligible) == &large);
@@ -83,10 +83,10 @@
         return fixture.requests.back();
     }();
     QueuedRequest& newcomer = fixture.enqueue("heavy", 1ms);
-    CHECK(fixture.queue.displaceable(*newcomer.flow) == &last);
-    CHECK(fixture.queue.displaceable(*last.flow) == nullptr);
-    CHECK(fixture.queue.places(*newcomer.flow) == 7);
-    CHECK(fixture.queue.places(*last.flow) == 2);
+    CHECK(fixture.queue.find_displaceable(*newcomer.flow) == &last);
+    CHECK(fixture.queue.find_displaceable(*last.flow) == nullptr);
+    CHECK(fixture.queue.max_queued(*newcomer.flow) == 7);
+    CHECK(fixture.queue.max_queued(*last.flow) == 2);
 }
 
 TEST_CASE("tenants without a weight share one flow where weights are configured") {
