--- a/tests/limits/cost_model_test.cpp
+++ b/tests/limits/cost_model_test.cpp
@@ -1,4 +1,4 @@
-// The cost model: what is learned from outcomes, what outlasts a process; and the sketch of heavy hitters.
+// Cost model: learning from outcomes, and costs stored across restarts. Also the sketch of heavy hitters.
 #include "limits/cost_model.hpp"
 
 #include <doctest/doctest.h>
@@ -16,8 +16,8 @@
 constexpr Time kStart{std::chrono::seconds(1000)};
 
 TEST_CASE(
-    "costs: a time-out counts as its time at least, old outcomes fade, the 95th percentile shows what a mean "
-    "hides") {
+    "costs: a timeout counts with at least its duration, old outcomes fade, the 95th percentile shows rare "
+    "slow requests") {
     Settings settings;
     CostModel model(settings);
     GroupOutcomes group;
@@ -36,40 +36,41 @@
     CHECK(model.size() <= settings.shapes);
 }
 
-TEST_CASE("what was learned before a start is a prior: nothing to learn, and a few outcomes outweigh it") {
+TEST_CASE("costs: a stored cost counts as learned after a restart, and a few new outcomes outweigh it") {
     Settings settings;
-    CostModel before(settings), after(settings);
+    CostModel old_model(settings), new_model(settings);
     GroupOutcomes group;
-    for (int i = 0; i < 40; ++i) before.record({1, 1}, Outcome::served, 300ms, 0, group, kStart + i * 1ms);
-    before.record({2, 2}, Outcome::served, 300ms, 0, group, kStart);
-    REQUIRE(before.priors(10).size() == 1);  // one outcome is no knowledge
+    for (int i = 0; i < 40; ++i) old_model.record({1, 1}, Outcome::served, 300ms, 0, group, kStart + i * 1ms);
+    old_model.record({2, 2}, Outcome::served, 300ms, 0, group, kStart);
+    REQUIRE(old_model.priors(10).size() == 1);  // a shape with one outcome is not learned
     Time now = kStart + 60s;
-    after.load_prior(before.priors(10)[0], now);
-    CHECK(after.cost({1, 1}, 1ms, group, now).state == ShapeState::costly);
-    for (int i = 0; i < 12; ++i) after.record({1, 1}, Outcome::served, 10ms, 0, group, now += 1ms);
-    CHECK(after.cost({1, 1}, 1ms, group, now).mean < 40ms);
-    CHECK(after.cost({1, 1}, 1ms, group, now).state == ShapeState::normal);
-    ShapePrior absurd{{3, 3}, ~0ull, 1, 100};
-    after.load_prior(absurd, now);
-    CHECK(after.size() == 1);
+    new_model.load_prior(old_model.priors(10)[0], now);
+    CHECK(new_model.cost({1, 1}, 1ms, group, now).state == ShapeState::costly);
+    for (int i = 0; i < 12; ++i) new_model.record({1, 1}, Outcome::served, 10ms, 0, group, now += 1ms);
+    CHECK(new_model.cost({1, 1}, 1ms, group, now).mean < 40ms);
+    CHECK(new_model.cost({1, 1}, 1ms, group, now).state == ShapeState::normal);
+    ShapePrior implausible{{3, 3}, ~0ull, 1, 100};
+    new_model.load_prior(implausible, now);
+    CHECK(new_model.size() == 1);
 }
 
 TEST_CASE(
-    "heavy hitters: what weighs more than its part of the capacity is there, at no less than its weight") {
-    HeavyHitters<int> hitters(16);
+    "heavy hitters: a key with more than 1/capacity of the total weight has a counter, and its weight "
+    "is not too low") {
+    HeavyHitters<int> heavy_hitters(16);
     std::mt19937 random(3);
-    std::map<int, double> truth;
+    std::map<int, double> exact_weights;
     for (int i = 0; i < 50000; ++i) {
         int key = random() % 4 == 0 ? int(random() % 3) : 100 + int(random() % 5000);
-        hitters.add(key, 1 + key % 3);
-        truth[key] += 1 + key % 3;
+        heavy_hitters.add(key, 1 + key % 3);
+        exact_weights[key] += 1 + key % 3;
     }
-    auto top = hitters.top(16);
+    auto top = heavy_hitters.top(16);
     for (int key : {1, 2}) {
         auto it = std::find_if(top.begin(), top.end(), [&](auto& counter) { return counter.key == key; });
         REQUIRE(it != top.end());
-        CHECK(it->weight >= truth[key]);
-        CHECK(it->weight - it->error <= truth[key]);
+        CHECK(it->weight >= exact_weights[key]);
+        CHECK(it->weight - it->error <= exact_weights[key]);
     }
 }
 
--- a/tests/limits/fair_queue_test.cpp
+++ b/tests/limits/fair_queue_test.cpp
@@ -1,4 +1,4 @@
-// The fair queue of one group: order, capacity, shares of the queue.
+// Fair queue of one group: order, capacity and shares of the queue.
 #include "limits/fair_queue.hpp"
 
 #include <doctest/doctest.h>
@@ -35,7 +35,7 @@
     }
 };
 
-TEST_CASE("unprivileged requests leave the reserve to privileged ones") {
+TEST_CASE("fair queue: unprivileged requests cannot use the reserve") {
     QueueFixture fixture;
     QueuedRequest& first = fixture.enqueue("heavy", 40ms);
     fixture.enqueue("heavy", 40ms);
@@ -51,7 +51,7 @@
     CHECK(fixture.queue.work_in_flight() == 80ms);
 }
 
-TEST_CASE("a tenant is charged by what its requests took, divided by its weight") {
+TEST_CASE("fair queue: a tenant is charged for the duration of its requests divided by its weight") {
     QueueFixture fixture;
     QueuedRequest& request = fixture.enqueue("light", 10ms);
     fixture.queue.admit(request);
@@ -61,7 +61,7 @@
     CHECK(fixture.queue.in_flight() == 0);
 }
 
-TEST_CASE("what is not eligible is passed over, what does not fit is waited for") {
+TEST_CASE("fair queue: ineligible requests are skipped, a request that does not fit blocks those behind it") {
     QueueFixture fixture;
     QueuedRequest& running = fixture.enqueue("heavy", 30ms, true);
     fixture.queue.admit(running);
@@ -76,7 +76,8 @@
     CHECK(fixture.queue.next(fixture.exhausted, eligible) == &large);
 }
 
-TEST_CASE("only a flow that is further beyond its share than the newcomer gives way") {
+TEST_CASE(
+    "fair queue: a request is displaced only if its flow exceeds its share more than the newcomer does") {
     QueueFixture fixture;
     QueuedRequest& last = [&]() -> QueuedRequest& {
         for (int i = 0; i < 5; ++i) fixture.enqueue("light", 1ms);
@@ -89,7 +90,7 @@
     CHECK(fixture.queue.max_queued(*last.flow) == 2);
 }
 
-TEST_CASE("tenants without a weight share one flow where weights are configured") {
+TEST_CASE("fair queue: tenants without a weight share one flow if weights are configured") {
     QueueFixture fixture;
     CHECK(&fixture.queue.flow("new") == &fixture.queue.flow("newer"));
     CHECK(&fixture.queue.flow("heavy") != &fixture.queue.flow("light"));
--- a/tests/limits/limits_test.cpp
+++ b/tests/limits/limits_test.cpp
@@ -1,4 +1,4 @@
-// Limits by cost, in virtual time: no socket, no clock. Each case says what it would lose without the rule.
+// Admission control by cost, in virtual time without sockets and clocks.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -11,27 +11,28 @@
 namespace indigovane::limits {
 namespace {
 
-TEST_CASE("with all busy each tenant has its share of the work, within 5% over any second") {
+TEST_CASE("shares: with all tenants busy, each gets its share of the work within 5% in every second") {
     Simulation simulation;
     simulation.teach(1, 40ms);
     simulation.on_end = [&](Simulation::Request& request) { simulation.submit(request.tenant, 40ms); };
     for (int i = 0; i < 60; ++i)
-        for (const char* t : {"vilaine", "rance", "odet"}) simulation.submit(t, 40ms);
+        for (const char* tenant : {"vilaine", "rance", "odet"}) simulation.submit(tenant, 40ms);
     simulation.run(simulation.now + 2s);
     for (int second = 0; second < 5; ++second) {
         simulation.served.clear();
         simulation.run(simulation.now + 1s);
-        Duration all = simulation.served["vilaine"] + simulation.served["rance"] + simulation.served["odet"];
-        CHECK(double(simulation.served["vilaine"].count()) / double(all.count()) ==
+        Duration total =
+            simulation.served["vilaine"] + simulation.served["rance"] + simulation.served["odet"];
+        CHECK(double(simulation.served["vilaine"].count()) / double(total.count()) ==
               doctest::Approx(0.59).epsilon(0.05));
-        CHECK(double(simulation.served["rance"].count()) / double(all.count()) ==
+        CHECK(double(simulation.served["rance"].count()) / double(total.count()) ==
               doctest::Approx(0.21).epsilon(0.05));
-        CHECK(double(simulation.served["odet"].count()) / double(all.count()) ==
+        CHECK(double(simulation.served["odet"].count()) / double(total.count()) ==
               doctest::Approx(0.20).epsilon(0.05));
     }
 }
 
-TEST_CASE("shares hold for work, not for requests: a tenant of long ones gets no more") {
+TEST_CASE("shares: they apply to work, so that a tenant with long requests does not get more") {
     Simulation simulation;
     simulation.teach(1, 20ms);
     simulation.teach(2, 160ms);
@@ -45,28 +46,28 @@
     simulation.run(simulation.now + 2s);
     simulation.served.clear();
     simulation.run(simulation.now + 6s);
-    double part = double(simulation.served["rance"].count()) /
-                  double((simulation.served["rance"] + simulation.served["odet"]).count());
-    CHECK(part == doctest::Approx(0.21 / 0.41).epsilon(0.05));
+    double work_share = double(simulation.served["rance"].count()) /
+                        double((simulation.served["rance"] + simulation.served["odet"]).count());
+    CHECK(work_share == doctest::Approx(0.21 / 0.41).epsilon(0.05));
 }
 
-TEST_CASE("an unused share goes to the others, and back to its tenant within a second") {
+TEST_CASE("shares: other tenants use an unused share, and its tenant regains it within a second") {
     Simulation simulation;
     simulation.teach(1, 40ms);
     simulation.on_end = [&](Simulation::Request& request) { simulation.submit(request.tenant, 40ms); };
-    for (int i = 0; i < 100; ++i) simulation.submit("rance", 40ms);  // at ten times its share
+    for (int i = 0; i < 100; ++i) simulation.submit("rance", 40ms);  // ten times its share
     simulation.run(simulation.now + 5s);
-    CHECK(simulation.limiter.work_in_flight(1) > 700ms);  // nearly all that plain reads may have
+    CHECK(simulation.limiter.work_in_flight(1) > 700ms);  // nearly the full capacity for plain reads
     for (int i = 0; i < 100; ++i) simulation.submit("vilaine", 40ms);
     simulation.run(simulation.now + 200ms);
     simulation.served.clear();
     simulation.run(simulation.now + 800ms);
-    double part = double(simulation.served["vilaine"].count()) /
-                  double((simulation.served["rance"] + simulation.served["vilaine"]).count());
-    CHECK(part == doctest::Approx(0.59 / 0.80).epsilon(0.06));
+    double work_share = double(simulation.served["vilaine"].count()) /
+                        double((simulation.served["rance"] + simulation.served["vilaine"]).count());
+    CHECK(work_share == doctest::Approx(0.59 / 0.80).epsilon(0.06));
 }
 
-TEST_CASE("idling earns no credit: a tenant that becomes active does not shut the others out") {
+TEST_CASE("shares: a tenant that becomes active gets no credit for its idle time and does not block others") {
     Simulation simulation;
     simulation.teach(1, 40ms);
     simulation.on_end = [&](Simulation::Request& request) { simulation.submit(request.tenant, 40ms); };
@@ -75,10 +76,11 @@
     for (int i = 0; i < 200; ++i) simulation.submit("rance", 40ms);
     simulation.served.clear();
     simulation.run(simulation.now + 1s);
-    CHECK(simulation.served["odet"] > 300ms * 18 / 2);  // of about 18 s of work; half of it by share
+    // About 18 s of work are done, and the tenant's share is half of them.
+    CHECK(simulation.served["odet"] > 300ms * 18 / 2);
 }
 
-TEST_CASE("writes and session reads have a reserve that no other read can use") {
+TEST_CASE("reserve: only writes and session reads can use it") {
     Simulation simulation;
     simulation.teach(1, 40ms);
     for (int i = 0; i < 200; ++i) simulation.submit("rance", 400ms, 1);
@@ -89,7 +91,7 @@
     CHECK(simulation.requests[other].admission == Admission::admit);
 }
 
-TEST_CASE("nobody starves: plain reads go on beside a tenant's endless writes") {
+TEST_CASE("lanes: plain reads do not starve while the same tenant sends writes continuously") {
     Simulation simulation;
     simulation.teach(1, 40ms);
     simulation.on_end = [&](Simulation::Request& request) {
@@ -105,7 +107,7 @@
     CHECK(simulation.requests[plain].wait < 500ms);
 }
 
-TEST_CASE("a request larger than the free capacity is waited for, not passed by smaller ones for ever") {
+TEST_CASE("queue: a request larger than the free capacity is admitted although smaller ones keep arriving") {
     Simulation simulation;
     simulation.teach(1, 10ms);
     simulation.teach(2, 240ms);
@@ -119,35 +121,36 @@
 }
 
 TEST_CASE(
-    "what can't meet its deadline is rejected at once, what was queued too long then, both with "
-    "Retry-After") {
+    "queue: a request is rejected at once if it cannot meet its deadline, else after the maximum queueing "
+    "time, both with Retry-After") {
     Settings settings = three_tenants();
     settings.queue = 20;
     settings.wait = 100ms;
     Simulation simulation(settings);
     simulation.teach(1, 40ms);
     for (int i = 0; i < 25; ++i) simulation.submit("rance", 5s, 1);
-    std::uint64_t waits = simulation.submit("rance", 40ms, 1, false, 2s);
+    std::uint64_t queued_id = simulation.submit("rance", 40ms, 1, false, 2s);
     std::uint64_t late = simulation.submit("rance", 40ms, 1, false, 30ms);
-    CHECK(simulation.requests[waits].admission == Admission::queue);
+    CHECK(simulation.requests[queued_id].admission == Admission::queue);
     CHECK(simulation.requests[late].admission == Admission::reject);
     CHECK(simulation.requests[late].decision.cause == RejectionCause::deadline_unreachable);
     CHECK(simulation.requests[late].decision.retry_after.value() >= 20ms);
     Time submitted_at = simulation.now;
     simulation.run(simulation.now + 99ms);
-    CHECK(simulation.requests[waits].admission == Admission::queue);
+    CHECK(simulation.requests[queued_id].admission == Admission::queue);
     simulation.run(submitted_at + 100ms);
-    CHECK(simulation.requests[waits].admission == Admission::reject);
-    CHECK(simulation.requests[waits].decision.cause == RejectionCause::queue_timeout);
-    CHECK(simulation.requests[waits].decision.retry_after);
+    CHECK(simulation.requests[queued_id].admission == Admission::reject);
+    CHECK(simulation.requests[queued_id].decision.cause == RejectionCause::queue_timeout);
+    CHECK(simulation.requests[queued_id].decision.retry_after);
     for (int i = 0; i < 30; ++i) simulation.submit("rance", 40ms, 1);
     std::uint64_t full = simulation.submit("rance", 40ms, 1);
     CHECK(simulation.requests[full].admission == Admission::reject);
-    // A tenant that fills its part of the queue leaves the others theirs.
+    // A tenant that fills its share of the queue cannot use the shares of others.
     CHECK(simulation.requests[simulation.submit("vilaine", 40ms, 1)].admission != Admission::reject);
 }
 
-TEST_CASE("names that nobody knows share one share: a new name a request wins nothing") {
+TEST_CASE(
+    "shares: tenants without a configured share have one share together, so that new names gain nothing") {
     Simulation simulation;
     simulation.teach(1, 40ms);
     simulation.on_end = [&](Simulation::Request& request) {
@@ -167,7 +170,7 @@
           0.75);
 }
 
-TEST_CASE("a shape never seen is tried by two at a time until something is known of it") {
+TEST_CASE("shapes: an unknown shape is limited to two requests at a time until it is learned") {
     Simulation simulation;
     for (int i = 0; i < 10; ++i) simulation.submit("vilaine", 30ms, 9);
     CHECK(simulation.limiter.in_flight() == 2);
@@ -178,25 +181,27 @@
     CHECK(simulation.limiter.in_flight() == 10);
 }
 
-TEST_CASE("a shape that turns costly is capped by its tail; what waits behind it does not wait for it") {
+TEST_CASE("shapes: a shape that becomes costly is limited by its 95th percentile and does not block others") {
     Simulation simulation;
     simulation.teach(3, 20ms, 30);
-    for (int i = 0; i < 8; ++i) {  // the same shape with a ruinous literal
+    for (int i = 0; i < 8; ++i) {  // the same shape with a literal that makes it expensive
         simulation.submit("rance", 900ms, 3);
         simulation.run(simulation.now + 910ms);
     }
     for (int i = 0; i < 10; ++i) simulation.submit("rance", 900ms, 3);
-    CHECK(simulation.limiter.in_flight() == 1);  // a quarter of a second's work holds one of a second
+    CHECK(simulation.limiter.in_flight() == 1);  // a quarter of the work, 250 ms, is less than one request
     simulation.teach(1, 20ms);
     std::uint64_t behind = simulation.submit("rance", 20ms, 1);
     CHECK(simulation.requests[behind].admission == Admission::admit);
-    // A cap that is lifted while its queue is full lets all of them go, a few at a time, and loses none.
+    // When the limit is lifted while many requests are queued, all of them are admitted gradually and none is
+    // lost.
     for (int i = 0; i < 40; ++i) simulation.submit("rance", 5ms, 3, false, 60s);
     simulation.run(simulation.now + 60s);
     CHECK(simulation.limiter.idle());
 }
 
-TEST_CASE("a shape that keeps timing out is quarantined while others are answered, and probed back") {
+TEST_CASE(
+    "shapes: a shape that keeps timing out while others are answered is quarantined until a probe succeeds") {
     Simulation simulation;
     simulation.teach(1, 20ms);
     auto time_out = [&](std::uint64_t shape) {
@@ -214,20 +219,20 @@
     CHECK(simulation.requests[id].decision.cause == RejectionCause::quarantined);
     CHECK(simulation.requests[id].decision.retry_after.value() <= 1s);
     simulation.run(simulation.now + 1s);
-    CHECK(time_out(5));  // the probe; it fails, and the next is twice as far away
+    CHECK(time_out(5));  // the probe fails, and the interval to the next one doubles
     simulation.run(simulation.now + 1s);
     CHECK(simulation.requests[simulation.submit("rance", 1ms, 5)].admission == Admission::reject);
     simulation.run(simulation.now + 1s);
     std::uint64_t probe = simulation.submit("rance", 20ms, 5);
     CHECK(simulation.requests[probe].admission == Admission::admit);
     CHECK(simulation.requests[simulation.submit("rance", 20ms, 5)].admission ==
-          Admission::reject);  // one at a time
+          Admission::reject);  // only one probe at a time
     simulation.run(simulation.now + 30ms);
     CHECK(simulation.requests[simulation.submit("rance", 20ms, 5)].admission == Admission::admit);
 }
 
-// Guards writes when their primary is gone: all of them time out, none is to blame.
-TEST_CASE("where everything times out no shape is quarantined") {
+// Guards against a quarantine of healthy shapes: when a primary is lost, all writes time out.
+TEST_CASE("shapes: if all shapes time out, none is quarantined") {
     Simulation simulation;
     for (int i = 0; i < 10; ++i)
         for (std::uint64_t shape : {1, 2, 3}) {
@@ -239,23 +244,23 @@
         }
 }
 
-void withdraw_random(Simulation& simulation, std::set<std::uint64_t>& open, std::mt19937_64& random) {
-    if (open.empty()) return;
-    auto it = std::next(open.begin(), std::ptrdiff_t(random() % open.size()));
+void withdraw_random(Simulation& simulation, std::set<std::uint64_t>& open_ids, std::mt19937_64& random) {
+    if (open_ids.empty()) return;
+    auto it = std::next(open_ids.begin(), std::ptrdiff_t(random() % open_ids.size()));
     std::uint64_t id = *it;
-    open.erase(it);
+    open_ids.erase(it);
     Simulation::Request& request = simulation.requests[id];
     if (request.ended) return;
     request.ended = true;
     Outcome outcome = random() % 2 ? Outcome::cancelled : Outcome::never_ran;
     simulation.limiter.finish(id, outcome, 0, simulation.now);
-    simulation.limiter.finish(id, Outcome::served, 0, simulation.now);  // again: changes nothing
+    simulation.limiter.finish(id, Outcome::served, 0, simulation.now);  // a second call is ignored
     simulation.release_due();
 }
 
-void forget_ended(Simulation& simulation, std::set<std::uint64_t>& open) {
+void forget_ended(Simulation& simulation, std::set<std::uint64_t>& open_ids) {
     std::erase_if(simulation.requests, [](const auto& item) { return item.second.ended; });
-    std::erase_if(open, [&](std::uint64_t id) { return !simulation.requests.count(id); });
+    std::erase_if(open_ids, [&](std::uint64_t id) { return !simulation.requests.count(id); });
     auto& running = simulation.running;
     while (!running.empty() && !simulation.requests.count(running.top().id)) running.pop();
 }
@@ -265,9 +270,12 @@
                                      [&](const auto& item) { return item.second.admission == admission; }));
 }
 
-// Random steps against what must hold at each: each request has one decision at a time, nothing leaks, and
-// no capacity is left over while a request that may be admitted is queued.
-TEST_CASE("random steps: one decision each, bounds kept, work conserved, nothing left at the end") {
+// Guards against lost or duplicate decisions, leaked capacity and requests that stay queued while nothing is
+// in flight. Random arrivals, withdrawals, changes of settings and passages of time are checked after each
+// step.
+TEST_CASE(
+    "random steps: one decision at a time for each request, bounded queue, no unused capacity, nothing "
+    "left") {
     const char* tenants[] = {"vilaine", "rance", "odet", "unnamed", ""};
     for (unsigned seed = 1; seed <= 8; ++seed) {
         std::mt19937_64 random(seed);
@@ -275,16 +283,16 @@
         settings.queue = 40;
         settings.wait = 300ms;
         Simulation simulation(settings);
-        std::set<std::uint64_t> open;
+        std::set<std::uint64_t> open_ids;
         for (int step = 0; step < 6000; ++step) {
-            std::uint64_t kind = random() % 8;
-            if (kind < 4) {
-                open.insert(simulation.submit(tenants[random() % 5], Duration(1000 + random() % 200000),
-                                              1 + random() % 6, random() % 3 == 0,
-                                              Duration(10000 + random() % 2000000)));
-            } else if (kind == 4) {
-                withdraw_random(simulation, open, random);
-            } else if (kind == 5) {
+            std::uint64_t step_type = random() % 8;
+            if (step_type < 4) {
+                open_ids.insert(simulation.submit(tenants[random() % 5], Duration(1000 + random() % 200000),
+                                                  1 + random() % 6, random() % 3 == 0,
+                                                  Duration(10000 + random() % 2000000)));
+            } else if (step_type == 4) {
+                withdraw_random(simulation, open_ids, random);
+            } else if (step_type == 5) {
                 if (random() % 50 == 0) {
                     settings.work = Duration(400000 + random() % 1000000);
                     simulation.limiter.set(settings);
@@ -293,7 +301,7 @@
             } else {
                 simulation.run(simulation.now + Duration(random() % 60000));
             }
-            forget_ended(simulation, open);
+            forget_ended(simulation, open_ids);
             std::size_t queued = count(simulation, Admission::queue);
             std::size_t in_flight = simulation.requests.size() - queued;
             REQUIRE(simulation.limiter.queued() == queued);
--- a/tests/limits/recorded_admissions_test.cpp
+++ b/tests/limits/recorded_admissions_test.cpp
@@ -1,9 +1,10 @@
-// Characterization of admission control: random but seeded runs of the limiter must give, event by event, the
-// decisions that were recorded in tests/corpus/recorded_admissions.txt, as a hash for every kEventsPerHash
-// events.
+// Guards against unintended changes of admission control: random but seeded runs of the limiter must take the
+// same decisions, event by event, as recorded in tests/corpus/recorded_admissions.txt. The file has a hash
+// for each kEventsPerHash events.
 //
-// A difference: ADMISSIONS_DUMP=DIR writes the whole text of each run; do so before and after, and compare
-// the files that it leaves there. ADMISSIONS_RECORD=FILE appends the hashes of each run to a file.
+// To find a difference, run the test with ADMISSIONS_DUMP=DIR before and after the change and compare the
+// files: it writes the full text of each run to DIR. ADMISSIONS_RECORD=FILE appends the hashes of each run to
+// FILE.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -32,8 +33,8 @@
     Settings settings;
     std::uint64_t groups = 2;
     std::uint64_t shapes = 12;
-    bool invented_tenants = false;  // clients take new names
-    unsigned fault_percent = 5;     // of finished requests: timed out, failed
+    bool has_invented_tenants = false;  // clients use new tenant names
+    unsigned fault_percent = 5;         // of finished requests; they get a random outcome
     std::uint64_t tenants = 5;
     std::uint64_t arrival_percent = 50;  // of all events
 };
@@ -75,8 +76,8 @@
         for (std::size_t event = 1; event <= kEvents; ++event) {
             step();
             release();
-            if (event % 50 == 0) note_state();
-            if (event % kEventsPerHash == 0) cut_hash();
+            if (event % 50 == 0) append_state();
+            if (event % kEventsPerHash == 0) append_hash();
         }
     }
 
@@ -93,16 +94,16 @@
 
     void step() {
         now_ += Duration(below(4000));
-        std::uint64_t kind = below(100);
-        if (kind < options_.arrival_percent) {
+        std::uint64_t event_draw = below(100);
+        if (event_draw < options_.arrival_percent) {
             arrive();
-        } else if (kind < 92) {
+        } else if (event_draw < 92) {
             finish_in_flight();
-        } else if (kind < 95) {
+        } else if (event_draw < 95) {
             withdraw();
-        } else if (kind < 98) {
+        } else if (event_draw < 98) {
             now_ += Duration(below(400'000));
-        } else if (kind == 98) {
+        } else if (event_draw == 98) {
             change_settings();
         } else {
             learn();
@@ -111,7 +112,7 @@
 
     std::string tenant() {
         static const char* const kTenants[] = {"vilaine", "rance", "odet", "unnamed", ""};
-        if (options_.invented_tenants && below(2) == 0) return "x" + std::to_string(below(300));
+        if (options_.has_invented_tenants && below(2) == 0) return "x" + std::to_string(below(300));
         return kTenants[below(options_.tenants)];
     }
 
@@ -126,7 +127,7 @@
         arrival.privileged = below(3) == 0;
         arrival.deadline = now_ + Duration(5000 + below(2'000'000));
         text += "arrive ";
-        note(limiter_.arrive(arrival, now_));
+        append_decision(limiter_.arrive(arrival, now_));
     }
 
     void finish_in_flight() {
@@ -134,23 +135,23 @@
         for (std::size_t i = 0; i < open_.size(); ++i)
             if (open_[i].in_flight) running.push_back(i);
         if (running.empty()) return;
-        std::size_t at = running[below(running.size())];
-        std::uint64_t id = open_[at].id;
-        open_.erase(open_.begin() + std::ptrdiff_t(at));
-        Outcome end = Outcome::served;
-        if (below(100) < options_.fault_percent) end = Outcome(below(5));
-        if (end == Outcome::timed_out) now_ += 200ms;
-        limiter_.finish(id, end, below(10'000), now_);
-        text += "finish " + std::to_string(id) + " " + std::to_string(int(end)) + "\n";
+        std::size_t index = running[below(running.size())];
+        std::uint64_t id = open_[index].id;
+        open_.erase(open_.begin() + std::ptrdiff_t(index));
+        Outcome outcome = Outcome::served;
+        if (below(100) < options_.fault_percent) outcome = Outcome(below(5));
+        if (outcome == Outcome::timed_out) now_ += 200ms;
+        limiter_.finish(id, outcome, below(10'000), now_);
+        text += "finish " + std::to_string(id) + " " + std::to_string(int(outcome)) + "\n";
     }
 
     void withdraw() {
         if (open_.empty()) return;
-        std::size_t at = below(open_.size());
-        std::uint64_t id = open_[at].id;
-        open_.erase(open_.begin() + std::ptrdiff_t(at));
+        std::size_t index = below(open_.size());
+        std::uint64_t id = open_[index].id;
+        open_.erase(open_.begin() + std::ptrdiff_t(index));
         limiter_.finish(id, Outcome::cancelled, 0, now_);
-        limiter_.finish(id, Outcome::served, 0, now_);  // of an unknown id: changes nothing
+        limiter_.finish(id, Outcome::served, 0, now_);  // the id is unknown, so that the call is ignored
         text += "withdraw " + std::to_string(id) + "\n";
     }
 
@@ -172,11 +173,11 @@
         limiter_.release(now_, due);
         for (const AdmissionDecision& decision : due) {
             text += "release ";
-            note(decision);
+            append_decision(decision);
         }
     }
 
-    void note(const AdmissionDecision& decision) {
+    void append_decision(const AdmissionDecision& decision) {
         text += std::to_string(decision.id) + " " + std::to_string(int(decision.admission)) + " " +
                 std::to_string(int(decision.cause)) + " \"" + name(decision.cause) + "\" " +
                 (decision.retry_after ? std::to_string(decision.retry_after->count()) : "-") + "\n";
@@ -185,7 +186,7 @@
         open_.push_back({decision.id, decision.admission == Admission::admit});
     }
 
-    void note_state() {
+    void append_state() {
         auto next = limiter_.next();
         text += "state " + std::to_string(limiter_.queued()) + " " + std::to_string(limiter_.in_flight()) +
                 " " + std::to_string(limiter_.work_in_flight(0).count()) + " " +
@@ -206,11 +207,11 @@
                     std::to_string(prior.baseline_us) + " " + std::to_string(prior.outcomes) + "\n";
     }
 
-    void cut_hash() {
+    void append_hash() {
         std::uint64_t hash = 0xcbf29ce484222325u;  // FNV-1a
-        for (char c : std::string_view(text).substr(hashed_))
-            hash = (hash ^ std::uint8_t(c)) * 0x100000001b3u;
-        hashed_ = text.size();
+        for (char character : std::string_view(text).substr(hashed_length_))
+            hash = (hash ^ std::uint8_t(character)) * 0x100000001b3u;
+        hashed_length_ = text.size();
         char digits[17];
         std::snprintf(digits, sizeof digits, "%016" PRIx64, hash);
         hashes.emplace_back(digits);
@@ -223,7 +224,7 @@
     Time now_ = kStart;
     std::uint64_t last_id_ = 0;
     std::vector<Request> open_;
-    std::size_t hashed_ = 0;
+    std::size_t hashed_length_ = 0;
 };
 
 std::map<std::string, std::vector<std::string>> read_hashes() {
@@ -259,10 +260,10 @@
         const std::vector<std::string>& recorded = expected[options.name];
         auto [first, unused] =
             std::mismatch(recording.hashes.begin(), recording.hashes.end(), recorded.begin(), recorded.end());
-        std::size_t same = std::size_t(first - recording.hashes.begin());
+        std::size_t equal_hashes = std::size_t(first - recording.hashes.begin());
         CHECK_MESSAGE(recording.hashes == recorded, "the first difference lies within events "
-                                                        << same * kEventsPerHash << " to "
-                                                        << (same + 1) * kEventsPerHash);
+                                                        << equal_hashes * kEventsPerHash << " to "
+                                                        << (equal_hashes + 1) * kEventsPerHash);
     }
 }
 
--- a/tests/limits/shape_caps_test.cpp
+++ b/tests/limits/shape_caps_test.cpp
@@ -1,4 +1,4 @@
-// Concurrency limits of shapes, and the comparison of a shape with the rest of its group.
+// Concurrency limits of shapes, and the comparison of a shape with the other shapes of its group.
 #include "limits/shape_caps.hpp"
 
 #include <doctest/doctest.h>
@@ -16,7 +16,7 @@
     return cost;
 }
 
-TEST_CASE("a shape's concurrency limit follows from its state, and is one at least") {
+TEST_CASE("the concurrency limit of a shape depends on its state, and is at least one") {
     Settings settings;
     settings.work = 1000ms;
     settings.shape_share = 0.25;
@@ -28,7 +28,7 @@
     CHECK(shape_cap(cost_of(ShapeState::quarantined, 10ms), settings) == 1);
 }
 
-TEST_CASE("shapes in flight are counted by group and over all groups") {
+TEST_CASE("shapes in flight are counted for each group and for all groups together") {
     ShapesInFlight shapes;
     shapes.add(1, {7, 7});
     shapes.add(1, {7, 7});
@@ -39,14 +39,14 @@
     CHECK(shapes.count({7, 7}) == 2);
 }
 
-TEST_CASE("a group's outcomes leave out the shape that is compared with them, and fade") {
+TEST_CASE("the outcomes of a group exclude the shape that is compared with them, and fade") {
     GroupOutcomes group;
     DecayedOutcomes own;
     for (int i = 0; i < 8; ++i) {
         own.add(true, 500ms, 10ms, kStart);
         group.record(true, 500ms, 10ms, kStart);
     }
-    CHECK(group.others_timeout_rate(own, kStart) == 1);  // nobody to compare with
+    CHECK(group.others_timeout_rate(own, kStart) == 1);  // there are no other shapes to compare with
     for (int i = 0; i < 8; ++i) group.record(false, 20ms, 10ms, kStart);
     CHECK(group.others_timeout_rate(own, kStart) == doctest::Approx(0));
     CHECK(group.others_slowdown(own, kStart) == doctest::Approx(2));
--- a/tests/site/contact_evidence_test.cpp
+++ b/tests/site/contact_evidence_test.cpp
@@ -1,4 +1,4 @@
-// Evidence of contact, by host and by site.
+// Evidence of contact for each host and each site.
 #include "site/contact_evidence.hpp"
 
 #include <doctest/doctest.h>
@@ -39,7 +39,8 @@
     CHECK(after.hosts == 3);
 }
 
-TEST_CASE("contact evidence: an answer clears a host, but not work sent after it") {
+TEST_CASE(
+    "contact evidence: an answer clears earlier unanswered work of its host, but not work sent after it") {
     ContactEvidence evidence = evidence_of_three_hosts();
     evidence.record_contact(HostId{0}, ContactResult::reset, kStart, kStart);
     CHECK(evidence.of_site(kSite, kStart, kWindow, kTimeout).resetting == 1);
@@ -52,18 +53,18 @@
     CHECK(evidence.of_host(HostId{0})->unanswered_since);
 }
 
-TEST_CASE("contact evidence: what was sent before a pause of this process counts for nothing") {
+TEST_CASE("contact evidence: work sent before a pause of this process is no evidence") {
     ContactEvidence evidence = evidence_of_three_hosts();
     evidence.record_sent(HostId{0}, kStart);
-    Time woken = kStart + seconds(10);
+    Time resumed = kStart + seconds(10);
 
-    evidence.discard_unanswered(woken);
-    evidence.record_contact(HostId{0}, ContactResult::unanswered, kStart, woken);
+    evidence.discard_unanswered(resumed);
+    evidence.record_contact(HostId{0}, ContactResult::unanswered, kStart, resumed);
 
-    CHECK(evidence.of_site(kSite, woken, kWindow, kTimeout).unresponsive == 0);
+    CHECK(evidence.of_site(kSite, resumed, kWindow, kTimeout).unresponsive == 0);
 }
 
-TEST_CASE("contact evidence: a restarted host begins without evidence, the others retain theirs") {
+TEST_CASE("contact evidence: a restarted host starts without evidence, the others retain theirs") {
     ContactEvidence evidence = evidence_of_three_hosts();
     for (std::uint32_t id : {0, 1})
         evidence.record_contact(HostId{id}, ContactResult::unanswered, kStart, kStart);
--- a/tests/site/failover_plan_test.cpp
+++ b/tests/site/failover_plan_test.cpp
@@ -1,4 +1,4 @@
-// Failover plan: where a lost site's load is sent, and what is shed.
+// Failover plan: which hosts take the load of a lost site, and what is shed.
 #include "site/failover_plan.hpp"
 
 #include <doctest/doctest.h>
@@ -8,9 +8,11 @@
 
 constexpr GroupId kGroup{7};
 
-PlanInput input_of(double reads, double writes) {  // requests a second
+// `reads` and `writes` are in requests per second. Site 0 has the primary and a replica, sites 1 and 2 a
+// replica each.
+PlanInput plan_input(double reads, double writes) {
     PlanInput input;
-    for (std::uint32_t i = 0; i < 4; ++i) {  // a primary and a replica in site 0, a replica each in 1 and 2
+    for (std::uint32_t i = 0; i < 4; ++i) {
         Host host;
         host.id = HostId{i};
         host.site = SiteId{i < 2 ? 0 : i - 1};
@@ -26,42 +28,45 @@
 }
 
 TEST_CASE(
-    "plan: remaining hosts get what they can carry, beyond that the priority weight for the cost decides") {
-    PlanInput input = input_of(100, 10);  // 7.5 of work on three replicas of five
+    "plan: remaining hosts take the load up to their maximum utilization, the rest is shed by priority "
+    "weight for cost") {
+    PlanInput input = plan_input(100, 10);  // work 7.5 on three replicas of capacity 5
     Plan without_loss = make_plan(input);
     for (const AdmittedShare& share : without_loss.shares) CHECK(share.admitted_share == 1);
     for (const HostLoad& host : without_loss.hosts)
         CHECK(host.load_after == doctest::Approx(host.load_before));
     input.lost_sites = {SiteId{1}};
-    Plan one_lost = make_plan(input);  // 7.5 on two replicas: 8 are within the maximal utilization
+    Plan one_lost = make_plan(input);  // work 7.5 on two replicas, which can take 8 at maximum utilization
     CHECK(one_lost.admitted_share(kGroup, "view") == 1);
     CHECK(one_lost.hosts[1].load_after == doctest::Approx(3.75));
     CHECK(one_lost.hosts[2].load_after == 0);
     CHECK(one_lost.groups[kGroup].moved_work == doctest::Approx(2.5));
     CHECK(one_lost.groups[kGroup].load_ratio == doctest::Approx(1.5));
     input.lost_sites = {SiteId{1}, SiteId{2}};
-    Plan two_lost = make_plan(input);  // 4 of 7.5: all of the more valuable 2.5, of the other 5 the rest
+    Plan two_lost =
+        make_plan(input);  // 4 of 7.5 fit: all 2.5 of the more valuable class and 1.5 of the other 5
     CHECK(two_lost.admitted_share(kGroup, "own") == doctest::Approx(1));
     CHECK(two_lost.admitted_share(kGroup, "view") == doctest::Approx(0.3));
     CHECK(two_lost.shares.front().request_class == "view");
     CHECK(two_lost.groups[kGroup].shed_work == doctest::Approx(3.5));
     input.protected_classes = {"view"};
-    CHECK(make_plan(input).admitted_share(kGroup, "view") > 0.7);  // as operators say
+    CHECK(make_plan(input).admitted_share(kGroup, "view") > 0.7);  // operators have protected this class
     for (const HostLoad& host : two_lost.hosts)
         CHECK(host.load_after <= input.max_utilization * host.capacity + 1e-9);
 }
 
 TEST_CASE(
-    "plan: a lost primary's work goes to its successor, whose reads the others take; no class loses all") {
-    PlanInput input = input_of(60, 10);
+    "plan: the successor takes the work of a lost primary, other replicas take its reads, and no class is "
+    "shed in full") {
+    PlanInput input = plan_input(60, 10);
     input.lost_sites = {SiteId{0}};
     Plan plan = make_plan(input);
     CHECK(plan.groups[kGroup].primary_lost);
     CHECK(plan.admitted_share(kGroup, "book") == 1);
-    double reads = 0;
-    for (const HostLoad& host : plan.hosts) reads += host.load_after;
-    CHECK(reads == doctest::Approx(4 + 1));  // one replica at maximal utilization, and the writes
-    input = input_of(10000, 10);
+    double total_load = 0;
+    for (const HostLoad& host : plan.hosts) total_load += host.load_after;
+    CHECK(total_load == doctest::Approx(4 + 1));  // one replica at maximum utilization, and the writes
+    input = plan_input(10000, 10);
     input.lost_sites = {SiteId{1}, SiteId{2}};
     CHECK(make_plan(input).admitted_share(kGroup, "view") ==
           doctest::Approx(input.min_class_share * 4 / (input.min_class_share * 750)));
@@ -69,7 +74,7 @@
     for (const AdmittedShare& share : make_plan(input).shares) CHECK(share.admitted_share == 0);
 }
 
-TEST_CASE("plan: classes are shed by priority weight for their cost, protected ones last") {
+TEST_CASE("plan: classes are shed in the order of priority weight for cost, protected ones last") {
     Demand cheap{kGroup, "cheap", false, 1, 0.01, 1};
     Demand costly{kGroup, "costly", false, 1, 0.1, 1};
 
--- a/tests/site/load_shedder_test.cpp
+++ b/tests/site/load_shedder_test.cpp
@@ -1,4 +1,4 @@
-// Load shedding by plan, and the retry budget of reads.
+// Load shedding by the failover plan, and the retry budget of reads.
 #include "site/load_shedder.hpp"
 
 #include <doctest/doctest.h>
@@ -27,14 +27,14 @@
     return {GroupId{0}, 0, "tenant", draw};
 }
 
-TEST_CASE("load shedder: sheds only while hosts are lost, and one request an interval is always admitted") {
+TEST_CASE("load shedder: sheds only while hosts are excluded, and always admits one request per interval") {
     LoadShedder shedder = shedder_of_one_class();
     shedder.admit(arrival_with_draw(0.99), kStart);
     shedder.record_latency(GroupId{0}, 0, milliseconds(20));
     for (std::uint32_t id : {1, 2}) shedder.record_utilization(HostId{id}, 1);
 
     shedder.update_plan(primary_and_two_replicas(), {HostId{2}}, kStart);
-    CHECK(shedder.admit(arrival_with_draw(0.99), kStart));  // the first one
+    CHECK(shedder.admit(arrival_with_draw(0.99), kStart));  // the first request of an interval
     CHECK(!shedder.admit(arrival_with_draw(0.99), kStart));
     CHECK(shedder.admit(arrival_with_draw(0.99), kStart + Settings{}.starvation_interval));
     CHECK(shedder.rejected_requests() == 1);
@@ -43,7 +43,7 @@
     CHECK(shedder.admit(arrival_with_draw(0.99), kStart));
 }
 
-TEST_CASE("load shedder: a host that reports no utilization limits nothing") {
+TEST_CASE("load shedder: a host that reports no utilization causes no shedding") {
     LoadShedder shedder = shedder_of_one_class();
     for (int i = 0; i < 100; ++i) shedder.admit(arrival_with_draw(0.99), kStart);
     shedder.record_latency(GroupId{0}, 0, milliseconds(20));
--- a/tests/site/probe_scheduler_test.cpp
+++ b/tests/site/probe_scheduler_test.cpp
@@ -1,4 +1,4 @@
-// Schedule of probes: confirmation of a suspected loss, and the end of one.
+// Schedule of probes: confirmation of a suspected loss, and detection of the end of a loss.
 #include "site/probe_scheduler.hpp"
 
 #include <doctest/doctest.h>
@@ -6,8 +6,8 @@
 namespace indigovane::site {
 namespace {
 
-constexpr SiteId kSuspected{0};
-constexpr SiteId kOther{1};
+constexpr SiteId kSuspectedSite{0};
+constexpr SiteId kOtherSite{1};
 constexpr std::uint32_t kHostsPerSite = 4;
 
 struct ProbeFixture {
@@ -15,7 +15,7 @@
     ContactEvidence evidence;
     SiteHealthTracker health{settings};
     std::set<HostId> excluded;
-    ProbeScheduler prober{settings, [] { return 0.0; }};
+    ProbeScheduler probe_scheduler{settings, [] { return 0.0; }};
     Time now = Time(seconds(100));
 
     ProbeFixture() {
@@ -23,45 +23,46 @@
         for (std::uint32_t i = 0; i < 2 * kHostsPerSite; ++i) {
             Host host;
             host.id = HostId{i};
-            host.site = i < kHostsPerSite ? kSuspected : kOther;
+            host.site = i < kHostsPerSite ? kSuspectedSite : kOtherSite;
             hosts.push_back(host);
         }
         evidence.set_hosts(hosts);
     }
     ProbeScheduler::View view() const { return {evidence, health, excluded, 1, milliseconds(400)}; }
-    std::vector<HostId> confirmation_probes() { return prober.confirmation_probes(view(), now); }
+    std::vector<HostId> confirmation_probes() { return probe_scheduler.confirmation_probes(view(), now); }
 };
 
-TEST_CASE("probes: nothing is probed while no host is unresponsive") {
+TEST_CASE("probes: no host is probed while none is unresponsive") {
     ProbeFixture fixture;
     fixture.evidence.record_contact(HostId{0}, ContactResult::answered, fixture.now, fixture.now);
     CHECK(fixture.confirmation_probes().empty());
 }
 
-TEST_CASE("probes: a suspicion is confirmed at other hosts of the site and at one of each other site") {
+TEST_CASE(
+    "probes: a suspected loss is checked at other hosts of the site and at one host of each other site") {
     ProbeFixture fixture;
     fixture.evidence.record_contact(HostId{0}, ContactResult::unanswered, fixture.now, fixture.now);
 
     std::vector<HostId> expected{HostId{1}, HostId{2}, HostId{3}, HostId{4}};
     CHECK(fixture.confirmation_probes() == expected);
-    CHECK(fixture.confirmation_probes().empty());  // not again within the evidence window
+    CHECK(fixture.confirmation_probes().empty());  // no second time within the evidence window
 }
 
-TEST_CASE("probes: a lost site is probed by turns, from just before its exclusion ends") {
+TEST_CASE("probes: hosts of a lost site are probed in turn, starting shortly before the exclusion ends") {
     ProbeFixture fixture;
     for (std::uint32_t id = 0; id < kHostsPerSite; ++id)
         fixture.evidence.record_contact(HostId{id}, ContactResult::unanswered, fixture.now, fixture.now);
     fixture.now += fixture.settings.unresponsive_after;
     fixture.evidence.record_contact(HostId{4}, ContactResult::answered, fixture.now, fixture.now);
     fixture.health.evaluate(fixture.evidence, fixture.now, milliseconds(400));
-    REQUIRE(is_lost(fixture.health.of_site(kSuspected).state));
+    REQUIRE(is_lost(fixture.health.of_site(kSuspectedSite).state));
 
-    CHECK(!fixture.prober.recovery_probe(fixture.view(), kSuspected, fixture.now));
-    fixture.now = fixture.health.of_site(kSuspected).excluded_until - fixture.settings.unresponsive_after;
-    CHECK(fixture.prober.recovery_probe(fixture.view(), kSuspected, fixture.now) == HostId{0});
-    CHECK(!fixture.prober.recovery_probe(fixture.view(), kSuspected, fixture.now));
+    CHECK(!fixture.probe_scheduler.recovery_probe(fixture.view(), kSuspectedSite, fixture.now));
+    fixture.now = fixture.health.of_site(kSuspectedSite).excluded_until - fixture.settings.unresponsive_after;
+    CHECK(fixture.probe_scheduler.recovery_probe(fixture.view(), kSuspectedSite, fixture.now) == HostId{0});
+    CHECK(!fixture.probe_scheduler.recovery_probe(fixture.view(), kSuspectedSite, fixture.now));
     fixture.now += fixture.settings.probe_interval;
-    CHECK(fixture.prober.recovery_probe(fixture.view(), kSuspected, fixture.now) == HostId{1});
+    CHECK(fixture.probe_scheduler.recovery_probe(fixture.view(), kSuspectedSite, fixture.now) == HostId{1});
 }
 
 }  // namespace
--- a/tests/site/recovery_ramp_test.cpp
+++ b/tests/site/recovery_ramp_test.cpp
@@ -25,12 +25,13 @@
 }
 
 TEST_CASE(
-    "recovery ramp: a draw below the initial share readmits at once, others at their part of the length") {
+    "recovery ramp: a draw below the initial share readmits a host at once, other draws set its time in the "
+    "ramp") {
     RecoveryRamp ramp;
     double draws[] = {0.01, 0.5};
-    int drawn = 0;
+    int draw_count = 0;
     ramp.start(
-        hosts_of_groups({0, 0}), equal_load, {seconds(4), 0.05, false}, [&] { return draws[drawn++]; },
+        hosts_of_groups({0, 0}), equal_load, {seconds(4), 0.05, false}, [&] { return draws[draw_count++]; },
         kStart);
 
     CHECK(ramp.take_due_hosts(kStart, kProbeInterval).to_readmit == std::vector{HostId{0}});
@@ -39,7 +40,7 @@
     CHECK(ramp.is_finished());
 }
 
-TEST_CASE("recovery ramp: hosts of the groups with the highest load ratio come first") {
+TEST_CASE("recovery ramp: hosts of the groups with the highest load ratio are readmitted first") {
     RecoveryRamp ramp;
     auto load_ratio = [](GroupId group) { return group == GroupId{1} ? 2.0 : 1.0; };
     ramp.start(
@@ -49,7 +50,9 @@
     CHECK(ramp.take_due_hosts(kStart + seconds(1), kProbeInterval).to_readmit == std::vector{HostId{0}});
 }
 
-TEST_CASE("recovery ramp: with probes a host is readmitted after an answer, and probed once an interval") {
+TEST_CASE(
+    "recovery ramp: a host that must answer first is probed once per interval and readmitted after its "
+    "answer") {
     RecoveryRamp ramp;
     ramp.start(
         hosts_of_groups({0}), equal_load, {seconds(4), 0, true}, [] { return 0.0; }, kStart);
--- a/tests/site/site_command_test.cpp
+++ b/tests/site/site_command_test.cpp
@@ -1,4 +1,4 @@
-// The operators' file of sites and the command `site plan`.
+// The operators' file with the settings of sites, and the command `site plan`.
 #include "program/site_command.hpp"
 
 #include <doctest/doctest.h>
@@ -13,7 +13,7 @@
 namespace indigovane::site {
 namespace {
 
-TEST_CASE("site plan: the file is checked, the plan says what would be shed, mistakes are named") {
+TEST_CASE("site plan: checks the file, shows what would be shed, and reports each mistake in the file") {
     testing::Folder folder;
     std::string settings = folder.path + "/config.json", sites = folder.path + "/sites.toml";
     std::ofstream(settings) << R"({"name":"p","listen":"127.0.0.1:0","discovery":"127.0.0.1:9",
@@ -45,7 +45,7 @@
     CHECK(text.find("tenant quay") < text.find("\nhost "));
     std::ofstream(sites) << valid;
     CHECK(call({"--lose", "b"}, text) == 0);
-    CHECK(text.find("view                     3   50.0%") != std::string::npos);  // 4 of 8
+    CHECK(text.find("view                     3   50.0%") != std::string::npos);  // capacity 4 for work 8
     CHECK(call({"--lose", "b", "--json"}, text) == 0);
     auto json = nlohmann::json::parse(text);
     CHECK(json["hosts"][2]["after"] == 4);
--- a/tests/site/site_fixture.hpp
+++ b/tests/site/site_fixture.hpp
@@ -1,5 +1,5 @@
-// A site manager with made-up time: three sites of six hosts in six groups, each group's three hosts in three
-// sites; a pooler that sends requests to all of them at random.
+// A site manager in virtual time. There are three sites of six hosts and six groups, each with one host in
+// each site. A pooler sends requests to randomly chosen hosts.
 #pragma once
 
 #include <algorithm>
@@ -22,22 +22,23 @@
     SiteManager manager;
     Time now = Time(seconds(100));
     std::vector<Host> hosts;
-    std::set<std::uint32_t> unresponsive;  // hosts that answer nothing
+    std::set<std::uint32_t> unresponsive;  // hosts that do not answer
     std::set<std::uint32_t> resetting;     // hosts that reset connections
     Duration attempt_timeout = milliseconds(300);
     int steps_per_request = 1;
 
-    // What the manager has asked for.
-    std::set<HostId> excluded;
+    // Actions that the manager has returned.
+    std::set<HostId> excluded;  // hosts that are excluded now
     std::vector<std::pair<Time, HostId>> readmissions;
-    int slow_starts = 0;  // readmissions that begin one
+    int slow_starts = 0;  // number of readmissions with a slow start
     std::vector<std::pair<Time, HostId>> probes;
     std::vector<SiteTransition> transitions;
 
-    std::map<std::uint32_t, std::vector<Time>> pending;  // when sent, to unresponsive hosts
+    std::map<std::uint32_t, std::vector<Time>> pending;  // when each pending contact was sent, by host
 
-    explicit SiteFixture(Settings s = enabled(), unsigned poolers = 1, bool may_probe = true)
-        : settings(s), manager(s, {poolers, may_probe, classes()}, [this] { return draw(); }) {
+    explicit SiteFixture(Settings site_settings = enabled(), unsigned poolers = 1, bool may_probe = true)
+        : settings(site_settings),
+          manager(site_settings, {poolers, may_probe, classes()}, [this] { return draw(); }) {
         for (std::uint32_t i = 0; i < kHosts; ++i) {
             Host host;
             host.id = HostId{i};
@@ -70,7 +71,8 @@
     }
 
     void apply(const SiteActions& actions) {
-        for (const SiteAction& action : actions) std::visit([this](const auto& a) { apply(a); }, action);
+        for (const SiteAction& action : actions)
+            std::visit([this](const auto& concrete_action) { apply(concrete_action); }, action);
     }
     void apply(const ExcludeHost& action) { excluded.insert(action.host); }
     void apply(const ReadmitHost& action) {
@@ -84,7 +86,7 @@
     }
     void apply(const SiteTransition& transition) { transitions.push_back(transition); }
 
-    // A request or a probe: answered at once, or pending until its timeout.
+    // Sends a request or a probe. It is answered at once, or pending until its timeout.
     void send(HostId host) {
         auto id = std::uint32_t(host);
         manager.record_sent(host, now);
@@ -97,7 +99,8 @@
         manager.record_contact(host, result, now, now);
     }
 
-    void end_overdue() {
+    // Ends the pending contacts that have reached their timeout.
+    void end_timed_out() {
         for (auto& [id, sent] : pending)
             while (!sent.empty() && now - sent.front() >= attempt_timeout) {
                 manager.record_ended(HostId{id});
@@ -106,29 +109,30 @@
             }
     }
 
-    // In each step some host that is in use gets a request; an evaluation whenever one is due.
-    void run(Duration length, bool traffic = true) {
+    // In each step sends a request to a random host unless it is excluded, and evaluates if an evaluation is
+    // due.
+    void run(Duration length, bool has_traffic = true) {
         for (Time end = now + length; now < end; now += kStep) {
-            end_overdue();
+            end_timed_out();
             HostId host{std::uint32_t(draw() * kHosts)};
-            bool due = traffic && steps_++ % steps_per_request == 0;
-            if (due && !excluded.count(host)) send(host);
+            bool is_request_due = has_traffic && steps_++ % steps_per_request == 0;
+            if (is_request_due && !excluded.count(host)) send(host);
             if (manager.next_evaluation() && *manager.next_evaluation() <= now) apply(manager.evaluate(now));
         }
     }
 
-    // All hosts of a site join `failed`: `unresponsive` or `resetting`.
+    // Adds all hosts of a site to `failed`, which is `unresponsive` or `resetting`.
     void fail_site(std::uint32_t site, std::set<std::uint32_t>& failed) const {
         for (std::uint32_t id = site; id < kHosts; id += kSites) failed.insert(id);
     }
 
     SiteState state_of(std::uint32_t site) const { return manager.health().of_site(SiteId{site}).state; }
-    bool entered(std::uint32_t site, SiteState state) const {
+    bool has_entered(std::uint32_t site, SiteState state) const {
         return std::any_of(transitions.begin(), transitions.end(), [&](const SiteTransition& transition) {
             return transition.change.site == SiteId{site} && transition.change.after == state;
         });
     }
-    std::size_t excluded_of(std::uint32_t site) const {
+    std::size_t excluded_count(std::uint32_t site) const {
         return std::size_t(std::count_if(excluded.begin(), excluded.end(),
                                          [&](HostId host) { return std::uint32_t(host) % kSites == site; }));
     }
--- a/tests/site/site_health_test.cpp
+++ b/tests/site/site_health_test.cpp
@@ -1,4 +1,4 @@
-// Health of sites: states and their transitions, without a manager.
+// Health of sites: states and their transitions, tested without a site manager.
 #include "site/site_health.hpp"
 
 #include <doctest/doctest.h>
@@ -6,29 +6,29 @@
 namespace indigovane::site {
 namespace {
 
-constexpr SiteId kLost{0};
-constexpr SiteId kOther{1};
+constexpr SiteId kLostSite{0};
+constexpr SiteId kOtherSite{1};
 constexpr Duration kTimeout = milliseconds(400);
 constexpr std::uint32_t kHostsPerSite = 3;
 
-// Two sites of three hosts that have answered.
-struct HealthFixture {
+// Two sites with three hosts each. All hosts have answered.
+struct SiteHealthFixture {
     Settings settings;
     ContactEvidence evidence;
     SiteHealthTracker health{settings};
     Time now = Time(seconds(100));
 
-    HealthFixture() {
+    SiteHealthFixture() {
         std::vector<Host> hosts;
         for (std::uint32_t i = 0; i < 2 * kHostsPerSite; ++i) {
             Host host;
             host.id = HostId{i};
-            host.site = i < kHostsPerSite ? kLost : kOther;
+            host.site = i < kHostsPerSite ? kLostSite : kOtherSite;
             hosts.push_back(host);
         }
         evidence.set_hosts(hosts);
-        record(kLost, ContactResult::answered);
-        record(kOther, ContactResult::answered);
+        record(kLostSite, ContactResult::answered);
+        record(kOtherSite, ContactResult::answered);
     }
     void record(SiteId site, ContactResult result) {
         for (const Host& host : evidence.hosts())
@@ -37,64 +37,64 @@
     std::vector<StateChange> evaluate() { return health.evaluate(evidence, now, kTimeout); }
     void lose_site(ContactResult result = ContactResult::unanswered) {
         now += settings.unresponsive_after;
-        record(kLost, result);
-        record(kOther, ContactResult::answered);
+        record(kLostSite, result);
+        record(kOtherSite, ContactResult::answered);
         evaluate();
-        REQUIRE(health.of_site(kLost).state == SiteState::lost);
+        REQUIRE(health.of_site(kLostSite).state == SiteState::lost);
     }
 };
 
-TEST_CASE("site health: a site is lost only after it has answered nothing for the full time") {
-    HealthFixture fixture;
+TEST_CASE("site health: a site is lost only after it has not answered for unresponsive_after") {
+    SiteHealthFixture fixture;
     fixture.now += fixture.settings.unresponsive_after - Duration(1);
-    fixture.record(kLost, ContactResult::unanswered);
-    fixture.record(kOther, ContactResult::answered);
+    fixture.record(kLostSite, ContactResult::unanswered);
+    fixture.record(kOtherSite, ContactResult::answered);
 
     fixture.evaluate();
-    CHECK(fixture.health.of_site(kLost).state == SiteState::degraded);
+    CHECK(fixture.health.of_site(kLostSite).state == SiteState::degraded);
 
     fixture.now += Duration(1);
     fixture.evaluate();
-    CHECK(fixture.health.of_site(kLost).state == SiteState::lost);
-    CHECK(fixture.health.of_site(kOther).state == SiteState::reachable);
+    CHECK(fixture.health.of_site(kLostSite).state == SiteState::lost);
+    CHECK(fixture.health.of_site(kOtherSite).state == SiteState::reachable);
 }
 
-TEST_CASE("site health: a loss stands for its exclusion time, whatever answers") {
-    HealthFixture fixture;
+TEST_CASE("site health: a loss lasts for its exclusion time even if hosts answer") {
+    SiteHealthFixture fixture;
     fixture.lose_site();
     Time end = fixture.now + fixture.settings.min_exclusion;
-    CHECK(fixture.health.of_site(kLost).excluded_until == end);
-    for (std::uint32_t id : {0, 1}) fixture.health.record_answer(kLost, HostId{id}, fixture.now);
+    CHECK(fixture.health.of_site(kLostSite).excluded_until == end);
+    for (std::uint32_t id : {0, 1}) fixture.health.record_answer(kLostSite, HostId{id}, fixture.now);
 
     fixture.now = end - Duration(1);
     CHECK(fixture.evaluate().empty());
     fixture.now = end;
     REQUIRE(fixture.evaluate().size() == 1);
-    CHECK(fixture.health.of_site(kLost).state == SiteState::recovering);
+    CHECK(fixture.health.of_site(kLostSite).state == SiteState::recovering);
 }
 
-TEST_CASE("site health: hosts that reset connections have restarted, so that the longer ramp applies") {
-    HealthFixture fixture;
+TEST_CASE("site health: hosts that reset connections count as restarted and get the restart ramp") {
+    SiteHealthFixture fixture;
     fixture.lose_site(ContactResult::reset);
-    fixture.now = fixture.health.of_site(kLost).excluded_until;
-    for (std::uint32_t id : {0, 1}) fixture.health.record_answer(kLost, HostId{id}, fixture.now);
+    fixture.now = fixture.health.of_site(kLostSite).excluded_until;
+    for (std::uint32_t id : {0, 1}) fixture.health.record_answer(kLostSite, HostId{id}, fixture.now);
 
     fixture.evaluate();
 
-    CHECK(fixture.health.of_site(kLost).ramp == fixture.settings.restart_ramp);
-    CHECK(fixture.health.complete_recovery(kLost, fixture.now));
-    CHECK(fixture.health.of_site(kLost).state == SiteState::reachable);
+    CHECK(fixture.health.of_site(kLostSite).ramp == fixture.settings.restart_ramp);
+    CHECK(fixture.health.complete_recovery(kLostSite, fixture.now));
+    CHECK(fixture.health.of_site(kLostSite).state == SiteState::reachable);
 }
 
-TEST_CASE("site health: only operators end a drain that operators began") {
-    HealthFixture fixture;
-    CHECK(!fixture.health.drain(kLost, false, fixture.now));
-    REQUIRE(fixture.health.drain(kLost, true, fixture.now));
-    fixture.record(kLost, ContactResult::answered);
+TEST_CASE("site health: only operators end a drain") {
+    SiteHealthFixture fixture;
+    CHECK(!fixture.health.drain(kLostSite, false, fixture.now));
+    REQUIRE(fixture.health.drain(kLostSite, true, fixture.now));
+    fixture.record(kLostSite, ContactResult::answered);
     CHECK(fixture.evaluate().empty());
-    CHECK(is_excluded(fixture.health.of_site(kLost).state));
-    CHECK(!is_lost(fixture.health.of_site(kLost).state));
-    CHECK(fixture.health.drain(kLost, false, fixture.now));
+    CHECK(is_excluded(fixture.health.of_site(kLostSite).state));
+    CHECK(!is_lost(fixture.health.of_site(kLostSite).state));
+    CHECK(fixture.health.drain(kLostSite, false, fixture.now));
 }
 
 }  // namespace
--- a/tests/site/site_test.cpp
+++ b/tests/site/site_test.cpp
@@ -1,5 +1,5 @@
-// Loss of a site: the decisions of the site manager alone, with made-up time. Each case names the rule that
-// it checks. Recovery: site_recovery_test.cpp.
+// Loss of a site: decisions of the site manager, in virtual time. Recovery is tested in
+// site_recovery_test.cpp.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -11,64 +11,65 @@
 namespace {
 
 TEST_CASE(
-    "detection: an unresponsive site is lost with all its hosts, also those never contacted, and no other") {
-    for (bool resets : {false, true}) {
+    "detection: if a site is unresponsive, all its hosts and no others are excluded, even hosts without "
+    "contact") {
+    for (bool is_resetting : {false, true}) {
         SiteFixture fixture;
         fixture.run(seconds(3));
-        fixture.fail_site(1, resets ? fixture.resetting : fixture.unresponsive);
+        fixture.fail_site(1, is_resetting ? fixture.resetting : fixture.unresponsive);
         fixture.run(milliseconds(1500));
         CHECK(fixture.state_of(1) == SiteState::lost);
-        CHECK(fixture.excluded_of(1) == 6);
+        CHECK(fixture.excluded_count(1) == 6);
         CHECK(fixture.excluded.size() == 6);
-        CHECK(fixture.manager.health().of_site(SiteId{1}).has_restarted == resets);
+        CHECK(fixture.manager.health().of_site(SiteId{1}).has_restarted == is_resetting);
         CHECK(fixture.manager.health().of_site(SiteId{1}).evidence.newly_unresponsive >= 3);
     }
 }
 
-TEST_CASE("detection: one unresponsive host loses no site, nor do two of six") {
+TEST_CASE("detection: one or two unresponsive hosts out of six do not make a site lost") {
     SiteFixture fixture;
     fixture.unresponsive = {1, 4};
     fixture.run(seconds(20));
     CHECK(fixture.excluded.empty());
-    CHECK(!fixture.entered(1, SiteState::lost));
+    CHECK(!fixture.has_entered(1, SiteState::lost));
 }
 
-// Three requests a second over 18 hosts: by chance alone three different hosts of one site hardly ever get
-// one within the evidence window.
-TEST_CASE("detection: a pooler with little traffic probes others of a site as soon as one is unresponsive") {
-    auto losses_found = [](unsigned probes) {
-        int found = 0;
+// Guards against a loss that a pooler with little traffic cannot detect: with three requests per second over
+// 18 hosts, three hosts of one site rarely get a request within the evidence window.
+TEST_CASE("detection: a pooler with little traffic probes other hosts of a site when one is unresponsive") {
+    auto detected_losses = [](unsigned probes) {
+        int detected = 0;
         for (std::uint64_t seed = 1; seed <= 10; ++seed) {
             Settings settings = SiteFixture::enabled();
             settings.confirmation_probes = probes;
             SiteFixture fixture(settings, 300);
             fixture.random_state = seed * 7919;
             fixture.steps_per_request = 30;
-            fixture.run(seconds(60));  // long enough to have used every host
+            fixture.run(seconds(60));  // long enough for each host to have had a request
             fixture.fail_site(1, fixture.unresponsive);
             fixture.run(seconds(3));
-            found += fixture.state_of(1) == SiteState::lost && !fixture.entered(0, SiteState::lost) &&
-                     !fixture.entered(2, SiteState::lost);
+            detected += fixture.state_of(1) == SiteState::lost && !fixture.has_entered(0, SiteState::lost) &&
+                        !fixture.has_entered(2, SiteState::lost);
         }
-        return found;
+        return detected;
     };
-    CHECK(losses_found(3) >= 9);
-    CHECK(losses_found(0) <= 3);
+    CHECK(detected_losses(3) >= 9);
+    CHECK(detected_losses(0) <= 3);
 }
 
-TEST_CASE("detection: one unresponsive host causes few probes, whose answers clear its site") {
+TEST_CASE("detection: one unresponsive host causes few probes, and their answers rule out a loss") {
     Settings settings = SiteFixture::enabled();
     SiteFixture fixture(settings, 30);
     fixture.steps_per_request = 30;
     fixture.unresponsive = {4};
     fixture.run(seconds(60));
-    CHECK(!fixture.entered(1, SiteState::lost));
-    // All poolers together probe no host more often than allowed.
+    CHECK(!fixture.has_entered(1, SiteState::lost));
+    // All poolers together stay within the probe rate per host.
     CHECK(fixture.probes.size() > 0);
     CHECK(double(fixture.probes.size()) * 30 / 60 <= 6 * settings.probes_per_host_per_second + 3 * 30 / 60.0);
 }
 
-TEST_CASE("detection: a site without traffic is not lost for lack of answers") {
+TEST_CASE("detection: a site without traffic is not lost") {
     SiteFixture fixture;
     fixture.run(seconds(2));
     fixture.run(seconds(60), false);
@@ -76,24 +77,25 @@
 }
 
 TEST_CASE(
-    "detection: all sites unresponsive at once is this pooler's uplink, and none of it counts afterwards") {
-    for (bool detects : {true, false}) {
+    "detection: if all sites are unresponsive, this pooler's uplink is down, and no site is lost "
+    "afterwards") {
+    for (bool detects_own_faults : {true, false}) {
         Settings settings = SiteFixture::enabled();
-        settings.detect_own_faults = detects;
+        settings.detect_own_faults = detects_own_faults;
         SiteFixture fixture(settings);
         fixture.run(seconds(2));
         for (std::uint32_t site = 0; site < 3; ++site) fixture.fail_site(site, fixture.unresponsive);
         fixture.run(seconds(8));
-        CHECK(fixture.manager.health().uplink_down() == detects);
+        CHECK(fixture.manager.health().uplink_down() == detects_own_faults);
         fixture.unresponsive.clear();
         fixture.run(seconds(3));
-        // Without the detection of its own faults it takes other sites for lost.
-        bool any_lost = fixture.entered(0, SiteState::lost) || fixture.entered(1, SiteState::lost) ||
-                        fixture.entered(2, SiteState::lost) || fixture.entered(0, SiteState::partitioned) ||
-                        fixture.entered(1, SiteState::partitioned) ||
-                        fixture.entered(2, SiteState::partitioned);
-        CHECK(any_lost == !detects);
-        if (!detects) continue;
+        // Without the detection of its own faults, the pooler considers sites lost or partitioned.
+        bool is_any_site_lost =
+            fixture.has_entered(0, SiteState::lost) || fixture.has_entered(1, SiteState::lost) ||
+            fixture.has_entered(2, SiteState::lost) || fixture.has_entered(0, SiteState::partitioned) ||
+            fixture.has_entered(1, SiteState::partitioned) || fixture.has_entered(2, SiteState::partitioned);
+        CHECK(is_any_site_lost == !detects_own_faults);
+        if (!detects_own_faults) continue;
         CHECK(!fixture.manager.health().uplink_down());
         CHECK(fixture.excluded.empty());
         for (std::uint32_t site = 0; site < 3; ++site) CHECK(fixture.state_of(site) == SiteState::reachable);
@@ -101,8 +103,8 @@
 }
 
 TEST_CASE(
-    "detection: on the smaller side of a partition the other sites are partitioned, not lost, and count as "
-    "warm") {
+    "detection: a pooler on the smaller side of a partition considers the other sites partitioned, not "
+    "lost, and readmits them as warm") {
     SiteFixture fixture;
     fixture.run(seconds(2));
     fixture.fail_site(1, fixture.unresponsive);
@@ -110,37 +112,41 @@
     fixture.run(seconds(3));
     CHECK((fixture.state_of(1) == SiteState::partitioned || fixture.state_of(2) == SiteState::partitioned));
     CHECK(fixture.state_of(0) == SiteState::reachable);
-    CHECK(fixture.excluded_of(0) == 0);
+    CHECK(fixture.excluded_count(0) == 0);
     fixture.unresponsive.clear();
     fixture.run(seconds(6));
     CHECK(fixture.excluded.empty());
 }
 
-TEST_CASE("detection: after a pause of its process a pooler loses no site for answers that it missed") {
-    for (bool detects : {true, false}) {
+TEST_CASE(
+    "detection: after a pause of its process, a pooler loses no site because of answers missed during the "
+    "pause") {
+    for (bool detects_own_faults : {true, false}) {
         Settings settings = SiteFixture::enabled();
-        settings.detect_own_faults = detects;
+        settings.detect_own_faults = detects_own_faults;
         SiteFixture fixture(settings);
         fixture.run(seconds(2));
         for (std::uint32_t i = 1; i < 18; i += 3)
-            fixture.manager.record_sent(HostId{i}, fixture.now);  // in flight when it is paused
-        Time before = fixture.now;
+            fixture.manager.record_sent(HostId{i}, fixture.now);  // in flight when the process is paused
+        Time paused_at = fixture.now;
         fixture.now += seconds(10);
-        for (std::uint32_t i = 1; i < 18; i += 3) {  // all timeouts are found at once, before any answer
+        // After the pause all timeouts are noticed before any answer.
+        for (std::uint32_t i = 1; i < 18; i += 3) {
             fixture.manager.record_ended(HostId{i});
-            fixture.manager.record_contact(HostId{i}, ContactResult::unanswered, before, fixture.now);
+            fixture.manager.record_contact(HostId{i}, ContactResult::unanswered, paused_at, fixture.now);
         }
-        fixture.send(HostId{0});  // then the first answer, of another site
+        fixture.send(HostId{0});  // the first answer comes from another site
         fixture.apply(fixture.manager.evaluate(fixture.now));
-        CHECK(fixture.excluded.empty() == detects);  // without the detection the pause loses it
+        CHECK(fixture.excluded.empty() == detects_own_faults);  // without the detection the site is lost
         fixture.run(seconds(3));
-        CHECK(fixture.transitions.empty() == detects);
-        if (detects) CHECK(fixture.excluded.empty());
+        CHECK(fixture.transitions.empty() == detects_own_faults);
+        if (detects_own_faults) CHECK(fixture.excluded.empty());
     }
 }
 
 TEST_CASE(
-    "endpoint list: a start since the loss counts as an answer; a host new to a lost site stays excluded") {
+    "endpoint list: a restart after the loss counts as an answer, and a host added to a lost site is "
+    "excluded") {
     SiteFixture fixture;
     fixture.run(seconds(2));
     fixture.fail_site(1, fixture.unresponsive);
@@ -162,12 +168,12 @@
     fixture.apply(fixture.manager.evaluate(fixture.now));
     CHECK(fixture.state_of(1) == SiteState::recovering);
     CHECK(fixture.manager.health().of_site(SiteId{1}).ramp ==
-          fixture.settings.restart_ramp);  // they have all restarted
+          fixture.settings.restart_ramp);  // all hosts have restarted
     fixture.run(seconds(8));
     CHECK(fixture.excluded.empty());
 }
 
-TEST_CASE("endpoint list: one host's start during a partition does not make its site a restarted one") {
+TEST_CASE("endpoint list: a restart of one host during a loss does not make its site count as restarted") {
     SiteFixture fixture;
     fixture.run(seconds(2));
     fixture.fail_site(1, fixture.unresponsive);
@@ -178,11 +184,11 @@
     fixture.manager.set_hosts(listed, fixture.now);
     fixture.unresponsive.clear();
     fixture.run(seconds(2));
-    REQUIRE(fixture.entered(1, SiteState::recovering));
+    REQUIRE(fixture.has_entered(1, SiteState::recovering));
     CHECK(fixture.manager.health().of_site(SiteId{1}).ramp == fixture.settings.default_ramp);
 }
 
-TEST_CASE("operators: a drained site stays excluded whatever it answers, until they end it") {
+TEST_CASE("operators: a drained site stays excluded until they end the drain, even if it answers") {
     SiteFixture fixture;
     fixture.run(seconds(2));
     CHECK(!fixture.manager.drain(SiteId{9}, true, fixture.now));
@@ -191,14 +197,14 @@
     CHECK(!fixture.manager.drain(SiteId{1}, true, fixture.now));
     fixture.run(seconds(30));
     CHECK(fixture.state_of(1) == SiteState::drained);
-    CHECK(fixture.excluded_of(1) == 6);
+    CHECK(fixture.excluded_count(1) == 6);
     CHECK(fixture.manager.drain(SiteId{1}, false, fixture.now));
     fixture.run(seconds(3));
     CHECK(fixture.excluded.empty());
     CHECK(fixture.state_of(1) == SiteState::reachable);
 }
 
-TEST_CASE("retry budget: limits retries of reads while a site has a fault, and only then") {
+TEST_CASE("retry budget: limits retries of reads only while a site has a fault") {
     SiteFixture fixture;
     fixture.run(seconds(2));
     for (int i = 0; i < 100; ++i) CHECK(fixture.manager.may_retry());
@@ -216,14 +222,15 @@
 }
 
 TEST_CASE(
-    "load shedding: by reported utilization, with one request of each class and tenant in each interval") {
+    "load shedding: follows reported utilization and admits one request per class and tenant in each "
+    "interval") {
     Settings settings = SiteFixture::enabled();
     settings.shed_by_plan = true;
     SiteFixture fixture(settings);
     auto arrive = [&](std::size_t request_class, const char* tenant) {
         return fixture.manager.admit({GroupId{0}, request_class, tenant, fixture.draw()}, fixture.now);
     };
-    for (int i = 0; i < 2000; ++i) {  // 100 reads a second of 20 ms on two replicas at 0.7 utilization
+    for (int i = 0; i < 2000; ++i) {  // 100 reads per second of 20 ms on two replicas at utilization 0.7
         fixture.now += milliseconds(10);
         CHECK(arrive(0, "t"));
         fixture.manager.record_latency(GroupId{0}, 0, milliseconds(20));
@@ -234,15 +241,15 @@
     fixture.run(seconds(2));
     REQUIRE(fixture.state_of(1) == SiteState::lost);
     int admitted = 0;
-    int of_rare_tenant = 0;
+    int admitted_of_rare_tenant = 0;
     for (int i = 0; i < 1000; ++i) {
         fixture.now += milliseconds(10);
         admitted += arrive(0, "t");
-        if (i % 100 == 0) of_rare_tenant += arrive(0, "rare");
+        if (i % 100 == 0) admitted_of_rare_tenant += arrive(0, "rare");
     }
-    CHECK(admitted > 450);  // 0.8 of one replica over 1.4
+    CHECK(admitted > 450);  // capacity 0.8 of one replica for a load of 1.4
     CHECK(admitted < 680);
-    CHECK(of_rare_tenant >= 5);  // one in two seconds at the least
+    CHECK(admitted_of_rare_tenant >= 5);  // at least one in two seconds
     CHECK(fixture.manager.rejected_requests() > 300);
 }
 
--- a/tests/site/tenant_admission_test.cpp
+++ b/tests/site/tenant_admission_test.cpp
@@ -1,4 +1,4 @@
-// Max-min fairness over tenants, and which requests of a tenant are shed first.
+// Max-min fairness over tenants, and the order in which requests of a tenant are shed.
 #include "site/tenant_admission.hpp"
 
 #include <doctest/doctest.h>
@@ -6,9 +6,9 @@
 namespace indigovane::site {
 namespace {
 
-TEST_CASE("fairness: the admitted part goes to tenants by their weights, and to timely requests first") {
+TEST_CASE("fairness: the admitted share is divided among tenants by weight, and timely requests come first") {
     CHECK(fair_level({{10, 1}, {20, 1}}, 30) > 1e300);
-    // 60 of 120: the smallest gets all of its 5, the others 8 and 1 parts of the rest.
+    // 60 of 120 are admitted: all 5 of the smallest demand, and the other 55 in the ratio 8 to 1.
     std::vector<WeightedDemand> demands{{5, 1}, {80, 8}, {35, 1}};
     double level = fair_level(demands, 60);
     CHECK(satisfied_share(demands[0], level) == 1);
@@ -21,43 +21,45 @@
     CHECK(split_by_timeliness(0.3, 1).late == doctest::Approx(0.3));
 }
 
-// One tenant sends nine times as much as another: by chance alone both would lose the same part.
-TEST_CASE("tenants: one within its share is admitted, the one beyond it is shed, its retries first") {
-    for (bool fair : {true, false}) {
+// Guards against a tenant that takes capacity from others by sending more. One tenant sends nine times as
+// many requests as the other. Without fairness, both would lose the same share.
+TEST_CASE(
+    "tenants: a tenant within its share is admitted, a tenant beyond its share is shed, its retries first") {
+    for (bool is_fair : {true, false}) {
         Settings settings;
-        settings.tenant_fairness = fair;
-        settings.shed_late_first = fair;
+        settings.tenant_fairness = is_fair;
+        settings.shed_late_first = is_fair;
         settings.starvation_interval = seconds(60);
         TenantAdmission admission;
         Time now(seconds(100));
-        int small = 0;
-        int large = 0;
-        int retries = 0;
+        int small_admitted = 0;
+        int large_admitted = 0;
+        int retries_admitted = 0;
         for (int i = 0; i < 4000; ++i, now += milliseconds(10)) {
             std::string tenant = i % 10 == 0 ? "small" : "large";
-            bool retry = i % 10 == 1;  // a ninth of the large tenant's
-            admission.record_arrival(tenant, retry, settings, now);
+            bool is_retry = i % 10 == 1;  // one in nine requests of the large tenant
+            admission.record_arrival(tenant, is_retry, settings, now);
             if (i < 2000) continue;
-            double share = admission.admitted_share(tenant, retry, 0.5, settings, now);
+            double share = admission.admitted_share(tenant, is_retry, 0.5, settings, now);
             bool admitted = double(i * 7919 % 1000) / 1000 < share;
-            (tenant == "small" ? small : retry ? retries : large) += admitted;
+            (tenant == "small" ? small_admitted : is_retry ? retries_admitted : large_admitted) += admitted;
         }
-        if (fair) {
-            CHECK(small == 200);
-            CHECK(retries == 0);
-            CHECK(large == doctest::Approx(800).epsilon(0.05));
+        if (is_fair) {
+            CHECK(small_admitted == 200);
+            CHECK(retries_admitted == 0);
+            CHECK(large_admitted == doctest::Approx(800).epsilon(0.05));
         } else {
-            CHECK(small == doctest::Approx(100).epsilon(0.15));
-            CHECK(retries == doctest::Approx(100).epsilon(0.15));
+            CHECK(small_admitted == doctest::Approx(100).epsilon(0.15));
+            CHECK(retries_admitted == doctest::Approx(100).epsilon(0.15));
         }
     }
-    // Beyond the bound, tenants are counted as one, and admitted like any.
-    TenantAdmission many;
+    // Tenants beyond the limit are counted as one tenant and admitted like others.
+    TenantAdmission many_tenants;
     Settings settings;
     for (int i = 0; i < 5000; ++i)
-        many.record_arrival("t" + std::to_string(i), false, settings, Time(seconds(1)));
-    CHECK(many.admitted_share("t4999", false, 0.5, settings, Time(seconds(1))) < 0.5);
-    CHECK(many.tenant_count() <= TenantAdmission::kMaxTenants + 1);
+        many_tenants.record_arrival("t" + std::to_string(i), false, settings, Time(seconds(1)));
+    CHECK(many_tenants.admitted_share("t4999", false, 0.5, settings, Time(seconds(1))) < 0.5);
+    CHECK(many_tenants.tenant_count() <= TenantAdmission::kMaxTenants + 1);
 }
 
 }  // namespace
