--- a/src/site/contact_evidence.hpp
+++ b/src/site/contact_evidence.hpp
@@ -30,9 +30,9 @@
 
 // Evidence about one site: numbers of its hosts in each condition. A host may be counted in several.
 struct SiteEvidence {
-    unsigned hosts = 0;         // hosts to which the endpoint list allows new work; the others count nowhere
-    unsigned in_use = 0;        // hosts with work in flight or sent to within the evidence window
-    unsigned answering = 0;     // hosts that answered within the window and left nothing unanswered since
+    unsigned hosts = 0;      // hosts to which the endpoint list allows new work; other hosts are not counted
+    unsigned in_use = 0;     // hosts with work in flight or sent to within the evidence window
+    unsigned answering = 0;  // hosts that answered within the window and left nothing unanswered since
     unsigned unresponsive = 0;  // hosts with work unanswered within the window, or in flight for too long
     // Unresponsive hosts with unanswered work since the last answer of any host of the site.
     unsigned newly_unresponsive = 0;
@@ -55,6 +55,7 @@
     // Replaces the endpoint list. Evidence about hosts that stay is retained, unless a host has restarted.
     void set_hosts(const std::vector<Host>& hosts);
 
+    // Records that an attempt or a probe was sent. Unknown hosts are ignored.
     void record_sent(HostId host, Time now);
     // Records that a contact of record_sent() has ended, whatever its result.
     void record_ended(HostId host);
@@ -64,7 +65,8 @@
     // Drops all evidence of unanswered contacts until now. Used when this process was paused or its link was
     // down: the evidence is then about this side. The response timeout of work in flight starts again.
     void discard_unanswered(Time now);
-    // Drops all evidence about the hosts of a site, except for the number of contacts in flight.
+    // Drops all evidence about the hosts of a site, except for the number of contacts in flight. Their
+    // response timeout starts again.
     void forget_site(SiteId site, Time now);
 
     // Work that has been in flight for `response_timeout` counts as unanswered before it has ended.
--- a/src/site/failover_plan.hpp
+++ b/src/site/failover_plan.hpp
@@ -28,6 +28,7 @@
     double work() const { return rate * cost; }
 };
 
+// Hosts, demand and limits from which a plan is made.
 struct PlanInput {
     std::vector<Host> hosts;  // Host::capacity is in seconds of work per second
     std::vector<Demand> demands;
--- a/src/site/probe_scheduler.cpp
+++ b/src/site/probe_scheduler.cpp
@@ -90,8 +90,8 @@
     Duration interval =
         std::max(settings_.probe_interval, fair_interval(1, health.evidence.hosts, view.poolers));
     Schedule& schedule = recovery_schedules_.try_emplace(site, Schedule{now - interval, now}).first->second;
-    // After an answer the next probe follows without the random delay, because a second answer is needed for
-    // the recovery.
+    // After an answer the next probe follows at the latest one `probe_interval` after the last one, whatever
+    // random delay was drawn, because a second answer is needed for the recovery.
     Time next_probe = view.health.answered_since_loss(site)
                           ? std::min(schedule.next_probe, schedule.last_probe + settings_.probe_interval)
                           : schedule.next_probe;
--- a/src/site/site_health.hpp
+++ b/src/site/site_health.hpp
@@ -35,7 +35,7 @@
     bool is_drain_ordered = false;  // operators have drained the site
 };
 
-// A change of a site's state. SiteManager logs it and acts on it.
+// A change of a site's state. SiteManager takes the actions that follow from it and returns it for the log.
 struct StateChange {
     SiteId site{};
     SiteState before{};
