--- a/src/program/site_command.cpp
+++ b/src/program/site_command.cpp
@@ -49,7 +49,7 @@
         group_demand.rate = demand.per_second * fraction;
         for (const auto& [name, rate] : demand.tenants) group_demand.tenants[name] = rate * fraction;
         group_demand.cost = double(demand.work.count()) / 1e6;  // seconds
-        input.demand.push_back(std::move(group_demand));
+        input.demands.push_back(std::move(group_demand));
     }
 }
 
@@ -109,7 +109,7 @@
             path,
             "a plan needs [[demand]] tables, which give each class's requests per second and their cost");
     site::PlanInput input = plan_input(config, sites, path);
-    input.lost = lost_sites(config, values["lose"].as<std::vector<std::string>>());
+    input.lost_sites = lost_sites(config, values["lose"].as<std::vector<std::string>>());
     return site::make_plan(input);
 }
 
