--- a/src/ownership/lease_claims.cpp
+++ b/src/ownership/lease_claims.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 constexpr int kRenewalsPerLease = 3;
-constexpr std::size_t kMaxRounds = 4;  // a reply to an older one is of no use
-constexpr unsigned kMaxDoublings = 10;
+constexpr std::size_t kMaxRecentRounds = 4;  // a reply to an older round is of no use
+constexpr unsigned kMaxBackoffDoublings = 10;
 }  // namespace
 
 const char* state_name(ClaimState state) {
@@ -26,53 +26,53 @@
 LeaseClaims::LeaseClaims(const Participant& self, const Settings& settings, std::function<double()> draw)
     : self_(self), settings_(settings), draw_(std::move(draw)) {}
 
-void LeaseClaims::enter(LeaseId lease, Claim& claim, ClaimState state, const char* reason,
-                        ClaimOutput& output) {
+void LeaseClaims::change_state(LeaseId lease, Claim& claim, ClaimState state, const char* reason,
+                               ClaimOutput& output) {
     output.transitions.push_back({lease, claim.state, state, claim.term, reason});
     claim.state = state;
 }
 
-// Not all candidates request at once when an owner is lost: each has its rank's delay, and a random part of
-// half a delay. Split votes add a random backoff.
-void LeaseClaims::wait(Claim& claim, Time now, Duration minimum) {
+// Schedules the next request. When an owner is lost, candidates do not request all at once: each waits for
+// the delay of its rank plus a random time of up to half a standby delay. Split votes add a random backoff.
+void LeaseClaims::schedule_request(Claim& claim, Time now, Duration minimum_wait) {
     Duration jitter(std::int64_t(double(settings_.standby_delay.count()) * 0.5 * draw_()));
     Duration delay = settings_.standby_delay * claim.standby_rank + jitter;
     Duration backoff = Duration::zero();
     if (claim.split_votes > 0) {
-        Duration doubled = settings_.standby_delay * (1 << std::min(claim.split_votes, kMaxDoublings));
+        Duration doubled = settings_.standby_delay * (1 << std::min(claim.split_votes, kMaxBackoffDoublings));
         Duration max = std::min(settings_.max_backoff, doubled);
         backoff = Duration(std::int64_t(double(max.count()) * draw_()));
     }
-    claim.due = now + std::max(Duration::zero(), minimum) + delay + backoff;
+    claim.next_action_at = now + std::max(Duration::zero(), minimum_wait) + delay + backoff;
 }
 
 void LeaseClaims::stand_by(LeaseId lease, unsigned standby_rank, Time now) {
-    auto [it, first] = claims_.try_emplace(lease);
+    auto [it, inserted] = claims_.try_emplace(lease);
     Claim& claim = it->second;
-    if (!first && claim.standby_rank == standby_rank) return;
+    if (!inserted && claim.standby_rank == standby_rank) return;
     claim.standby_rank = standby_rank;
     if (claim.state != ClaimState::waiting) return;
-    if (first || claim.due <= now) wait(claim, now, Duration::zero());
+    if (inserted || claim.next_action_at <= now) schedule_request(claim, now, Duration::zero());
 }
 
 void LeaseClaims::give_up(LeaseId lease, Claim& claim, Time now, Duration minimum_wait, const char* reason,
                           ClaimOutput& output) {
     if (claim.state != ClaimState::waiting) {
-        // In this term nothing is done any more: the voters need not wait for it to expire.
+        // This node does nothing in this term any more, so the voters need not wait for it to expire.
         output.messages.push_back(LeaseRelease{lease, claim.term, self_, claim.state == ClaimState::owner});
-        enter(lease, claim, ClaimState::waiting, reason, output);
+        change_state(lease, claim, ClaimState::waiting, reason, output);
     }
-    claim.rounds.clear();
+    claim.recent_rounds.clear();
     claim.denied_until.clear();
     claim.owned_until = {};
-    wait(claim, now, minimum_wait);
+    schedule_request(claim, now, minimum_wait);
 }
 
 ClaimOutput LeaseClaims::withdraw(LeaseId lease, Time now) {
     ClaimOutput output;
     auto it = claims_.find(lease);
     if (it == claims_.end()) return output;
-    give_up(lease, it->second, now, Duration::zero(), "stands for it no more", output);
+    give_up(lease, it->second, now, Duration::zero(), "no longer stands by for it", output);
     claims_.erase(it);
     return output;
 }
@@ -81,16 +81,17 @@
     ClaimOutput output;
     auto it = claims_.find(lease);
     if (it == claims_.end() || !fencing_token(lease, now)) return output;
-    give_up(lease, it->second, now, settings_.lease_duration, "given to another", output);
+    give_up(lease, it->second, now, settings_.lease_duration, "handed over", output);
     return output;
 }
 
 void LeaseClaims::send_requests(LeaseId lease, Claim& claim, Time now, ClaimOutput& output) {
-    ++round_;
-    claim.round = round_;
-    claim.rounds[claim.round] = {now, {}};
-    while (claim.rounds.size() > kMaxRounds) claim.rounds.erase(claim.rounds.begin());
-    output.messages.push_back(LeaseRequest{lease, claim.term, self_, claim.round});
+    ++latest_round_;
+    claim.latest_round = latest_round_;
+    claim.recent_rounds[claim.latest_round] = {now, {}};
+    while (claim.recent_rounds.size() > kMaxRecentRounds)
+        claim.recent_rounds.erase(claim.recent_rounds.begin());
+    output.messages.push_back(LeaseRequest{lease, claim.term, self_, claim.latest_round});
 }
 
 ClaimOutput LeaseClaims::receive(const LeaseReply& reply, Time now) {
@@ -110,36 +111,36 @@
 }
 
 void LeaseClaims::receive_grant(const LeaseReply& reply, Claim& claim, Time now, ClaimOutput& output) {
-    auto round = claim.rounds.find(reply.round);
-    if (round == claim.rounds.end()) return;
+    auto round = claim.recent_rounds.find(reply.round);
+    if (round == claim.recent_rounds.end()) return;
     auto& [sent, granted_by] = round->second;
     if (std::find(granted_by.begin(), granted_by.end(), reply.from) != granted_by.end()) return;
     granted_by.push_back(reply.from);
     if (granted_by.size() < settings_.quorum()) return;
-    // Counted from the request, not from the reply: each voter's lease began between the two.
+    // The duration counts from the request and not from the reply: each voter's lease began between the two.
     Duration duration = settings_.ownership_duration();
     Time until = sent + duration;
     if (until <= now) return;
     claim.owned_until = std::max(claim.owned_until, until);
     claim.split_votes = 0;
-    claim.due = std::min(claim.owned_until, std::max(now, sent + duration / kRenewalsPerLease));
+    claim.next_action_at = std::min(claim.owned_until, std::max(now, sent + duration / kRenewalsPerLease));
     if (claim.state == ClaimState::requesting)
-        enter(reply.lease, claim, ClaimState::owner, "a majority has granted it", output);
+        change_state(reply.lease, claim, ClaimState::owner, "granted by a quorum", output);
 }
 
-// Once too many voters have denied it for a quorum of the others, the candidate waits until enough of them
-// may grant it: there is an owner, and the vote was not split.
+// Once the voters that have not denied the request are too few for a quorum, the candidate waits until enough
+// voters may grant it. In that case there is an owner and the vote was not split.
 void LeaseClaims::receive_denial(const LeaseReply& reply, Claim& claim, Time now, ClaimOutput& output) {
-    // An owner goes on to the end of what it has: a voter that has just started denies everything.
+    // An owner keeps its lease until it expires: a voter that has just started denies every request.
     if (claim.state == ClaimState::owner) return;
     claim.denied_until[reply.from] = now + std::min(reply.denied_for, settings_.lease_duration);
     std::size_t dispensable = settings_.voters.size() - settings_.quorum();
     if (claim.denied_until.size() <= dispensable) return;
     std::vector<Time> ends;
-    for (const auto& [voter, end] : claim.denied_until) ends.push_back(end);
+    for (const auto& [voter, until] : claim.denied_until) ends.push_back(until);
     std::sort(ends.begin(), ends.end());
     Duration minimum_wait = ends[ends.size() - dispensable - 1] - now;
-    give_up(reply.lease, claim, now, minimum_wait, "others have it", output);
+    give_up(reply.lease, claim, now, minimum_wait, "denied by too many voters", output);
 }
 
 ClaimOutput LeaseClaims::record_rejection(LeaseId lease, Term highest_term, Time now) {
@@ -149,7 +150,7 @@
     Claim& claim = it->second;
     claim.highest_term = std::max(claim.highest_term, highest_term);
     if (claim.state != ClaimState::waiting && highest_term >= claim.term)
-        give_up(lease, claim, now, Duration::zero(), "a newer term has acted", output);
+        give_up(lease, claim, now, Duration::zero(), "a fence rejected its act", output);
     return output;
 }
 
@@ -158,7 +159,7 @@
     if (it == claims_.end() || term < it->second.highest_term) return;
     Claim& claim = it->second;
     claim.highest_term = term;
-    if (claim.state == ClaimState::waiting) wait(claim, now, settings_.lease_duration);
+    if (claim.state == ClaimState::waiting) schedule_request(claim, now, settings_.lease_duration);
 }
 
 void LeaseClaims::record_release(LeaseId lease, Term term, Time now) {
@@ -166,24 +167,25 @@
     if (it == claims_.end() || term < it->second.highest_term) return;
     Claim& claim = it->second;
     claim.highest_term = term;
-    if (claim.state == ClaimState::waiting && claim.due > now) wait(claim, now, Duration::zero());
+    if (claim.state == ClaimState::waiting && claim.next_action_at > now)
+        schedule_request(claim, now, Duration::zero());
 }
 
 ClaimOutput LeaseClaims::advance(Time now) {
     ClaimOutput output;
     for (auto& [lease, claim] : claims_) {
         if (claim.state == ClaimState::owner && now >= claim.owned_until) {
-            give_up(lease, claim, now, Duration::zero(), "its lease is over", output);
+            give_up(lease, claim, now, Duration::zero(), "its lease has expired", output);
             continue;
         }
-        if (now < claim.due) continue;
+        if (now < claim.next_action_at) continue;
         switch (claim.state) {
             case ClaimState::waiting:
                 request_new_term(lease, claim, now, output);
                 break;
             case ClaimState::requesting:
                 ++claim.split_votes;
-                give_up(lease, claim, now, Duration::zero(), "no majority has granted it", output);
+                give_up(lease, claim, now, Duration::zero(), "not granted by a quorum in time", output);
                 break;
             case ClaimState::owner:
                 renew(lease, claim, now, output);
@@ -197,22 +199,24 @@
     ++claim.highest_term;
     claim.term = claim.highest_term;
     claim.owned_until = {};
-    enter(lease, claim, ClaimState::requesting, "its turn", output);
+    change_state(lease, claim, ClaimState::requesting, "its standby delay is over", output);
     send_requests(lease, claim, now, output);
-    claim.due = now + settings_.reply_timeout;
+    claim.next_action_at = now + settings_.reply_timeout;
 }
 
-// Again as soon as a renewal goes unanswered: a lease leaves time for several lost ones.
+// Sends a renewal and schedules the next one for when this one has gone unanswered: a lease leaves time for
+// several lost renewals.
 void LeaseClaims::renew(LeaseId lease, Claim& claim, Time now, ClaimOutput& output) {
     send_requests(lease, claim, now, output);
     Duration interval = std::min(settings_.reply_timeout, settings_.ownership_duration() / kRenewalsPerLease);
-    claim.due = std::min(claim.owned_until, now + interval);
+    claim.next_action_at = std::min(claim.owned_until, now + interval);
 }
 
 std::optional<Time> LeaseClaims::next_due() const {
     std::optional<Time> next;
     for (const auto& [lease, claim] : claims_) {
-        Time due = claim.state == ClaimState::owner ? std::min(claim.due, claim.owned_until) : claim.due;
+        Time due = claim.state == ClaimState::owner ? std::min(claim.next_action_at, claim.owned_until)
+                                                    : claim.next_action_at;
         next = next ? std::min(*next, due) : due;
     }
     return next;
--- a/src/ownership/lease_claims.hpp
+++ b/src/ownership/lease_claims.hpp
@@ -1,11 +1,12 @@
-// Claims: one node's side of the leases that it stands by for, requests, or owns.
+// Claims: the leases that one node stands by for, requests or owns.
 //
-// The rule. A candidate requests a lease from all voters in a term above any that it knows of. With the
-// grants of a quorum it owns the lease for `ownership_duration()` from when it sent the request, by its own
-// clock. It renews in the same term, several times a lease. An owner calls fencing_token() right before each
-// act, with the time of that moment: a process that was paused has no lease left.
+// A candidate requests a lease from all voters in a term above any that it knows. Once a quorum has granted
+// it, the candidate owns the lease for `ownership_duration()` since it sent the request, by its own clock. It
+// renews the lease in the same term several times before it expires. An owner calls fencing_token() right
+// before each act with the current time, because the lease of a process that was paused may have expired.
 //
-// Settings: all of settings.hpp but wait_after_start, persist_grants and fencing. Source: docs/ownership.md.
+// Settings: all of settings.hpp except wait_after_start, persist_grants and fencing. Source:
+// docs/ownership.md.
 #pragma once
 
 #include <functional>
@@ -19,73 +20,75 @@
 namespace indigovane::ownership {
 
 enum class ClaimState : std::uint8_t {
-    waiting,     // for its rank's delay, or for another's lease to end
-    requesting,  // from the voters, in a new term
+    waiting,     // until its standby delay has passed or another node's lease has ended
+    requesting,  // has requested the lease from the voters in a new term
     owner,
 };
-// The state's name in the log.
+// The state's name as written to the log.
 const char* state_name(ClaimState state);
 
-// A change of state, for the log.
+// A change of state, to be logged.
 struct ClaimTransition {
     LeaseId lease{};
     ClaimState before{};
     ClaimState after{};
     Term term = 0;
-    const char* reason = "";  // static
+    const char* reason = "";  // string literal
 };
 
 struct ClaimOutput {
-    std::vector<Message> messages;  // each to all voters, itself too if it is one
+    std::vector<Message> messages;  // each goes to all voters, including this node if it is a voter
     std::vector<ClaimTransition> transitions;
 };
 
-// Requests to all voters that were sent at one time.
+// Requests that were sent to all voters at the same time.
 struct RequestRound {
     Time sent{};
     std::vector<NodeId> granted_by;
 };
 
-// Invariant: `rounds` and `denied_until` are empty while it waits.
+// Invariant: `recent_rounds` and `denied_until` are empty while the state is `waiting`.
 struct Claim {
     ClaimState state = ClaimState::waiting;
-    unsigned standby_rank = 0;                     // 0 requests first
-    Term term = 0;                                 // requested, or owned
-    Term highest_term = 0;                         // known of
-    std::uint32_t round = 0;                       // the latest
-    std::uint32_t split_votes = 0;                 // since it was last owner
-    std::map<std::uint32_t, RequestRound> rounds;  // the latest of this term
-    std::map<NodeId, Time> denied_until;           // by voters, in this term; at least
+    unsigned standby_rank = 0;                            // rank 0 requests the lease first
+    Term term = 0;                                        // term that was requested or is owned
+    Term highest_term = 0;                                // highest known term of the lease
+    std::uint32_t latest_round = 0;                       // number of the last round sent
+    std::uint32_t split_votes = 0;                        // votes without a winner since it was last owner
+    std::map<std::uint32_t, RequestRound> recent_rounds;  // latest rounds of this term, by number
+    std::map<NodeId, Time> denied_until;  // per voter that denied this term: the earliest time of a grant
     Time owned_until{};
-    Time due{};  // the next thing to do
+    Time next_action_at{};  // when to request, to give up a vote or to renew
 };
 
 class LeaseClaims {
   public:
-    // `draw`: uniform in [0, 1).
+    // `draw`: returns uniform random numbers in [0, 1).
     LeaseClaims(const Participant& self, const Settings& settings, std::function<double()> draw);
 
-    // Stands by for a lease from now on, or with another rank.
+    // Starts to stand by for a lease, or changes the standby rank.
     void stand_by(LeaseId lease, unsigned standby_rank, Time now);
-    // No more: a lease that it owns is released at once.
+    // Stops standing by. A lease that this node owns is released at once.
     ClaimOutput withdraw(LeaseId lease, Time now);
-    // Releases a lease that it owns to another; stands by again only after a lease's duration.
+    // Releases a lease that this node owns so that another node can take it. This node requests it again only
+    // after a lease's duration.
     ClaimOutput hand_over(LeaseId lease, Time now);
 
     ClaimOutput receive(const LeaseReply& reply, Time now);
-    // A fence has rejected an act: it has accepted a newer term, or the same one of another participant.
+    // Records that a fence rejected an act of this node, because it had accepted `highest_term`: a newer
+    // term, or the same term of another participant.
     ClaimOutput record_rejection(LeaseId lease, Term highest_term, Time now);
-    // An owner is known to have acted: no need to request before its lease may have expired.
+    // Records that an owner has acted in `term`: a request before its lease may have expired is pointless.
     void record_owner(LeaseId lease, Term term, Time now);
-    // The owner has released it: no need to wait for the lease to expire.
+    // Records that the owner has released the lease: this node need not wait until it expires.
     void record_release(LeaseId lease, Term term, Time now);
 
-    // What is due. To be called when next_due() says, and may be called at any time.
+    // Does what is due at `now`. It must be called at next_due() at the latest and may be called at any time.
     ClaimOutput advance(Time now);
     std::optional<Time> next_due() const;
 
-    // What to act with, right now; none: it is not the owner. `now` is read after all that could have taken
-    // time, right before the act. Every act goes through here.
+    // Returns the token to act with, or nothing if this node is not the owner. Every act needs a token from
+    // here; `now` must be read right before the act, after everything that may have taken time.
     std::optional<FencingToken> fencing_token(LeaseId lease, Time now) const;
 
     const std::map<LeaseId, Claim>& claims() const { return claims_; }
@@ -96,8 +99,8 @@
     void renew(LeaseId lease, Claim& claim, Time now, ClaimOutput& output);
     void receive_grant(const LeaseReply& reply, Claim& claim, Time now, ClaimOutput& output);
     void receive_denial(const LeaseReply& reply, Claim& claim, Time now, ClaimOutput& output);
-    void enter(LeaseId lease, Claim& claim, ClaimState state, const char* reason, ClaimOutput& output);
-    void wait(Claim& claim, Time now, Duration minimum);
+    void change_state(LeaseId lease, Claim& claim, ClaimState state, const char* reason, ClaimOutput& output);
+    void schedule_request(Claim& claim, Time now, Duration minimum_wait);
     void give_up(LeaseId lease, Claim& claim, Time now, Duration minimum_wait, const char* reason,
                  ClaimOutput& output);
 
@@ -105,7 +108,8 @@
     Settings settings_;
     std::function<double()> draw_;
     std::map<LeaseId, Claim> claims_;
-    std::uint32_t round_ = 0;  // the latest of all leases; never reused within an incarnation
+    // Number of the last round over all leases. A number is never reused within an incarnation.
+    std::uint32_t latest_round_ = 0;
 };
 
 }  // namespace indigovane::ownership
--- a/src/ownership/lease_node.cpp
+++ b/src/ownership/lease_node.cpp
@@ -49,8 +49,9 @@
         add(claims_.withdraw(lease, now), output);
 }
 
-// All voters, itself among them if it is one: its own vote, too, counts only once it is stored. An owner's
-// release goes to the standby nodes as well, so that they need not wait for the lease to expire.
+// Returns all voters, including this node if it is one, because its own vote also counts only once it is
+// stored. An owner's release also goes to the standby nodes, so that they need not wait until the lease
+// expires.
 std::vector<NodeId> LeaseNode::recipients(const Message& message) const {
     std::vector<NodeId> nodes = settings_.voters;
     const auto* release = std::get_if<LeaseRelease>(&message);
@@ -60,10 +61,10 @@
     return nodes;
 }
 
-void LeaseNode::add(const ClaimOutput& claimed, NodeOutput& output) const {
-    output.transitions.insert(output.transitions.end(), claimed.transitions.begin(),
-                              claimed.transitions.end());
-    for (const Message& message : claimed.messages)
+void LeaseNode::add(const ClaimOutput& claim_output, NodeOutput& output) const {
+    output.transitions.insert(output.transitions.end(), claim_output.transitions.begin(),
+                              claim_output.transitions.end());
+    for (const Message& message : claim_output.messages)
         for (NodeId node : recipients(message)) output.send.push_back({node, message});
 }
 
--- a/src/ownership/lease_node.hpp
+++ b/src/ownership/lease_node.hpp
@@ -1,6 +1,6 @@
-// One node's complete part in ownership: its vote, its claims, and the leases that it stands by for. Events
-// go in; messages, records to store and transitions to log come out, which the caller carries out. Source:
-// docs/ownership.md.
+// LeaseNode: everything that one node does for leases. It combines the node's voter, its claims and the
+// choice of leases that it stands by for. Events go in; messages to send, records to store and transitions to
+// log come out, and the caller processes them. Source: docs/ownership.md.
 #pragma once
 
 #include <set>
@@ -16,7 +16,7 @@
     Message message;
 };
 
-// To be carried out in this order: what is in `persist` is stored before any of `send` leaves.
+// The caller must store all of `persist` before it sends any of `send`.
 struct NodeOutput {
     std::vector<GrantRecord> persist;
     std::vector<OutgoingMessage> send;
@@ -27,12 +27,14 @@
   public:
     static constexpr std::size_t kDefaultStandbyCount = 3;
 
-    // `stored`: the grants that the store holds. `standby_count`: so many nodes stand by for each lease.
+    // `stored`: the grants from the store. `standby_count`: number of nodes that stand by for each lease.
+    // `draw`: returns uniform random numbers in [0, 1).
     LeaseNode(const Participant& self, const Settings& settings, const std::vector<GrantRecord>& stored,
               std::function<double()> draw, Time started, std::size_t standby_count = kDefaultStandbyCount);
 
-    // All leases there are, and the members that are taken to be alive: from then on it stands by for those
-    // leases that it is among the first for. It keeps what it owns, whoever joins.
+    // Set all existing leases and the members that are considered alive. The node then stands by for the
+    // leases that it is among the first `standby_count` members for. It keeps a lease that it owns when
+    // members join.
     NodeOutput set_leases(const std::vector<LeaseId>& leases, Time now);
     NodeOutput set_members(std::vector<NodeId> alive, Time now);
 
@@ -40,11 +42,11 @@
     NodeOutput receive(const LeaseReply& reply, Time now);
     NodeOutput receive(const LeaseRelease& release, Time now);
 
-    // See LeaseClaims.
+    // The following functions do what the functions of the same name in LeaseClaims do.
     void record_owner(LeaseId lease, Term term, Time now) { claims_.record_owner(lease, term, now); }
     NodeOutput record_rejection(LeaseId lease, Term highest_term, Time now);
     NodeOutput hand_over(LeaseId lease, Time now);
-    // At the end of the process: releases all that it owns.
+    // Releases all leases that it owns, at the end of the process.
     NodeOutput shut_down(Time now);
     NodeOutput advance(Time now);
     std::optional<Time> next_due() const { return claims_.next_due(); }
@@ -58,7 +60,7 @@
 
   private:
     void update_standby(LeaseId lease, Time now, NodeOutput& output);
-    void add(const ClaimOutput& claimed, NodeOutput& output) const;
+    void add(const ClaimOutput& claim_output, NodeOutput& output) const;
     std::vector<NodeId> recipients(const Message& message) const;
 
     Participant self_;
--- a/src/ownership/messages.hpp
+++ b/src/ownership/messages.hpp
@@ -1,5 +1,5 @@
-// Messages between candidates, owners and voters. Each may arrive late, more than once or never. The
-// transport has to see to it that `from` is the sender.
+// Messages between candidates, owners and voters. A message may arrive late, more than once or never. The
+// transport must verify that `from` is the sender.
 #pragma once
 
 #include <variant>
@@ -8,34 +8,38 @@
 
 namespace indigovane::ownership {
 
-// A candidate's or an owner's to each voter. In the term that it owns: a renewal.
+// From a candidate or an owner to each voter. A request in the term that the sender owns is a renewal.
 struct LeaseRequest {
     LeaseId lease{};
     Term term = 0;
     Participant from{};
-    std::uint32_t round = 0;  // repeated in the reply: a late one counts from when its round was sent
+    // Repeated in the reply, so that a late grant counts from the time when its round was sent.
+    std::uint32_t round = 0;
     auto operator<=>(const LeaseRequest&) const = default;
 };
 
-// A voter's answer.
+// A voter's reply to a lease request.
 struct LeaseReply {
     LeaseId lease{};
-    Term term = 0;  // as requested
+    Term term = 0;  // as in the request
     NodeId from{};
     Participant to{};
     std::uint32_t round = 0;
     bool granted = false;
-    Term highest_term = 0;  // that the voter knows of
-    Duration denied_for{};  // not granted: for so long at least it will not be, by the voter's clock
+    Term highest_term = 0;  // highest term of this lease that the voter knows
+    // If not granted: the voter will not grant the lease for at least this long, by its own clock.
+    Duration denied_for{};
     auto operator<=>(const LeaseReply&) const = default;
 };
 
-// An owner's that has stopped, or a candidate's that gives up: nothing is done in this term any more.
+// From an owner that has stopped or a candidate that gives up. The sender does nothing in this term any more.
 struct LeaseRelease {
     LeaseId lease{};
     Term term = 0;
     Participant from{};
-    bool was_owner = false;  // standby nodes need not wait; else nothing has changed for them
+    // True if the sender owned the lease: standby nodes then need not wait. From a candidate, the release
+    // changes nothing for them.
+    bool was_owner = false;
     auto operator<=>(const LeaseRelease&) const = default;
 };
 
--- a/src/ownership/settings.hpp
+++ b/src/ownership/settings.hpp
@@ -1,4 +1,4 @@
-// Settings of leases: the same at all nodes. Source: docs/ownership.md.
+// Settings of leases. They must be the same on all nodes. Source: docs/ownership.md.
 #pragma once
 
 #include <vector>
@@ -8,26 +8,33 @@
 namespace indigovane::ownership {
 
 struct Settings {
-    std::vector<NodeId> voters;                  // 1, 3 or 5 of the configured poolers
-    Duration lease_duration = seconds(3);        // by the voters' clocks
-    double max_clock_drift = 0.01;               // share by which the rate of any steady clock is off at most
-    Duration safety_margin = milliseconds(0);    // an owner stops so much sooner still
-    Duration reply_timeout = milliseconds(400);  // of a request to the voters
-    Duration standby_delay = milliseconds(150);  // by standby rank: rank r waits r times this
-    Duration max_backoff = seconds(5);           // after split votes
-
-    // Safeguards; each can be switched off, to show in tests that it is needed.
-    bool allow_for_drift = true;
+    // 1, 3 or 5 of the configured poolers.
+    std::vector<NodeId> voters;
+    // How long a grant lasts, by the voters' clocks.
+    Duration lease_duration = seconds(3);
+    // Largest error of the rate of any steady clock, as a fraction of real time.
+    double max_clock_drift = 0.01;
+    // An owner stops this much earlier than the clock drift requires.
+    Duration safety_margin = milliseconds(0);
+    // How long a candidate or an owner waits for the voters' replies.
+    Duration reply_timeout = milliseconds(400);
+    // Delay per standby rank: rank r waits r times this.
+    Duration standby_delay = milliseconds(150);
+    // Upper bound of the random backoff after split votes.
+    Duration max_backoff = seconds(5);
+
+    // Safeguards. Tests switch each of them off to show that it is needed.
+    bool allow_for_drift = true;   // shorten ownership by the clock drift
     bool wait_after_start = true;  // a voter grants nothing for a lease's duration after its start
-    bool persist_grants = true;
-    bool fencing = true;
-    bool check_expiry = true;  // before each act
+    bool persist_grants = true;    // a voter stores each grant before it replies
+    bool fencing = true;           // a fence rejects acts with an older token
+    bool check_expiry = true;      // an owner checks before each act that its lease has not expired
 
-    // Voters whose grants make an owner: any two quorums share a voter.
+    // Number of voters that must grant a lease. Any two quorums share a voter.
     std::size_t quorum() const { return voters.size() / 2 + 1; }
 
-    // For so long after its request an owner may act, by its own clock. Its clock may be the slowest and the
-    // voters' the fastest: own / (1 - drift) <= lease / (1 + drift) in real time.
+    // How long an owner may act after it sent its request, by its own clock. Its clock may be the slowest and
+    // the voters' clocks the fastest: in real time, own / (1 - drift) <= lease / (1 + drift).
     Duration ownership_duration() const;
 };
 
--- a/src/ownership/types.hpp
+++ b/src/ownership/types.hpp
@@ -1,14 +1,15 @@
-// One owner at a time for work that is done once for the whole fleet: leases granted by a quorum of voters,
-// terms that only grow, and a fence at whoever is acted upon. Pure decisions: events with a time go in,
-// messages come out. No I/O, no clock, no thread, no random device: the caller hands in times and uniform
-// draws. One thread at a time per object.
+// Leases: a task that is done once for the whole fleet has at most one owner at a time. A quorum of voters
+// grants a lease, its term only grows, and a fence at each target rejects acts with an older fencing token.
+// The module only decides: events with a time go in, messages come out. It uses no I/O, clock, thread or
+// random device; the caller passes times and uniform random numbers. Each object is used by one thread at a
+// time.
 //
-// The guarantee, with its assumptions about clocks, is in docs/ownership.md (where a named lease is called a
-// duty). Terms as in M. Burrows, "The Chubby lock service", OSDI 2006 (lease, sequencer = fencing token), and
+// The guarantee and its assumptions about clocks are in docs/ownership.md (which calls a named lease a duty).
+// Terms as in M. Burrows, "The Chubby lock service", OSDI 2006 (lease, sequencer = fencing token), and
 // D. Ongaro, J. Ousterhout, "In Search of an Understandable Consensus Algorithm", USENIX ATC 2014 (term,
 // vote, candidate); leases by time: C. Gray, D. Cheriton, SOSP 1989.
 //
-// This header: the terms that all parts share.
+// This header declares the types that all parts share.
 #pragma once
 
 #include <chrono>
@@ -20,31 +21,34 @@
 namespace indigovane::ownership {
 
 using Duration = std::chrono::microseconds;
-// Of one node's steady clock. Times of two nodes are never compared.
+// A reading of one node's steady clock. Times of two nodes are never compared.
 using Time = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-enum class NodeId : std::uint16_t {};   // position in the configured list of poolers, equal at all of them
-enum class LeaseId : std::uint64_t {};  // lease_id() of its name
-using Term = std::uint64_t;             // of one lease; grows with each owner; 0: none yet
+// Position in the configured list of poolers, which is the same on all nodes.
+enum class NodeId : std::uint16_t {};
+// Hash of the lease's name, see lease_id().
+enum class LeaseId : std::uint64_t {};
+// Number of an ownership of one lease. Each new owner has a higher one; 0 means that there was none yet.
+using Term = std::uint64_t;
 
-// Leases that a voter or a fence remembers; it denies others.
+// Number of leases that a voter or a fence remembers. Requests and acts for further leases are denied.
 inline constexpr std::size_t kMaxLeases = 16384;
 
-// The id of a lease's name, which is the kind of work and what it is about: "probe/host-7", "list",
-// "return/zone-b". A hash (XXH3, 64 bits): the same at all nodes.
+// Returns the id of a lease's name: its XXH3 hash (64 bits), the same on all nodes. A name states the task
+// and its subject: "probe/host-7", "list", "return/zone-b".
 LeaseId lease_id(std::string_view name);
 
-// One process of a node. Two of them may run at once (an upgrade), and a message to an earlier one must not
-// be taken for one to this.
+// One process of a node. During an upgrade two processes of a node run at once, and a message to the earlier
+// one must not be accepted by the later one.
 struct Participant {
     NodeId node{};
-    std::uint64_t incarnation = 0;  // random, drawn at the start of the process
+    std::uint64_t incarnation = 0;  // random number chosen when the process starts
     auto operator<=>(const Participant&) const = default;
 };
 
-// What an owner shows with each act: the term of its lease, and itself.
+// Sent with each act of an owner: the term of its lease and its identity.
 struct FencingToken {
     Term term = 0;
     Participant owner{};
--- a/src/ownership/voter.cpp
+++ b/src/ownership/voter.cpp
@@ -25,7 +25,7 @@
 
 Voter::Vote Voter::vote(const LeaseRequest& request, Time now) {
     LeaseReply reply = denial(self_, request);
-    // Bounds its memory against a peer that requests ever new leases.
+    // Bounds the memory that a peer can use up by requesting ever new leases.
     if (grants_.size() >= kMaxLeases && !grants_.count(request.lease)) {
         reply.denied_for = settings_.lease_duration;
         return {std::nullopt, reply};
@@ -38,7 +38,8 @@
         return {std::nullopt, reply};
     }
     bool renewal = request.term == record.term && request.from == record.holder && !record.released;
-    // Its own earlier grant does not bar a participant that requests a new term: it has given up the old one.
+    // A participant that requests a new term has given up its old one, so its own earlier grant does not
+    // block it.
     bool available =
         record.term == 0 || record.released || now >= grant.expires || request.from == record.holder;
     bool newer = request.term > record.term;
--- a/tests/ownership/lease_claims_test.cpp
+++ b/tests/ownership/lease_claims_test.cpp
@@ -1,4 +1,4 @@
-// Claims of one node: how a lease is requested, owned, renewed and released.
+// Tests of LeaseClaims: how one node requests, owns, renews and releases a lease.
 #include "ownership/lease_claims.hpp"
 
 #include <doctest/doctest.h>
@@ -9,13 +9,13 @@
 constexpr LeaseId kLease{7};
 constexpr Participant kSelf{NodeId{9}, 1};
 
-// A candidate with three voters and no jitter.
+// A candidate with three voters and no random delays.
 struct CandidateFixture {
-    Settings settings = with_three_voters();
+    Settings settings = settings_with_three_voters();
     LeaseClaims claims{kSelf, settings, [] { return 0.0; }};
     Time now{seconds(100)};
 
-    static Settings with_three_voters() {
+    static Settings settings_with_three_voters() {
         Settings settings;
         settings.voters = {NodeId{0}, NodeId{1}, NodeId{2}};
         return settings;
@@ -36,8 +36,7 @@
     ClaimState state() const { return claims.claims().at(kLease).state; }
 };
 
-TEST_CASE(
-    "ownership: a reply to a request from before it withdrew counts for none after it stands by again") {
+TEST_CASE("claims: a grant of a request sent before withdrawing is ignored after standing by again") {
     Settings settings;
     settings.voters = {NodeId{0}};
     LeaseClaims claims({NodeId{1}, 1}, settings, [] { return 0.0; });
@@ -52,7 +51,7 @@
     CHECK(!claims.fencing_token(kLease, now));
 }
 
-TEST_CASE("claims: the grants of a quorum make an owner, those of one voter twice do not") {
+TEST_CASE("claims: a quorum of grants makes a candidate the owner, two grants of one voter do not") {
     CandidateFixture fixture;
     fixture.claims.stand_by(kLease, 0, fixture.now);
     LeaseRequest request = fixture.request();
@@ -65,7 +64,7 @@
     CHECK(fixture.claims.fencing_token(kLease, fixture.now) == FencingToken{1, kSelf});
 }
 
-TEST_CASE("claims: ownership counts from the request, and ends before the voters' lease does") {
+TEST_CASE("claims: ownership counts from the request and ends before the voters' lease") {
     CandidateFixture fixture;
     fixture.claims.stand_by(kLease, 0, fixture.now);
     LeaseRequest request = fixture.request();
@@ -80,7 +79,7 @@
     CHECK(!fixture.claims.fencing_token(kLease, end));
 }
 
-TEST_CASE("claims: a candidate that a quorum can't grant waits until enough voters may") {
+TEST_CASE("claims: a candidate denied by too many voters waits until a quorum may grant the lease") {
     CandidateFixture fixture;
     fixture.claims.stand_by(kLease, 0, fixture.now);
     LeaseRequest request = fixture.request();
@@ -98,7 +97,7 @@
     CHECK(fixture.claims.next_due() == fixture.now + fixture.settings.standby_delay * 2);
 }
 
-TEST_CASE("claims: an owner whose act was rejected for a newer term stops and releases its own") {
+TEST_CASE("claims: an owner whose act was rejected for a newer term stops and releases its lease") {
     CandidateFixture fixture;
     fixture.become_owner();
 
@@ -110,7 +109,7 @@
     CHECK(fixture.request().term == 6);
 }
 
-TEST_CASE("claims: an owner that hands over stands by again only after a lease's duration") {
+TEST_CASE("claims: an owner that hands over requests again only after a lease's duration") {
     CandidateFixture fixture;
     fixture.become_owner();
 
--- a/tests/ownership/lease_node_test.cpp
+++ b/tests/ownership/lease_node_test.cpp
@@ -1,4 +1,4 @@
-// One node's complete part: votes, claims and standby order together.
+// Tests of LeaseNode: votes, claims and standby order together.
 #include "ownership/lease_node.hpp"
 
 #include <doctest/doctest.h>
@@ -10,17 +10,17 @@
 constexpr Participant kSelf{NodeId{0}, 1};
 constexpr Time kNow{seconds(100)};
 
-Settings with_voter(NodeId voter) {
+Settings settings_with_voter(NodeId voter) {
     Settings settings;
     settings.voters = {voter};
     return settings;
 }
 
 LeaseNode node_with_voter(NodeId voter) {
-    return {kSelf, with_voter(voter), {}, [] { return 0.0; }, Time(seconds(0))};
+    return {kSelf, settings_with_voter(voter), {}, [] { return 0.0; }, Time(seconds(0))};
 }
 
-// The node and its own vote, as a network without delay carries them.
+// Makes the node the owner: its request and its own vote are delivered without delay.
 void make_owner(LeaseNode& node) {
     node.set_members({NodeId{0}, NodeId{1}}, kNow);
     node.set_leases({kLease}, kNow);
@@ -31,7 +31,7 @@
     REQUIRE(node.fencing_token(kLease, due));
 }
 
-TEST_CASE("lease node: a grant is stored with the reply that rests on it") {
+TEST_CASE("lease node: a grant returns the record to store together with the reply") {
     LeaseNode node = node_with_voter(NodeId{0});
     Participant other{NodeId{1}, 1};
 
@@ -43,15 +43,15 @@
     CHECK(output.send[0].to == other.node);
 }
 
-TEST_CASE("lease node: one that is no voter answers no request") {
+TEST_CASE("lease node: a node that is not a voter does not reply to requests") {
     LeaseNode node = node_with_voter(NodeId{5});
     CHECK(!node.is_voter());
     CHECK(node.receive(LeaseRequest{kLease, 1, {NodeId{1}, 1}, 1}, kNow).send.empty());
 }
 
 TEST_CASE(
-    "lease node: an owner keeps its lease while members change, and releases it to standby nodes at its "
-    "end") {
+    "lease node: an owner keeps its lease when members change, and releases it to standby nodes at "
+    "shutdown") {
     LeaseNode node = node_with_voter(NodeId{0});
     make_owner(node);
 
@@ -61,7 +61,7 @@
 
     NodeOutput output = node.shut_down(now);
     CHECK(!node.fencing_token(kLease, now));
-    CHECK(output.send.size() == 4);  // the voter and three standby nodes
+    CHECK(output.send.size() == 4);  // to the voter and three standby nodes
     CHECK(!node.next_due());
 }
 
--- a/tests/ownership/standby_order_test.cpp
+++ b/tests/ownership/standby_order_test.cpp
@@ -1,4 +1,4 @@
-// Standby order: who stands by for a lease before whom.
+// Tests of standby_order(): which members stand by for a lease, and in which order.
 #include "ownership/standby_order.hpp"
 
 #include <doctest/doctest.h>
@@ -9,7 +9,7 @@
 namespace indigovane::ownership {
 namespace {
 
-TEST_CASE("ownership: leases are spread evenly over members, and one that leaves moves only its own") {
+TEST_CASE("standby order: leases are spread evenly, and only the leases of a member that leaves move") {
     std::vector<NodeId> members;
     for (std::uint16_t n = 0; n < 20; ++n) members.push_back(NodeId{n});
     std::vector<NodeId> remaining(members.begin(), members.end() - 1);
@@ -25,12 +25,12 @@
     CHECK(leases_by_first.size() == 20);
 }
 
-TEST_CASE("standby order: the order of the view makes no difference, and a small view gives fewer nodes") {
+TEST_CASE("standby order: the order of the members does not matter, and few members give a short result") {
     LeaseId lease = lease_id("list");
-    std::vector<NodeId> view{NodeId{1}, NodeId{2}};
-    std::vector<NodeId> reversed{NodeId{2}, NodeId{1}};
-    CHECK(standby_order(lease, view, 3) == standby_order(lease, reversed, 3));
-    CHECK(standby_order(lease, view, 3).size() == 2);
+    std::vector<NodeId> members{NodeId{1}, NodeId{2}};
+    std::vector<NodeId> reversed_members{NodeId{2}, NodeId{1}};
+    CHECK(standby_order(lease, members, 3) == standby_order(lease, reversed_members, 3));
+    CHECK(standby_order(lease, members, 3).size() == 2);
 }
 
 }  // namespace
--- a/tests/ownership/voter_test.cpp
+++ b/tests/ownership/voter_test.cpp
@@ -1,4 +1,5 @@
-// Voter and fence: what is granted and accepted, and that their memory is bounded.
+// Tests of Voter and Fence: which requests are granted, which acts are accepted, and that their memory is
+// bounded.
 #include "ownership/voter.hpp"
 
 #include <doctest/doctest.h>
@@ -18,7 +19,7 @@
     return {NodeId{0}, Settings{}, stored, kStarted};
 }
 
-TEST_CASE("ownership: what one peer can make another remember is bounded, what is known stays in force") {
+TEST_CASE("voter and fence: the number of leases is bounded, and known leases keep working at the bound") {
     Settings settings;
     Voter voter = started_voter();
     Fence fence;
@@ -34,7 +35,7 @@
     CHECK(voter.vote({LeaseId{1}, 2, kSecond, 1}, kNow + settings.lease_duration).reply.granted);
 }
 
-TEST_CASE("voter: grants nothing for a lease's duration after its start, and says for how long") {
+TEST_CASE("voter: grants nothing for a lease's duration after its start, and replies how long that lasts") {
     Voter voter = started_voter();
     Time last = kStarted + Settings{}.lease_duration - Duration(1);
 
@@ -44,7 +45,7 @@
     CHECK(voter.vote({kLease, 1, kFirst, 1}, last + Duration(1)).reply.granted);
 }
 
-TEST_CASE("voter: within a term it grants to one participant only, and renewals need not be stored") {
+TEST_CASE("voter: within a term only one participant is granted the lease, and renewals are not stored") {
     Voter voter = started_voter();
     CHECK(voter.vote({kLease, 1, kFirst, 1}, kNow).persist == GrantRecord{kLease, 1, kFirst, false});
 
@@ -55,7 +56,7 @@
     CHECK(!renewal.persist);
 }
 
-TEST_CASE("voter: a released term is over, and another participant need not wait") {
+TEST_CASE("voter: nothing is granted in a released term, and another participant need not wait") {
     Voter voter = started_voter();
     voter.vote({kLease, 1, kFirst, 1}, kNow);
 
@@ -76,7 +77,7 @@
     CHECK(voter.vote({kLease, 5, kSecond, 2}, kNow).reply.granted);
 }
 
-TEST_CASE("fence: within a term only the participant that acted first is accepted, also after a restart") {
+TEST_CASE("fence: within a term only the participant that acted first is accepted, even after a restart") {
     Fence fence;
     fence.restore(kLease, {3, kFirst});
     CHECK(fence.accept(kLease, {3, kFirst}));
