--- a/src/store/checksum.hpp
+++ b/src/store/checksum.hpp
@@ -1,4 +1,4 @@
-// XXH3-64 (https://xxhash.com), of bytes at once or in pieces.
+// XXH3-64 checksums (https://xxhash.com) of one byte string or of consecutive pieces.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 std::uint64_t checksum(std::string_view bytes, std::uint64_t seed = 0);
 
-// Of all pieces, in order, with seed 0.
+// The checksum of all added pieces, in order, with seed 0.
 class Checksum {
   public:
     Checksum();
--- a/src/store/compaction_reader.hpp
+++ b/src/store/compaction_reader.hpp
@@ -1,4 +1,4 @@
-// Reads a sealed segment in chunks, for compaction. Used by the log's thread.
+// Reads a sealed segment in chunks for compaction. Used by the log's thread.
 #pragma once
 
 #include <cstdint>
@@ -17,25 +17,25 @@
 
 struct CompactionChunk {
     std::vector<SequencedRecord> records;
-    bool last = false;  // of its segment
+    bool is_last = false;  // the segment's last chunk
 };
 
 class CompactionReader {
   public:
-    // The next frames of the segment, of at least `bytes` where there are so many; from its front where it is
-    // another segment than at the last call. EIO where the segment is not what was sealed: it is then left as
-    // it is, so that the next recovery refuses it.
-    IoStatus read(Environment& environment, std::uint64_t store, const Manifest::Segment& segment,
+    // Reads the segment's next frames: at least `bytes` bytes or all that are left. If the segment is not the
+    // one of the last call, reading starts at its beginning. Fails with EIO if the segment differs from what
+    // was sealed; the segment is then left as it is, so that the next recovery refuses it.
+    IoStatus read(Environment& environment, std::uint64_t store_number, const Manifest::Segment& segment,
                   std::size_t bytes, CompactionChunk& chunk);
-    // The next read begins at the segment's front.
+    // Makes the next read start at the segment's beginning.
     void reset();
 
   private:
     IoStatus open(Environment& environment, const Manifest::Segment& segment);
 
-    std::uint64_t segment_ = 0;  // number; 0: none
+    std::uint64_t segment_number_ = 0;  // number of the segment in `contents_`; 0 if there is none
     std::string contents_;
-    std::uint64_t offset_ = 0;  // of the next frame
+    std::uint64_t offset_ = 0;  // offset of the next frame, in bytes
 };
 
 }  // namespace indigovane::store
--- a/src/store/fault_environment.cpp
+++ b/src/store/fault_environment.cpp
@@ -10,11 +10,11 @@
     FaultFile(FaultEnvironment& owner, std::shared_ptr<FaultEnvironment::Node> node, std::string name)
         : owner_(owner), node_(std::move(node)), name_(std::move(name)) {}
     IoStatus append(std::string_view bytes) override {
-        int error = owner_.step(FaultEnvironment::Step::write, name_);
-        if (owner_.out_of_power()) {
-            // The very write at which the power fails may have reached the disk in part.
-            if (owner_.steps == owner_.stop_at) write(bytes);
-            return {EIO, "no power"};
+        int error = owner_.begin_step(FaultEnvironment::Step::write, name_);
+        if (owner_.has_lost_power()) {
+            // The write during which the power is lost may have reached the disk in part.
+            if (owner_.step_count == owner_.power_loss_step) write(bytes);
+            return {EIO, "power lost"};
         }
         if (error) {
             write(bytes.substr(0, bytes.size() / 2));
@@ -24,14 +24,14 @@
         return {};
     }
     IoStatus sync() override {
-        int error = owner_.step(FaultEnvironment::Step::sync, name_);
-        if (owner_.out_of_power()) return {EIO, "no power"};
+        int error = owner_.begin_step(FaultEnvironment::Step::sync, name_);
+        if (owner_.has_lost_power()) return {EIO, "power lost"};
         if (error) {
-            // What was not synced may be lost for good, whatever comes after.
+            // Unsynced data may be lost for good, whatever follows.
             node_->sync_failed = true;
             return {error, "sync " + name_};
         }
-        if (node_->sync_failed) return {};  // as kernels do: it succeeds, though the pages are gone
+        if (node_->sync_failed) return {};  // as in kernels, the sync succeeds although the pages are lost
         node_->synced = node_->contents;
         node_->unsynced.clear();
         return {};
@@ -53,18 +53,18 @@
     std::string name_;
 };
 
-int FaultEnvironment::step(Step what, const std::string& name) {
-    ++steps;
-    return fail ? fail(what, name) : 0;
+int FaultEnvironment::begin_step(Step step, const std::string& name) {
+    ++step_count;
+    return inject_error ? inject_error(step, name) : 0;
 }
 
 IoStatus FaultEnvironment::create(const std::string& name, std::unique_ptr<File>& file) {
-    int error = step(Step::create, name);
-    if (out_of_power()) return {EIO, "no power"};
+    int error = begin_step(Step::create, name);
+    if (has_lost_power()) return {EIO, "power lost"};
     if (error) return {error, "create " + name};
     auto node = std::make_shared<Node>();
     current_[name] = node;
-    unsynced_changes_.push_back({FolderChange::Kind::create, "", name, node});
+    unsynced_changes_.push_back({FolderChange::Type::create, "", name, node});
     file = std::make_unique<FaultFile>(*this, node, name);
     return {};
 }
@@ -77,30 +77,30 @@
 }
 
 IoStatus FaultEnvironment::rename(const std::string& from, const std::string& to) {
-    int error = step(Step::rename, from);
-    if (out_of_power()) return {EIO, "no power"};
+    int error = begin_step(Step::rename, from);
+    if (has_lost_power()) return {EIO, "power lost"};
     auto it = current_.find(from);
     if (it == current_.end()) return {ENOENT, "rename " + from};
     if (error) return {error, "rename " + from};
     auto node = it->second;
     current_.erase(it);
     current_[to] = node;
-    unsynced_changes_.push_back({FolderChange::Kind::rename, from, to, node});
+    unsynced_changes_.push_back({FolderChange::Type::rename, from, to, node});
     return {};
 }
 
 IoStatus FaultEnvironment::remove(const std::string& name) {
-    int error = step(Step::remove, name);
-    if (out_of_power()) return {EIO, "no power"};
+    int error = begin_step(Step::remove, name);
+    if (has_lost_power()) return {EIO, "power lost"};
     if (error) return {error, "remove " + name};
     if (!current_.erase(name)) return {ENOENT, "remove " + name};
-    unsynced_changes_.push_back({FolderChange::Kind::remove, name, "", nullptr});
+    unsynced_changes_.push_back({FolderChange::Type::remove, name, "", nullptr});
     return {};
 }
 
 IoStatus FaultEnvironment::sync_folder() {
-    int error = step(Step::sync_folder, "");
-    if (out_of_power()) return {EIO, "no power"};
+    int error = begin_step(Step::sync_folder, "");
+    if (has_lost_power()) return {EIO, "power lost"};
     if (error) return {error, "sync the folder"};
     synced_ = current_;
     unsynced_changes_.clear();
@@ -143,14 +143,14 @@
     return contents;
 }
 
-std::unique_ptr<FaultEnvironment> FaultEnvironment::crash(const Choose& choose) const {
-    // The folder's changes reach the disk in order, up to any of them.
+std::unique_ptr<FaultEnvironment> FaultEnvironment::after_crash(const Choose& choose) const {
+    // The changes of the folder reach the disk in order, up to any of them.
     Folder folder = synced_;
-    std::size_t done = unsynced_changes_.empty() ? 0 : choose(unsynced_changes_.size() + 1);
-    for (std::size_t i = 0; i < done; ++i) {
+    std::size_t done_count = unsynced_changes_.empty() ? 0 : choose(unsynced_changes_.size() + 1);
+    for (std::size_t i = 0; i < done_count; ++i) {
         const FolderChange& change = unsynced_changes_[i];
-        if (change.kind != FolderChange::Kind::create) folder.erase(change.from);
-        if (change.kind != FolderChange::Kind::remove) folder[change.to] = change.node;
+        if (change.type != FolderChange::Type::create) folder.erase(change.from);
+        if (change.type != FolderChange::Type::remove) folder[change.to] = change.node;
     }
     auto after = std::make_unique<FaultEnvironment>();
     std::map<const Node*, std::string> contents;
@@ -161,7 +161,7 @@
     return after;
 }
 
-std::unique_ptr<FaultEnvironment> FaultEnvironment::kill() const {
+std::unique_ptr<FaultEnvironment> FaultEnvironment::after_kill() const {
     auto after = std::make_unique<FaultEnvironment>();
     for (auto& [name, node] : current_) after->set_file(name, node->contents);
     return after;
--- a/src/store/fault_environment.hpp
+++ b/src/store/fault_environment.hpp
@@ -1,7 +1,7 @@
-// A folder in memory that loses, tears and refuses as a bad disk does: for tests, and for whoever wants to
-// rehearse a fault. A crash leaves what was synced and any part of what was not: each unsynced write
-// complete, torn or lost, in any combination; unsynced renames, creations and removals done in order up to
-// any of them (as a journalling file system has it). Used by one thread at a time.
+// FaultEnvironment: a folder in memory that fails like a faulty disk, for tests and to rehearse faults. A
+// crash keeps everything that was synced and any part of what was not: each unsynced write is complete, torn
+// or lost, in any combination; unsynced renames, creations and removals are done in order up to any of them,
+// as on a journalling file system. Used by one thread at a time.
 #pragma once
 
 #include <functional>
@@ -25,23 +25,26 @@
     using Environment::lock;
     IoStatus lock(std::unique_ptr<FolderLock>& lock, bool create) override;
 
-    // Called before each step that changes something; an errno makes it fail, 0 lets it go on. A write that
-    // fails leaves its first half.
+    // Called before each step that changes something. If it returns an errno value, the step fails; 0 lets it
+    // succeed. A write that fails leaves its first half.
     enum class Step : std::uint8_t { create, write, sync, rename, remove, sync_folder };
-    std::function<int(Step, const std::string& name)> fail;
-    // Every step counts; from the `stop_at`th on nothing reaches the disk: the power is gone. 0: never.
-    std::uint64_t steps = 0;
-    std::uint64_t stop_at = 0;
-    bool out_of_power() const { return stop_at != 0 && steps >= stop_at; }
+    std::function<int(Step, const std::string& name)> inject_error;
+    // Number of steps so far. From step number `power_loss_step` on, nothing reaches the disk; 0 means no
+    // power loss.
+    std::uint64_t step_count = 0;
+    std::uint64_t power_loss_step = 0;
+    bool has_lost_power() const { return power_loss_step != 0 && step_count >= power_loss_step; }
 
-    // What may be found after a crash now. `choose(n)` gives a number below n: all its answers together give
-    // all states.
+    // Returns a state in which the folder may be found after a crash at this moment. `choose(n)` returns a
+    // number below n; all possible choices together give all states.
     using Choose = std::function<std::size_t(std::size_t)>;
-    std::unique_ptr<FaultEnvironment> crash(const Choose& choose) const;
-    // What is found after the process has died and the machine has not: all that was written.
-    std::unique_ptr<FaultEnvironment> kill() const;
+    std::unique_ptr<FaultEnvironment> after_crash(const Choose& choose) const;
+    // Returns the state after the process was killed and the machine keeps running: everything written is
+    // there.
+    std::unique_ptr<FaultEnvironment> after_kill() const;
 
-    std::map<std::string, std::string> files() const;  // as readers see them
+    // Contents of all files as readers see them, by name.
+    std::map<std::string, std::string> files() const;
     void set_file(const std::string& name, const std::string& bytes);
     void remove_file(const std::string& name);
 
@@ -52,20 +55,21 @@
         std::string bytes;
     };
     struct Node {
-        std::string synced;           // what is on disk for certain
-        std::vector<Write> unsynced;  // since the last sync that succeeded
-        std::string contents;         // as readers see it
-        bool sync_failed = false;     // later syncs make nothing certain
+        std::string synced;           // contents that are certainly on disk
+        std::vector<Write> unsynced;  // writes since the last successful sync
+        std::string contents;         // as readers see them
+        bool sync_failed = false;     // after a failed sync, later syncs guarantee nothing
     };
     struct FolderChange {
-        enum class Kind : std::uint8_t { create, rename, remove } kind;
+        enum class Type : std::uint8_t { create, rename, remove } type;
         std::string from;
         std::string to;
         std::shared_ptr<Node> node;
     };
     using Folder = std::map<std::string, std::shared_ptr<Node>>;
 
-    int step(Step what, const std::string& name);
+    // Counts a step. Returns an errno value if it must fail, else 0.
+    int begin_step(Step step, const std::string& name);
     static std::string contents_after_crash(const Node& node, const Choose& choose);
 
     Folder current_;
--- a/src/store/file_descriptor.hpp
+++ b/src/store/file_descriptor.hpp
@@ -1,4 +1,4 @@
-// Owns a file descriptor of the operating system.
+// Owns a file descriptor of the operating system and closes it.
 #pragma once
 
 #include <unistd.h>
@@ -24,7 +24,7 @@
 
     bool valid() const { return descriptor_ >= 0; }
     int get() const { return descriptor_; }
-    // The caller closes it from now on.
+    // Gives up ownership: the caller must close the descriptor.
     int release() { return std::exchange(descriptor_, -1); }
 
   private:
--- a/src/store/log_tail.cpp
+++ b/src/store/log_tail.cpp
@@ -5,23 +5,25 @@
 namespace indigovane::store {
 
 namespace {
-bool later_frame_knew_it_durable(std::string_view segment, std::uint64_t store, std::uint64_t valid_length) {
+bool is_durable_by_later_frame(std::string_view segment, std::uint64_t store_number,
+                               std::uint64_t valid_length) {
     std::size_t offset = segment.find(kFrameStart, std::size_t(valid_length));
     while (offset != std::string_view::npos) {
-        auto header = decode_frame_header(segment.substr(offset), store, offset);
-        if (header && header->durable > valid_length) return true;
+        auto header = decode_frame_header(segment.substr(offset), store_number, offset);
+        if (header && header->durable_length > valid_length) return true;
         offset = segment.find(kFrameStart, offset + 1);
     }
     return false;
 }
 }  // namespace
 
-TailState classify_tail(std::string_view segment, std::uint64_t store, std::uint64_t valid_length,
+TailState classify_tail(std::string_view segment, std::uint64_t store_number, std::uint64_t valid_length,
                         std::uint64_t synced_length) {
-    // Also finds out a copy that took the manifest later than the segment.
+    // This also detects a copy of the store whose manifest is newer than its segment.
     if (valid_length < synced_length) return TailState::damaged;
     if (valid_length == segment.size()) return TailState::complete;
-    return later_frame_knew_it_durable(segment, store, valid_length) ? TailState::damaged : TailState::torn;
+    return is_durable_by_later_frame(segment, store_number, valid_length) ? TailState::damaged
+                                                                          : TailState::torn;
 }
 
 }  // namespace indigovane::store
--- a/src/store/log_tail.hpp
+++ b/src/store/log_tail.hpp
@@ -1,4 +1,5 @@
-// How a torn log record is recognised, and told from damage: docs/store.md, "Recovery". Pure.
+// Distinguishes a torn tail of the log, which a crash leaves, from damage. Source: docs/store.md, "Recovery".
+// No I/O.
 #pragma once
 
 #include <cstdint>
@@ -6,19 +7,21 @@
 
 namespace indigovane::store {
 
-// How frames begin, as bytes: where to look for further ones behind damage.
+// The first bytes of each frame, used to find further frames after damage.
 constexpr std::string_view kFrameStart("IGVF", 4);
 
 enum class TailState : std::uint8_t {
-    complete,  // all bytes are complete frames
-    torn,      // the rest was never known to be on disk, so never acknowledged: it may be cut off
-    damaged,   // what was synced is not what was written
+    complete,  // the segment consists of complete frames
+    torn,     // the remaining bytes were never known to be on disk and so never acknowledged: they may be cut
+              // off
+    damaged,  // synced bytes differ from what was written
 };
 
-// Of an unsealed segment's bytes. `valid_length`: where its complete frames from the front end.
-// `synced_length`: how much of it the manifest says was synced; 0: not known. A frame behind `valid_length`
-// that says of itself that more than that was durable when it was written is proof of damage.
-TailState classify_tail(std::string_view segment, std::uint64_t store, std::uint64_t valid_length,
+// Classifies the tail of an unsealed segment. `valid_length`: end of the complete frames that start at the
+// beginning, in bytes. `synced_length`: number of bytes that were synced according to the manifest; 0 if
+// unknown. If a frame after `valid_length` states that more bytes than that were durable when it was written,
+// the segment is damaged.
+TailState classify_tail(std::string_view segment, std::uint64_t store_number, std::uint64_t valid_length,
                         std::uint64_t synced_length);
 
 }  // namespace indigovane::store
--- a/src/store/log_worker.cpp
+++ b/src/store/log_worker.cpp
@@ -6,16 +6,17 @@
 namespace indigovane::store {
 
 namespace {
-constexpr std::size_t kChunkBytes = std::size_t{64} * 1024;  // read by one step of compaction
-constexpr std::size_t kGroupBytes = std::size_t{1} << 20;    // written and synced together at most
+constexpr std::size_t kChunkBytes = std::size_t{64} * 1024;  // read per step of compaction
+constexpr std::size_t kGroupBytes = std::size_t{1} << 20;    // a group is written and synced at this size
 constexpr std::uint64_t kIdleTickMs = 1000;
 constexpr std::uint64_t kDropRetryMs = 1000;
 constexpr std::uint64_t kCompactionFaultPauseMs = 10'000;
 constexpr std::uint64_t kMillisecondsPerSecond = 1000;
-// Frames' headers do not count as live bytes: this allows for them.
+// Accounts for frame headers, which are part of the log but not of the live bytes.
 constexpr double kFrameHeaderAllowance = 1.2;
 constexpr double kSpareSegments = 2;
-// Beyond this the bound on I/O gives way to the bound on space: more is read than is written.
+// Beyond these limits, bounding the log's size takes priority over bounding I/O: compaction reads more than
+// is written.
 constexpr double kUrgentAllowance = 1.5;
 constexpr double kUrgentSpareSegments = 3;
 constexpr std::uint64_t kUrgentReadPerWrite = 3;
@@ -23,13 +24,13 @@
 
 IoStatus LogWorker::begin(const RecoveryResult& recovered, std::uint64_t new_store_number) {
     if (!recovered.salvaged) return writer_.begin(recovered, new_store_number);
-    // Until the owner's generation has come.
+    // Nothing else is written until the owner's generation has been received.
     failing_ = true;
     retry_reported_ = true;
     return writer_.begin_salvaged(recovered, new_store_number);
 }
 
-void LogWorker::give_up(const IoStatus& status, std::uint64_t now_ms, std::vector<StoreEvent>& events) {
+void LogWorker::stop_writing(const IoStatus& status, std::uint64_t now_ms, std::vector<StoreEvent>& events) {
     failing_ = true;
     retry_reported_ = false;
     last_chunk_pending_ = false;
@@ -38,7 +39,8 @@
     events.push_back(WritesFailing{status.text()});
 }
 
-// While the disk fails: the beginning of the generation that was asked for, and the end.
+// While writing is stopped, only CloseLog and the beginning of the generation that was asked for are
+// accepted.
 bool LogWorker::accepts(const WriteRequest& request) const {
     if (!failing_ || std::holds_alternative<CloseLog>(request)) return true;
     return std::holds_alternative<GenerationBegin>(request) && retry_reported_;
@@ -71,14 +73,14 @@
                    request);
     }
     flush(group, now_ms, events);
-    compact(live_bytes, now_ms, group.total_bytes, events);
+    compact(live_bytes, now_ms, group.cumulative_bytes, events);
 }
 
 void LogWorker::add(Group& group, WriteBatch&& request, std::uint64_t now_ms,
                     std::vector<StoreEvent>& events) {
     for (const Record& record : request.batch.records)
         group.bytes += record_bytes(record.key.size(), record.value.size());
-    group.total_bytes += group.bytes;
+    group.cumulative_bytes += group.bytes;
     group.ticket = request.ticket;
     group.batches.push_back(std::move(request.batch));
     if (group.bytes >= kGroupBytes) flush(group, now_ms, events);
@@ -88,10 +90,11 @@
     std::vector<Batch> batches = std::exchange(group.batches, {});
     if (failing_ || batches.empty()) return;
     group.bytes = 0;
-    bool too_long = writer_.bytes() > options_.max_log_bytes;
-    IoStatus status = too_long ? IoStatus{ENOSPC, "the store's budget"} : writer_.write(batches);
-    if (!status.ok()) return give_up(status, now_ms, events);
-    // Before a generation has ended nothing of it counts as on disk.
+    bool is_too_long = writer_.bytes() > options_.max_log_bytes;
+    IoStatus status = is_too_long ? IoStatus{ENOSPC, "the store has reached its configured budget"}
+                                  : writer_.write(batches);
+    if (!status.ok()) return stop_writing(status, now_ms, events);
+    // Records of a generation count as durable only after the generation has ended.
     if (writer_.generation_open()) return;
     events.push_back(RecordsDurable{group.ticket, writer_.bytes()});
 }
@@ -101,7 +104,7 @@
     if (failing_) return;
     IoStatus status = writer_.drop_oldest();
     if (status.ok()) return;
-    if (writer_.failed()) give_up(status, now_ms, events);
+    if (writer_.failed()) stop_writing(status, now_ms, events);
     compact_at_ms_ = now_ms + kDropRetryMs;
 }
 
@@ -111,13 +114,13 @@
     failing_ = false;
     last_chunk_pending_ = false;
     IoStatus status = writer_.begin_generation(first_sequence);
-    if (!status.ok()) give_up(status, now_ms, events);
+    if (!status.ok()) stop_writing(status, now_ms, events);
 }
 
 void LogWorker::end_generation(std::uint64_t ticket, std::uint64_t now_ms, std::vector<StoreEvent>& events) {
     if (failing_) return;
     IoStatus status = writer_.end_generation();
-    if (!status.ok()) return give_up(status, now_ms, events);
+    if (!status.ok()) return stop_writing(status, now_ms, events);
     retry_after_ms_ = 0;
     events.push_back(RecordsDurable{ticket, writer_.bytes()});
 }
@@ -144,7 +147,7 @@
     }
     if (!chunk) return;
     compact_at_ms_ = now_ms + kChunkBytes * kMillisecondsPerSecond / options_.compact_bytes_per_second;
-    last_chunk_pending_ = chunk->last;  // the next segment only once this one is gone
+    last_chunk_pending_ = chunk->is_last;  // the next segment is read only after this one is removed
     events.push_back(CompactionRead{std::move(*chunk)});
 }
 
--- a/src/store/manifest_file.cpp
+++ b/src/store/manifest_file.cpp
@@ -19,7 +19,8 @@
     std::string bytes;
     if (IoStatus status = read_file(environment, kManifestName, bytes); !status.ok()) return status;
     std::size_t damaged_at = 0;
-    if (decode(bytes, manifest, damaged_at) != DecodeResult::ok) return {EIO, "the manifest can't be read"};
+    if (decode(bytes, manifest, damaged_at) != DecodeResult::ok)
+        return {EIO, "the manifest is damaged or of a newer version"};
     return {};
 }
 
--- a/src/store/manifest_file.hpp
+++ b/src/store/manifest_file.hpp
@@ -1,4 +1,4 @@
-// The manifest on disk: read, and replaced as a whole. Source: docs/store.md, "Log".
+// Reads the manifest file and replaces it as a whole. Source: docs/store.md, "Log".
 #pragma once
 
 #include "store/environment.hpp"
@@ -8,16 +8,16 @@
 
 constexpr const char* kManifestName = "MANIFEST";
 
-// EIO where the file is not a manifest.
+// Fails with EIO if the file is not a valid manifest of a known format version.
 IoStatus read_manifest_file(Environment& environment, Manifest& manifest);
 
 struct ManifestReplacement {
     IoStatus status;
-    // The file has its name, but nobody knows whether that is on disk: after a crash either manifest may be
-    // there. Both are right, and no step may be taken that only one of them allows.
+    // The file was renamed, but it is unknown whether the rename is on disk: after a crash either manifest
+    // may be found. Both are valid, so the caller must not do anything that only one of them allows.
     bool in_doubt = false;
 };
-// Written under another name, synced, renamed, the folder synced.
+// Writes the manifest under a temporary name, syncs it, renames it and syncs the folder.
 ManifestReplacement replace_manifest_file(Environment& environment, const Manifest& manifest);
 
 }  // namespace indigovane::store
--- a/src/store/messages.hpp
+++ b/src/store/messages.hpp
@@ -1,5 +1,6 @@
-// What the owner of a store and its log tell each other; both kinds are handled in the order in which they
-// were made. A ticket numbers the owner's write requests; a higher one is later.
+// Messages between a store and its log. The store's owner sends write requests to the log; the log sends
+// events to the owner. Each side handles the messages in the order in which they were sent. A ticket is the
+// number of a write request; a later request has a higher ticket.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +13,11 @@
 
 namespace indigovane::store {
 
-// Records that are on disk all or not at all.
+// Records that are written atomically: after a crash all of them are on disk or none.
 struct Batch {
     std::vector<Record> records;  // at least one
-    std::uint64_t sequence = 0;   // of the first; batches come in order without a gap
+    // Sequence number of the first record. Consecutive batches have consecutive numbers without a gap.
+    std::uint64_t sequence = 0;
 };
 
 // ---- from the owner to the log -------------------------------------------------------------------
@@ -23,47 +25,48 @@
 struct WriteBatch {
     Batch batch;
     std::uint64_t ticket = 0;
-    bool strict = false;  // somebody is waiting for it: no delay for further ones
+    // True if a caller waits until the batch is durable: it is written without waiting for further requests.
+    bool is_strict = false;
 };
-// All current records of the oldest segment have been written again before this.
+// All current records of the oldest segment have been written again by earlier requests.
 struct OldestSegmentCopied {};
-// What follows, up to the end of the generation, is all there is: it replaces all before.
+// The batches from here to GenerationEnd are the complete contents of the store and replace all earlier ones.
 struct GenerationBegin {
-    std::uint64_t first_sequence = 0;
+    std::uint64_t first_sequence = 0;  // sequence number of the generation's first record
 };
 struct GenerationEnd {
     std::uint64_t ticket = 0;
 };
-// The last request.
+// The last request: nothing follows it.
 struct CloseLog {};
 
 using WriteRequest = std::variant<WriteBatch, OldestSegmentCopied, GenerationBegin, GenerationEnd, CloseLog>;
 
 // ---- from the log to the owner -------------------------------------------------------------------
 
-// Every request up to this ticket is on disk.
+// Every request up to and including this ticket is on disk.
 struct RecordsDurable {
     std::uint64_t ticket = 0;
-    std::uint64_t log_bytes = 0;  // size of the log now
+    std::uint64_t log_bytes = 0;  // current size of the log
 };
-// Nothing is written any more, the owner serves from memory.
+// The log has stopped writing after an error. The owner serves from memory.
 struct WritesFailing {
-    std::string text;
+    std::string text;  // the error
 };
-// Writing may be tried again: the owner is to begin a new generation.
+// Writing may be retried: the owner must begin a new generation.
 struct WritesRetryable {};
-// Of the oldest segment: what of it is still current is to be written again.
+// Records of the oldest segment. The owner must write those that are still current again.
 struct CompactionRead {
     CompactionChunk chunk;
 };
-// For the operator's log; nothing has changed.
+// A fault to be logged for the operator. The log goes on as before.
 struct LogFault {
     std::string text;
 };
 
 using StoreEvent = std::variant<RecordsDurable, WritesFailing, WritesRetryable, CompactionRead, LogFault>;
 
-// Visitor made of lambdas, for std::visit.
+// Combines lambdas into one visitor for std::visit.
 template <typename... Handlers>
 struct Overloaded : Handlers... {
     using Handlers::operator()...;
--- a/src/store/ordered_map.hpp
+++ b/src/store/ordered_map.hpp
@@ -1,7 +1,7 @@
-// String keys in order: a treap (Seidel and Aragon, 1996) whose nodes are shared with snapshots, and copied
-// on the way to a change where a snapshot refers to them. A snapshot is one pointer; it sees the map as it
-// was, for as long as it lives, and delays nobody. The map is used by one thread; a snapshot may be read by
-// another.
+// OrderedMap: a map with ordered string keys and cheap snapshots. It is a treap (Seidel and Aragon, 1996)
+// whose nodes are shared with snapshots; a change copies the nodes on its path that a snapshot refers to. A
+// snapshot is one pointer, shows the map as it was when the snapshot was taken, and blocks no other user. The
+// map is used by one thread; a snapshot may be read by another.
 #pragma once
 
 #include <cstdint>
@@ -21,11 +21,11 @@
   public:
     struct Value {
         std::string bytes;
-        std::uint64_t sequence = 0;    // of its record
-        std::uint64_t expires_ms = 0;  // Unix; 0: never
+        std::uint64_t sequence = 0;    // sequence number of its record
+        std::uint64_t expires_ms = 0;  // Unix time in milliseconds; 0 means never
     };
 
-    // Null where there is none. Valid until the next change.
+    // Returns null if the key does not exist. The pointer is valid until the next change.
     const Value* find(std::string_view key) const {
         const Node* node = root_.get();
         while (node) {
@@ -39,7 +39,7 @@
         put(root_, true, key, std::move(value), inserted);
         size_ += inserted ? 1 : 0;
     }
-    // Whether it was there.
+    // Returns whether the key existed.
     bool erase(std::string_view key) {
         if (!find(key)) return false;
         erase(root_, true, key);
@@ -51,7 +51,7 @@
     class Snapshot {
       public:
         Snapshot() = default;
-        // Calls visit(key, value) in order of keys.
+        // Calls visit(key, value) in the order of keys.
         template <typename Visitor>
         void each(Visitor&& visit) const {
             std::vector<const Node*> path;
@@ -86,18 +86,18 @@
         Link right;
     };
 
-    // By the key alone: the same tree for the same keys. FNV-1a, mixed.
+    // Depends only on the key, so that the same keys give the same tree. FNV-1a with additional mixing.
     static std::uint64_t priority(std::string_view key) {
         std::uint64_t hash = 0xcbf29ce484222325u;
         for (char c : key) hash = (hash ^ std::uint8_t(c)) * 0x100000001b3u;
         hash ^= hash >> 29;
         return hash * 0xbf58476d1ce4e5b9u;
     }
-    // The node itself where nobody else refers to it or to a node above it (`exclusive`); else a copy in its
-    // place.
-    static Node& writable(Link& link, bool& exclusive) {
-        exclusive = exclusive && link.use_count() == 1;
-        if (!exclusive) link = std::make_shared<Node>(*link);
+    // Returns the node itself if no snapshot refers to it or to a node above it (`is_exclusive`). Otherwise
+    // replaces it with a copy and returns the copy.
+    static Node& writable(Link& link, bool& is_exclusive) {
+        is_exclusive = is_exclusive && link.use_count() == 1;
+        if (!is_exclusive) link = std::make_shared<Node>(*link);
         return const_cast<Node&>(*link);
     }
     static Link make_node(std::string_view key, Value&& value) {
@@ -107,52 +107,52 @@
         node->priority = priority(key);
         return node;
     }
-    static void put(Link& link, bool exclusive, std::string_view key, Value&& value, bool& inserted) {
+    static void put(Link& link, bool is_exclusive, std::string_view key, Value&& value, bool& inserted) {
         if (!link) {
             inserted = true;
             link = make_node(key, std::move(value));
             return;
         }
-        Node& node = writable(link, exclusive);
+        Node& node = writable(link, is_exclusive);
         if (key == node.key) {
             node.value = std::move(value);
             return;
         }
-        bool left = key < node.key;
-        Link& child = left ? node.left : node.right;
-        put(child, exclusive, key, std::move(value), inserted);
-        if (child->priority > node.priority) rotate(link, node, left);
+        bool is_left = key < node.key;
+        Link& child = is_left ? node.left : node.right;
+        put(child, is_exclusive, key, std::move(value), inserted);
+        if (child->priority > node.priority) rotate(link, node, is_left);
     }
-    // Puts the left or right child of `node` in its place. The child has just been changed or made, so nobody
-    // else refers to it.
-    static void rotate(Link& link, Node& node, bool left) {
-        Link& child = left ? node.left : node.right;
+    // Replaces `node` by its left or right child, which becomes its parent. The child has just been changed
+    // or created, so no snapshot refers to it.
+    static void rotate(Link& link, Node& node, bool is_left) {
+        Link& child = is_left ? node.left : node.right;
         Link top = std::move(child);
-        Node& risen = const_cast<Node&>(*top);
-        Link& inner = left ? risen.right : risen.left;
-        child = std::move(inner);
-        inner = std::move(link);
+        Node& new_parent = const_cast<Node&>(*top);
+        Link& inner_subtree = is_left ? new_parent.right : new_parent.left;
+        child = std::move(inner_subtree);
+        inner_subtree = std::move(link);
         link = std::move(top);
     }
-    static Link merge(Link left, Link right, bool exclusive) {
+    static Link merge(Link left, Link right, bool is_exclusive) {
         if (!left) return right;
         if (!right) return left;
-        bool left_on_top = left->priority > right->priority;
-        Link& top = left_on_top ? left : right;
-        Node& node = writable(top, exclusive);
-        if (left_on_top)
-            node.right = merge(std::move(node.right), std::move(right), exclusive);
+        bool is_left_on_top = left->priority > right->priority;
+        Link& top = is_left_on_top ? left : right;
+        Node& node = writable(top, is_exclusive);
+        if (is_left_on_top)
+            node.right = merge(std::move(node.right), std::move(right), is_exclusive);
         else
-            node.left = merge(std::move(left), std::move(node.left), exclusive);
+            node.left = merge(std::move(left), std::move(node.left), is_exclusive);
         return std::move(top);
     }
-    static void erase(Link& link, bool exclusive, std::string_view key) {
-        Node& node = writable(link, exclusive);
+    static void erase(Link& link, bool is_exclusive, std::string_view key) {
+        Node& node = writable(link, is_exclusive);
         if (key == node.key) {
             link = merge(node.left, node.right, false);
             return;
         }
-        erase(key < node.key ? node.left : node.right, exclusive, key);
+        erase(key < node.key ? node.left : node.right, is_exclusive, key);
     }
 
     Link root_;
--- a/src/store/position_floor.hpp
+++ b/src/store/position_floor.hpp
@@ -1,5 +1,6 @@
-// What the sessions of a pooler that starts again may trust: docs/store.md, "Session positions that last".
-// Pure. Times are microseconds of the Unix clock.
+// Decides which data positions reads must see after a restart of a pooler, depending on how the previous
+// process ended. Source: docs/store.md, "Session positions that last". No I/O and no clock. Times are
+// microseconds of the Unix clock.
 #pragma once
 
 #include <cstdint>
@@ -7,41 +8,45 @@
 
 namespace indigovane::store {
 
-// What the last process acknowledged without a record on disk. It is retained where a process's end does not
-// lose it (memory-backed scratch) and raised before the first acknowledgement that it is about: the witness
-// of docs/store.md. The values are those of its file.
+// States which commits the last process acknowledged without a record on disk. The marker is kept where it
+// survives the end of a process (memory-backed scratch) and is raised before the first acknowledgement that
+// it concerns. docs/store.md calls it the witness. The values are those in its file.
 enum class CrashMarker : std::uint8_t {
     none = 0,
-    within_lease = 1,  // a commit whose write's beginning was not on disk; the lease covers it
-    beyond_lease = 2,  // likewise, past the lease: only the present covers it
+    // A commit was acknowledged before the open write's record was on disk. The lease covers the commit.
+    within_lease = 1,
+    // Likewise, but after the end of the lease: only a floor at the present time covers the commit.
+    beyond_lease = 2,
 };
 
-// What a start finds of the process before it.
+// What a starting process knows about the previous one.
 struct PreviousRun {
-    bool recovered = false;  // there is a store
-    bool closed = false;     // all that was acknowledged is in it
-    bool same_boot = false;  // the machine has run on since: what was written is there, and so is the marker
-    bool salvaged = false;
+    bool recovered = false;  // a store was recovered
+    bool closed = false;     // the store was closed and holds everything that was acknowledged
+    // The machine has not rebooted since: everything that was written and the marker still exist.
+    bool same_boot = false;
+    bool salvaged = false;  // records of the store may have been dropped
     CrashMarker marker = CrashMarker::none;
-    std::uint64_t lease_us = 0;
-    std::uint64_t latest_commit_us = 0;  // in the store
-    std::uint64_t floor_us = 0;          // of the start before: what was lost then is lost still
+    std::uint64_t lease_until_us = 0;    // end of the last lease on disk
+    std::uint64_t latest_commit_us = 0;  // latest commit in the store
+    std::uint64_t floor_us = 0;          // floor of the previous start: commits that were lost then stay lost
 };
 
-// The position that reads have to see at least.
+// The oldest data position that reads may see.
 struct PositionFloor {
     enum class Level : std::uint8_t {
-        none,               // each session's own position says all
-        open_writes,        // only sessions with an open write at the end must see the present
-        lease,              // all must see what the lease covered
-        is_client_present,  // all must see the present
-    } level = Level::is_client_present;
+        none,         // each session's own position is sufficient
+        open_writes,  // sessions with an open write at the end must see the present
+        lease,        // all sessions must see everything that the lease covered
+        present,      // all sessions must see the present
+    } level = Level::present;
     std::uint64_t floor_us = 0;       // for all sessions
     std::uint64_t open_write_us = 0;  // for sessions with an open write at the end
-    std::string why;
+    std::string why;                  // the reason for the level, for the log
 };
 
-// `slack_us`: what a host's clock may be ahead of ours. `retention_us`: for how long positions are retained.
+// `slack_us`: how far a host's clock may be ahead of this machine's. `retention_us`: how long positions are
+// retained.
 PositionFloor decide_floor(const PreviousRun& previous, std::uint64_t now_us, std::uint64_t slack_us,
                            std::uint64_t retention_us);
 
--- a/src/store/positions.cpp
+++ b/src/store/positions.cpp
@@ -15,7 +15,7 @@
 
 PreviousRun Positions::previous_run(bool recovered, bool salvaged, CrashMarker marker,
                                     const std::string& boot) const {
-    auto number = [&](const char* key) {
+    auto stored_number = [&](const char* key) {
         return decode_u64(store_.get(Space::system, key).value_or("")).value_or(0);
     };
     PreviousRun previous;
@@ -24,8 +24,8 @@
     previous.marker = marker;
     previous.closed = store_.get(Space::system, kClosedKey).has_value();
     previous.same_boot = !boot.empty() && store_.get(Space::system, kBootKey) == boot;
-    previous.lease_us = number(kLeaseKey);
-    previous.floor_us = number(kFloorKey);
+    previous.lease_until_us = stored_number(kLeaseKey);
+    previous.floor_us = stored_number(kFloorKey);
     store_.sessions().each([&](const Store::Position& position) {
         previous.latest_commit_us = std::max(previous.latest_commit_us, commit_us(position.value));
     });
@@ -37,34 +37,36 @@
     PreviousRun previous = previous_run(recovered, salvaged, marker, boot);
     Start start;
     start.floor = decide_floor(previous, now_us, options_.slack_us, options_.retention_us);
-    // A clean end leaves no open write; a session that has one all the same was cut off.
-    std::vector<std::uint64_t> open;
+    // A clean end leaves no open write. If a session has one, the last process ended during that write.
+    std::vector<std::uint64_t> open_sessions;
     store_.sessions().each([&](const Store::Position& position) {
         std::uint64_t commit = commit_us(position.value);
         if (has_open_write(position.value)) {
-            open.push_back(position.key);
+            open_sessions.push_back(position.key);
             commit = std::max(commit, start.floor.open_write_us);
         }
         start.commits.push_back({position.key, commit});
     });
-    start.open_writes = open.size();
+    start.open_writes = open_sessions.size();
     std::erase_if(start.commits,
-                  [&](const SessionCommit& item) { return item.commit_us <= start.floor.floor_us; });
+                  [&](const SessionCommit& commit) { return commit.commit_us <= start.floor.floor_us; });
     std::sort(start.commits.begin(), start.commits.end(),
               [](const SessionCommit& a, const SessionCommit& b) { return a.commit_us < b.commit_us; });
-    // From here on the store speaks of this process. The last one's open writes count as commits at the
-    // present.
-    std::sort(open.begin(), open.end());
-    for (std::uint64_t session : open) put_position(session, start.floor.open_write_us, false, now_us);
-    // If this process ends before its first lease is written, the next start must know no less than this one.
+    // From here on the store describes this process. Open writes of the last process count as commits at the
+    // present time.
+    std::sort(open_sessions.begin(), open_sessions.end());
+    for (std::uint64_t session : open_sessions)
+        put_position(session, start.floor.open_write_us, false, now_us);
+    // If this process ends before it writes its first lease, the next start must still cover everything that
+    // this start covers.
     std::uint64_t lease_until_us =
-        std::max({now_us, previous.lease_us, previous.latest_commit_us}) + options_.lease_us;
+        std::max({now_us, previous.lease_until_us, previous.latest_commit_us}) + options_.lease_us;
     std::vector<Record> records;
     records.push_back({Record::Type::remove, Space::system, kClosedKey, "", 0});
     records.push_back({Record::Type::put, Space::system, kBootKey, boot, 0});
     records.push_back({Record::Type::put, Space::system, kLeaseKey, encode_u64(lease_until_us), 0});
     records.push_back({Record::Type::put, Space::system, kFloorKey, encode_u64(start.floor.floor_us), 0});
-    // Only when that is on disk may the last process's marker be lowered.
+    // The last process's marker may be lowered only once these records are on disk.
     marker_ = marker;
     start_ticket_ = store_.write(std::move(records), Durability::strict);
     requested_leases_.push_back({start_ticket_, lease_until_us});
@@ -94,9 +96,9 @@
 bool Positions::write_committed(std::uint64_t session, std::uint64_t commit_us, std::uint64_t now_us) {
     auto open = open_writes_.find(session);
     bool is_open = open != open_writes_.end();
-    bool noted = is_open && open->second.ticket <= store_.durable() && !store_.failing();
+    bool is_open_write_durable = is_open && open->second.ticket <= store_.durable() && !store_.failing();
     put_position(session, std::max(commit_us, last_commit_us(session)), is_open, now_us);
-    if (noted) return true;
+    if (is_open_write_durable) return true;
     CrashMarker needed =
         lease_.covers(commit_us + options_.slack_us) ? CrashMarker::within_lease : CrashMarker::beyond_lease;
     needed_marker_ = std::max(needed_marker_, needed);
@@ -121,7 +123,7 @@
 
 void Positions::lower_marker() {
     if (start_ticket_ <= store_.durable()) start_ticket_ = 0;
-    // What was uncovered is on disk by now, and with it all before.
+    // The last uncovered commit is on disk, and so are all earlier ones.
     if (uncovered_ticket_ <= store_.durable() && !store_.failing()) needed_marker_ = CrashMarker::none;
     if (start_ticket_ == 0 && needed_marker_ < marker_ && write_marker_(needed_marker_))
         marker_ = needed_marker_;
--- a/src/store/posix_environment.cpp
+++ b/src/store/posix_environment.cpp
@@ -17,11 +17,11 @@
 constexpr mode_t kFolderMode = 0700;
 constexpr mode_t kFileMode = 0600;
 constexpr const char* kLockFile = "LOCK";
-// statfs(2), f_type.
+// Values of f_type, see statfs(2).
 constexpr std::uint64_t kTmpfsMagic = 0x01021994;
 constexpr std::uint64_t kRamfsMagic = 0x858458f6;
 
-// Of the call that has just failed.
+// Returns the error of the call that has just failed, from errno.
 IoStatus failure(const char* call, const std::string& name) {
     return {errno, std::string(call) + " " + name};
 }
@@ -71,7 +71,7 @@
     explicit PosixFolderLock(FileDescriptor descriptor) : descriptor_(std::move(descriptor)) {}
 
   private:
-    FileDescriptor descriptor_;  // the lock ends with it
+    FileDescriptor descriptor_;  // closing it releases the lock
 };
 
 struct CloseFolder {
@@ -93,7 +93,7 @@
         if (!descriptor.valid()) return failure("open", name);
         struct stat status {};
         if (::fstat(descriptor.get(), &status) < 0 || !S_ISREG(status.st_mode))
-            return {EINVAL, "open " + name + " (no plain file)"};
+            return {EINVAL, "open " + name + " (not a regular file)"};
         file = std::make_unique<PosixFile>(std::move(descriptor), name, std::uint64_t(status.st_size));
         return {};
     }
@@ -113,7 +113,7 @@
         if (!descriptor.valid()) return failure("list", "the folder");
         std::unique_ptr<DIR, CloseFolder> folder(::fdopendir(descriptor.get()));
         if (!folder) return failure("list", "the folder");
-        descriptor.release();  // the folder's stream closes it
+        descriptor.release();  // the DIR stream closes it from now on
         while (dirent* entry = ::readdir(folder.get()))
             if (std::string_view name = entry->d_name; name != "." && name != "..") names.emplace_back(name);
         return {};
--- a/src/store/recovery.hpp
+++ b/src/store/recovery.hpp
@@ -1,5 +1,5 @@
-// From what is on disk to the longest consistent prefix, or a refusal that names file and offset. Changes
-// nothing on disk. Source: docs/store.md, "Recovery".
+// Recovery: reads the longest consistent prefix of the log, or refuses the store and names file and offset of
+// the damage. It changes nothing on disk. Source: docs/store.md, "Recovery".
 #pragma once
 
 #include <functional>
@@ -11,32 +11,34 @@
 
 namespace indigovane::store {
 
+// A fault of the store's files.
 struct Finding {
     std::string file;
-    std::uint64_t offset = 0;  // bytes
-    std::string what;
+    std::uint64_t offset = 0;  // in bytes
+    std::string what;          // description of the fault
+    // "FILE:OFFSET: DESCRIPTION".
     std::string text() const { return file + ":" + std::to_string(offset) + ": " + what; }
 };
 
 struct RecoveryResult {
     enum class Outcome : std::uint8_t {
-        no_store,       // the folder holds none
-        complete,       // all that was written
-        torn_tail,      // the end of the last segment was never acknowledged: it is left out
-        damaged,        // what was synced is not what was written: nothing is to be used, unless salvaged
-        newer_version,  // of a format that this program does not know
-        io_error,       // it can't be read: see status
+        no_store,   // the folder holds no store
+        complete,   // everything that was written is intact
+        torn_tail,  // the end of the last segment was never acknowledged and is left out
+        damaged,    // synced bytes differ from what was written: the store must not be used unless salvaged
+        newer_version,  // the format version is newer than this program knows
+        io_error,       // the files can't be read: see `status`
     } outcome = Outcome::no_store;
     IoStatus status;
-    Manifest manifest;                 // as found, or as salvaged
-    std::uint64_t valid_length = 0;    // bytes of the last segment that hold
-    std::uint64_t valid_checksum = 0;  // of those
-    std::uint64_t next_sequence = 1;
-    std::uint64_t records = 0;
-    std::uint64_t bytes = 0;  // of all segments
-    // Of a torn tail: what was cut off; of damage: the first; of a salvage: all that was dropped.
+    Manifest manifest;                 // as read, or as rebuilt by a salvage
+    std::uint64_t valid_length = 0;    // valid bytes at the beginning of the last segment
+    std::uint64_t valid_checksum = 0;  // checksum of those bytes
+    std::uint64_t next_sequence = 1;   // sequence number of the next record
+    std::uint64_t records = 0;         // number of records read
+    std::uint64_t bytes = 0;           // size of all segments
+    // For a torn tail: the bytes cut off. For damage: the first fault. For a salvage: everything dropped.
     std::vector<Finding> findings;
-    // Something was dropped: what was recovered has to be written anew, see Writer::begin_salvaged().
+    // Something was dropped: the recovered records must be written anew, see Writer::begin_salvaged().
     bool salvaged = false;
 
     bool usable() const {
@@ -45,12 +47,13 @@
 };
 
 using RecordSink = std::function<void(Record&& record, std::uint64_t sequence)>;
-// A frame at a time, without copies: the views hold during the call.
+// Receives one frame at a time without copies. The views are valid only during the call.
 using FrameSink = std::function<void(const std::vector<RecordView>& records, std::uint64_t first_sequence)>;
 
-// Feeds the sink in the log's order; the last record of a key counts. Where the result is not usable the
-// sink has been fed some records all the same: its owner discards them. `salvage`: goes past damage and
-// retains what is provable; the result is then usable, and findings say what was dropped.
+// Passes all records to the sink in the log's order; the last record of a key counts. If the result is not
+// usable, the caller must discard the records that the sink has received. With `salvage`, recovery continues
+// after damage and retains every record that is provably valid; the result is then usable, and the findings
+// state what was dropped.
 RecoveryResult recover(Environment& environment, bool salvage, const RecordSink& sink);
 RecoveryResult recover_frames(Environment& environment, bool salvage, const FrameSink& sink);
 
--- a/src/store/session_table.hpp
+++ b/src/store/session_table.hpp
@@ -1,8 +1,8 @@
-// Session positions: 64-bit keys in extendible hashing (Fagin and others, 1979) over small open-addressed
-// pages. Pages are shared with snapshots and copied when written (copy on write), so a snapshot costs its
-// directory and never delays a writer; growth splits one page at a time, so no put pays for a rehash of all.
-// 24 bytes an entry, pages filled to 80% at most. The table is used by one thread; a snapshot may be read by
-// another.
+// SessionTable: the positions of sessions by 64-bit keys. It uses extendible hashing (Fagin and others, 1979)
+// over small pages with open addressing. Pages are shared with snapshots and copied on write, so a snapshot
+// only copies the directory and never blocks a writer. The table grows by splitting one page at a time, so no
+// put has to rehash the whole table. An entry takes 24 bytes, and pages are filled to at most 80%. The table
+// is used by one thread; a snapshot may be read by another.
 #pragma once
 
 #include <array>
@@ -16,25 +16,25 @@
 struct SessionEntry {
     std::uint64_t key = 0;
     std::uint64_t value = 0;
-    std::uint32_t sequence = 0;        // of its record, the last 32 bits
-    std::uint32_t expires_s : 31 = 0;  // Unix, until 2038; 0: never
-    std::uint32_t timed : 1 = 0;       // the owner's timing wheel has it
+    std::uint32_t sequence = 0;          // last 32 bits of the sequence number of its record
+    std::uint32_t expires_s : 31 = 0;    // Unix time in seconds, until 2038; 0 means never
+    std::uint32_t is_scheduled : 1 = 0;  // the key is in the owner's timing wheel
 };
 static_assert(sizeof(SessionEntry) == 24);
 
-// One page: linear probing over 256 slots, by the hash's last bits; removal shifts back, so there are no
-// tombstones.
+// One page: linear probing over 256 slots, starting at the slot given by the hash's last bits. Removal shifts
+// later entries back, so there are no tombstones.
 struct SessionPage {
     static constexpr std::size_t kSlots = 256;
     static constexpr std::size_t kBitsPerWord = 64;
     std::uint32_t count = 0;
-    std::uint32_t depth = 0;  // bits of the hash that all its keys share
+    std::uint32_t depth = 0;  // number of leading bits of the hash that all its keys share
     std::uint64_t seed = 0;
-    std::array<std::uint64_t, kSlots / kBitsPerWord> used{};
+    std::array<std::uint64_t, kSlots / kBitsPerWord> occupied{};
     std::array<SessionEntry, kSlots> slots{};
 
-    // Clients choose sessions' keys: without a seed that they don't know they could fill one page for ever,
-    // and each split would double the directory.
+    // Clients choose the keys of sessions. Without a seed that they don't know, they could choose keys that
+    // all fall into one page, and each split would double the directory.
     static std::uint64_t hash(std::uint64_t key, std::uint64_t seed) {
         std::uint64_t hash = key ^ seed;
         hash ^= hash >> 32;
@@ -44,46 +44,48 @@
         hash *= 0xd6e8feb86659fd93u;
         return hash ^ hash >> 32;
     }
-    static std::size_t home(std::uint64_t hash) { return std::size_t(hash & (kSlots - 1)); }
-    static std::size_t after(std::size_t slot) { return (slot + 1) & (kSlots - 1); }
-    // Slots from one to the other, going up and around.
+    static std::size_t home_slot(std::uint64_t hash) { return std::size_t(hash & (kSlots - 1)); }
+    static std::size_t next_slot(std::size_t slot) { return (slot + 1) & (kSlots - 1); }
+    // Number of slots from one slot to another, counted upwards with wraparound.
     static std::size_t distance(std::size_t from, std::size_t to) { return (to - from) & (kSlots - 1); }
 
-    bool is_used(std::size_t slot) const { return used[slot / kBitsPerWord] >> (slot % kBitsPerWord) & 1; }
-    void set_used(std::size_t slot) {
-        used[slot / kBitsPerWord] |= std::uint64_t(1) << (slot % kBitsPerWord);
+    bool is_occupied(std::size_t slot) const {
+        return occupied[slot / kBitsPerWord] >> (slot % kBitsPerWord) & 1;
     }
-    void set_free(std::size_t slot) {
-        used[slot / kBitsPerWord] &= ~(std::uint64_t(1) << (slot % kBitsPerWord));
+    void mark_occupied(std::size_t slot) {
+        occupied[slot / kBitsPerWord] |= std::uint64_t(1) << (slot % kBitsPerWord);
+    }
+    void mark_free(std::size_t slot) {
+        occupied[slot / kBitsPerWord] &= ~(std::uint64_t(1) << (slot % kBitsPerWord));
     }
 
     SessionEntry* find(std::uint64_t key, std::uint64_t hash) {
-        for (std::size_t slot = home(hash); is_used(slot); slot = after(slot))
+        for (std::size_t slot = home_slot(hash); is_occupied(slot); slot = next_slot(slot))
             if (slots[slot].key == key) return &slots[slot];
         return nullptr;
     }
-    // Of a key that is not there; the page is not full.
+    // Inserts a key. It must not exist, and the page must not be full.
     SessionEntry& insert(std::uint64_t key, std::uint64_t hash) {
-        std::size_t slot = home(hash);
-        while (is_used(slot)) slot = after(slot);
+        std::size_t slot = home_slot(hash);
+        while (is_occupied(slot)) slot = next_slot(slot);
         slots[slot] = {};
         slots[slot].key = key;
-        set_used(slot);
+        mark_occupied(slot);
         ++count;
         return slots[slot];
     }
-    // Of a key that is there.
+    // Removes a key, which must exist.
     void erase(std::uint64_t key, std::uint64_t key_hash) {
         auto hole = std::size_t(find(key, key_hash) - slots.data());
-        for (std::size_t slot = after(hole); is_used(slot); slot = after(slot)) {
-            std::size_t slot_home = home(hash(slots[slot].key, seed));
-            // It may move into the hole unless its home lies between the hole and itself.
-            if (distance(slot_home, slot) >= distance(hole, slot)) {
+        for (std::size_t slot = next_slot(hole); is_occupied(slot); slot = next_slot(slot)) {
+            std::size_t entry_home = home_slot(hash(slots[slot].key, seed));
+            // The entry may move into the hole unless its home slot lies between the hole and its slot.
+            if (distance(entry_home, slot) >= distance(hole, slot)) {
                 slots[hole] = slots[slot];
                 hole = slot;
             }
         }
-        set_free(hole);
+        mark_free(hole);
         --count;
     }
 };
@@ -92,19 +94,19 @@
   public:
     using Entry = SessionEntry;
 
-    // `seed`: random, unknown to clients.
+    // `seed`: random number that clients do not know.
     explicit SessionTable(std::uint64_t seed = 0)
         : directory_(1, std::make_shared<SessionPage>()), seed_(seed) {
         directory_[0]->seed = seed;
     }
 
-    // Null where there is none. Valid until the next change.
+    // Returns null if the key does not exist. The pointer is valid until the next change.
     const Entry* find(std::uint64_t key) const {
         std::uint64_t key_hash = hash(key);
         return directory_[index(key_hash)]->find(key, key_hash);
     }
 
-    // The entry of that key, made where there was none. Valid until the next change.
+    // Returns the entry of the key and creates it if it does not exist. Valid until the next change.
     Entry& put(std::uint64_t key) {
         std::uint64_t key_hash = hash(key);
         for (;;) {
@@ -118,7 +120,7 @@
         }
     }
 
-    // Whether it was there.
+    // Returns whether the key existed.
     bool erase(std::uint64_t key) {
         std::uint64_t key_hash = hash(key);
         if (!directory_[index(key_hash)]->find(key, key_hash)) return false;
@@ -127,24 +129,26 @@
         return true;
     }
 
-    // Ahead of a put: first where its page is, then the page. For many keys at once, as in a recovery.
+    // Prefetch memory before a put: first the directory entry, then the page. Useful for many keys at once,
+    // as in a recovery.
     void prefetch_directory(std::uint64_t key) const { __builtin_prefetch(&directory_[index(hash(key))]); }
     void prefetch_page(std::uint64_t key) const {
         std::uint64_t key_hash = hash(key);
         const SessionPage* page = directory_[index(key_hash)].get();
         __builtin_prefetch(page);
-        __builtin_prefetch(&page->slots[SessionPage::home(key_hash)]);
+        __builtin_prefetch(&page->slots[SessionPage::home_slot(key_hash)]);
     }
     std::size_t size() const { return size_; }
-    std::size_t bytes() const {  // of memory
+    // Memory used by pages and directory.
+    std::size_t bytes() const {
         std::size_t pages = 0;
         for (std::size_t i = 0; i < directory_.size(); ++i)
             if (i == 0 || directory_[i] != directory_[i - 1]) ++pages;
         return pages * sizeof(SessionPage) + directory_.capacity() * sizeof(directory_[0]);
     }
 
-    // Pages are not joined when they empty: where hardly anything is left, it is moved to a table of its
-    // size.
+    // Releases unused memory. Pages are not merged when they become empty; once few entries are left, they
+    // are moved to a new table.
     void shrink() {
         if (bytes() < kMinShrinkBytes || bytes() < size_ * sizeof(Entry) * kShrinkFactor) return;
         SessionTable smaller(seed_);
@@ -154,7 +158,7 @@
 
     class Snapshot {
       public:
-        // Calls visit(entry), in no order.
+        // Calls visit(entry) in no particular order.
         template <typename Visitor>
         void each(Visitor&& visit) const {
             const void* last = nullptr;
@@ -162,7 +166,7 @@
                 if (page.get() == last) continue;
                 last = page.get();
                 for (std::size_t slot = 0; slot < SessionPage::kSlots; ++slot)
-                    if (page->is_used(slot)) visit(page->slots[slot]);
+                    if (page->is_occupied(slot)) visit(page->slots[slot]);
             }
         }
 
@@ -184,23 +188,26 @@
   private:
     static constexpr std::size_t kMaxPageEntries = 205;  // 80% of the slots
     static constexpr std::size_t kMinShrinkBytes = 1u << 20;
-    static constexpr std::size_t kShrinkFactor = 12;  // memory, as a multiple of the entries' bytes
+    // shrink() acts if the memory is at least this multiple of the entries' size.
+    static constexpr std::size_t kShrinkFactor = 12;
 
     std::uint64_t hash(std::uint64_t key) const { return SessionPage::hash(key, seed_); }
     std::size_t index(std::uint64_t key_hash) const {
         return depth_ == 0 ? 0 : std::size_t(key_hash >> (64 - depth_));
     }
-    // Places in the directory that a page of that depth has, one after the other.
-    std::size_t span(std::uint32_t page_depth) const { return std::size_t(1) << (depth_ - page_depth); }
+    // Number of consecutive directory entries that refer to a page of that depth.
+    std::size_t reference_count(std::uint32_t page_depth) const {
+        return std::size_t(1) << (depth_ - page_depth);
+    }
 
-    // The page at that place, copied where a snapshot shares it.
-    SessionPage& writable(std::size_t at) {
-        std::shared_ptr<SessionPage>& page = directory_[at];
-        std::size_t places = span(page->depth);
-        if (std::size_t(page.use_count()) == places) return *page;
-        std::size_t first = at / places * places;
+    // Returns the page at that directory index, after copying it if a snapshot shares it.
+    SessionPage& writable(std::size_t directory_index) {
+        std::shared_ptr<SessionPage>& page = directory_[directory_index];
+        std::size_t references = reference_count(page->depth);
+        if (std::size_t(page.use_count()) == references) return *page;
+        std::size_t first = directory_index / references * references;
         auto copy = std::make_shared<SessionPage>(*page);
-        for (std::size_t i = first; i < first + places; ++i) directory_[i] = copy;
+        for (std::size_t i = first; i < first + references; ++i) directory_[i] = copy;
         return *copy;
     }
 
@@ -211,14 +218,14 @@
         ++depth_;
     }
 
-    void split(std::size_t at) {
-        std::uint32_t depth = directory_[at]->depth;
+    void split(std::size_t directory_index) {
+        std::uint32_t depth = directory_[directory_index]->depth;
         if (depth == depth_) {
             double_directory();
-            at *= 2;
+            directory_index *= 2;
         }
-        std::size_t places = span(depth);
-        std::size_t first = at / places * places;
+        std::size_t references = reference_count(depth);
+        std::size_t first = directory_index / references * references;
         std::shared_ptr<SessionPage> old = directory_[first];
         std::array<std::shared_ptr<SessionPage>, 2> halves;
         for (auto& half : halves) {
@@ -227,15 +234,15 @@
             half->seed = seed_;
         }
         for (std::size_t slot = 0; slot < SessionPage::kSlots; ++slot) {
-            if (!old->is_used(slot)) continue;
+            if (!old->is_occupied(slot)) continue;
             const Entry& entry = old->slots[slot];
             std::uint64_t key_hash = hash(entry.key);
             halves[key_hash >> (63 - depth) & 1]->insert(entry.key, key_hash) = entry;
         }
-        for (std::size_t i = 0; i < places; ++i) directory_[first + i] = halves[i >= places / 2];
+        for (std::size_t i = 0; i < references; ++i) directory_[first + i] = halves[i >= references / 2];
     }
 
-    std::vector<std::shared_ptr<SessionPage>> directory_;  // by the hash's first `depth_` bits
+    std::vector<std::shared_ptr<SessionPage>> directory_;  // indexed by the hash's first `depth_` bits
     std::uint64_t seed_;
     unsigned depth_ = 0;
     std::size_t size_ = 0;
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -10,11 +10,11 @@
 constexpr std::uint64_t kMillisecondsPerSecond = 1000;
 constexpr std::uint64_t kPositionBytes = record_bytes(8, 8);
 constexpr std::size_t kPrefetchedRecords = 32;
-constexpr std::uint64_t kMaxExpiryS = 0x7fffffff;  // of SessionEntry::expires_s
-// How often expire() does what costs more than what has expired.
+constexpr std::uint64_t kMaxExpiryS = 0x7fffffff;  // largest value of SessionEntry::expires_s
+// Intervals of the parts of expire() whose cost does not depend on the number of expired records.
 constexpr std::uint64_t kShrinkIntervalS = 64;
 constexpr std::uint64_t kSpaceExpiryIntervalS = 16;
-// A generation is written in batches of so many records; a longer value takes a batch of its own.
+// A generation is written in batches of this many records; a value longer than this gets a batch of its own.
 constexpr std::size_t kGenerationBatchRecords = 512;
 constexpr std::size_t kLongValueBytes = 65536;
 }  // namespace
@@ -22,8 +22,8 @@
 // ---- the index -----------------------------------------------------------------------------------
 
 void Store::schedule_expiry(Position& position) {
-    if (position.timed || position.expires_s == 0) return;
-    position.timed = 1;
+    if (position.is_scheduled || position.expires_s == 0) return;
+    position.is_scheduled = 1;
     expiry_.add(position.key, position.expires_s);
 }
 
@@ -66,7 +66,8 @@
     if (record.space == Space::positions) {
         auto session = parse_position_key(record.key);
         const Position* position = session ? sessions_.find(*session) : nullptr;
-        // Only 32 bits of the sequence are retained: with the same value, writing it once more does no harm.
+        // Only 32 bits of the sequence number are retained, so another record may match by chance. It then
+        // has the same value, and writing it again does no harm.
         return position && position->sequence == std::uint32_t(sequence) &&
                encode_u64(position->value) == record.value;
     }
@@ -106,7 +107,7 @@
 }
 
 void Store::expire_positions(std::uint64_t now_s) {
-    expiry_.due(now_s, [&](std::uint64_t key, std::uint64_t) {
+    expiry_.advance(now_s, [&](std::uint64_t key, std::uint64_t) {
         const Position* found = sessions_.find(key);
         if (!found) return;
         if (found->expires_s != 0 && found->expires_s <= now_s) {
@@ -114,18 +115,18 @@
             live_bytes_ -= kPositionBytes;
             return;
         }
-        Position& position = sessions_.put(key);  // it was written again since: it expires later
-        position.timed = 0;
+        Position& position = sessions_.put(key);  // written again since then, so it expires later
+        position.is_scheduled = 0;
         schedule_expiry(position);
     });
 }
 
 void Store::expire_space(OrderedMap& space, std::uint64_t now_ms) {
-    std::vector<std::string> expired;
+    std::vector<std::string> expired_keys;
     space.each([&](std::string_view key, const OrderedMap::Value& value) {
-        if (value.expires_ms != 0 && value.expires_ms <= now_ms) expired.emplace_back(key);
+        if (value.expires_ms != 0 && value.expires_ms <= now_ms) expired_keys.emplace_back(key);
     });
-    for (const std::string& key : expired) {
+    for (const std::string& key : expired_keys) {
         live_bytes_ -= record_bytes(key.size(), space.find(key)->bytes.size());
         space.erase(key);
     }
@@ -135,7 +136,7 @@
 
 void Store::load(Record&& record, std::uint64_t sequence) {
     apply(record, sequence);
-    sequence_ = std::max(sequence_, sequence + 1);
+    next_sequence_ = std::max(next_sequence_, sequence + 1);
 }
 
 void Store::load(const std::vector<RecordView>& records, std::uint64_t first_sequence) {
@@ -144,10 +145,11 @@
         prefetch(records.data() + i, records.data() + end);
         for (std::size_t k = i; k < end; ++k) apply(records[k], first_sequence + k);
     }
-    sequence_ = std::max(sequence_, first_sequence + records.size());
+    next_sequence_ = std::max(next_sequence_, first_sequence + records.size());
 }
 
-// Pages of many sessions are far apart: they are fetched before they are needed. At most kPrefetchedRecords.
+// Prefetches the pages of positions, because they are spread over the memory. Takes at most
+// kPrefetchedRecords records.
 void Store::prefetch(const RecordView* begin, const RecordView* end) const {
     std::array<std::uint64_t, kPrefetchedRecords> keys{};
     std::size_t count = 0;
@@ -161,7 +163,7 @@
 }
 
 void Store::begin(const RecoveryResult& recovered, std::uint64_t now_ms) {
-    sequence_ = std::max(sequence_, recovered.next_sequence);
+    next_sequence_ = std::max(next_sequence_, recovered.next_sequence);
     log_bytes_ = recovered.bytes;
     expire(now_ms);
 }
@@ -171,11 +173,11 @@
 std::uint64_t Store::enqueue(std::vector<Record> records, Durability durability) {
     WriteBatch request;
     request.ticket = ++ticket_;
-    request.strict = durability == Durability::strict;
-    request.batch.sequence = sequence_;
-    for (const Record& record : records) apply(record, sequence_++);
+    request.is_strict = durability == Durability::strict;
+    request.batch.sequence = next_sequence_;
+    for (const Record& record : records) apply(record, next_sequence_++);
     request.batch.records = std::move(records);
-    // While nothing can be written the index alone knows: the next generation holds all of it.
+    // While nothing can be written, the change is only in the index; the next generation will contain it.
     if (!failing_) write_requests_.emplace_back(std::move(request));
     return ticket_;
 }
@@ -203,10 +205,10 @@
     std::size_t bytes = 0;
     for (const Record& record : records) {
         if (record.key.size() > kMaxKeyBytes || record.value.size() > kMaxValueBytes)
-            throw std::length_error("a record is too long");
+            throw std::length_error("the key or value of a record is too long");
         bytes += record_bytes(record.key.size(), record.value.size());
     }
-    if (bytes > kMaxPayloadBytes) throw std::length_error("a batch is too long");
+    if (bytes > kMaxPayloadBytes) throw std::length_error("a batch of records is too long");
     return enqueue(std::move(records), durability);
 }
 
@@ -242,16 +244,16 @@
     for (auto& [record, sequence] : chunk.records)
         if (is_current(record, sequence)) current.push_back(std::move(record));
     if (!current.empty()) enqueue(std::move(current), Durability::relaxed);
-    if (!chunk.last) return;
+    if (!chunk.is_last) return;
     ++ticket_;
     write_requests_.emplace_back(OldestSegmentCopied{});
 }
 
-// As a generation, from snapshots: what is put meanwhile comes behind it and counts more.
+// Writes a generation from snapshots. Records that are put later follow it and replace its records.
 void Store::rewrite() {
     failing_ = false;
     ++ticket_;
-    write_requests_.emplace_back(GenerationBegin{sequence_});
+    write_requests_.emplace_back(GenerationBegin{next_sequence_});
     std::vector<Record> batch;
     auto flush = [&] {
         if (!batch.empty()) enqueue(std::exchange(batch, {}), Durability::relaxed);
--- a/src/store/store.hpp
+++ b/src/store/store.hpp
@@ -1,8 +1,9 @@
-// The store as its owner sees it: an index in memory, which is served from at once, and write requests for
-// the log, which a LogWorker carries out. No thread, no file, no clock here: whoever runs the two hands
-// requests and events over (thread.hpp). Used by the owner's thread alone. docs/store.md has the picture.
+// Store: the owner's side of the store. It serves reads from an index in memory and produces write requests
+// for the log, which a LogWorker executes. It uses no thread, file or clock; StoreThread passes requests and
+// events between the two. Used only by the owner's thread. docs/store.md gives an overview.
 //
-// Times are milliseconds of the Unix clock. Each change gives a ticket; durable() tells when it is on disk.
+// Times are milliseconds of the Unix clock. Each change returns a ticket; the change is on disk once
+// durable() has reached it.
 #pragma once
 
 #include <array>
@@ -22,34 +23,35 @@
 namespace indigovane::store {
 
 enum class Durability : std::uint8_t {
-    relaxed,  // with the next group
-    strict,   // at once: somebody waits for it
+    relaxed,  // written with the next group
+    strict,   // written without delay, because a caller waits for it
 };
 
 class Store {
   public:
     using Position = SessionTable::Entry;
-    // `seed`: random, of the table of sessions, whose keys clients choose.
+    // `seed`: random number for the hash of the session table, whose keys clients choose.
     explicit Store(std::uint64_t seed = 0) : sessions_(seed) {}
 
-    // What is recovered is fed first, in order, through load(); then begin().
+    // First load() is called for all recovered records in order, then begin().
     void load(Record&& record, std::uint64_t sequence);
     void load(const std::vector<RecordView>& records, std::uint64_t first_sequence);
     void begin(const RecoveryResult& recovered, std::uint64_t now_ms);
 
-    // Changes. `expires_ms`: 0: never. They throw std::length_error, with nothing changed, for a key, a value
-    // or a batch that is longer than the format allows (kMaxKeyBytes, kMaxValueBytes, kMaxPayloadBytes).
+    // Changes. They return a ticket. `expires_ms` 0 means never. They throw std::length_error and change
+    // nothing if a key, a value or a batch is longer than the format allows (kMaxKeyBytes, kMaxValueBytes,
+    // kMaxPayloadBytes).
     std::uint64_t put(Space space, std::string_view key, std::string_view value,
                       Durability durability = Durability::relaxed, std::uint64_t expires_ms = 0);
     std::uint64_t remove(Space space, std::string_view key, Durability durability = Durability::relaxed);
-    // On the request path: allocates nothing but the write request.
+    // Called for client requests: it allocates only the write request.
     std::uint64_t put_position(std::uint64_t session, std::uint64_t value, std::uint64_t expires_ms);
-    // Several at once: all or none of them after a crash.
+    // Writes several records atomically: after a crash all of them are in the store or none.
     std::uint64_t write(std::vector<Record> records, Durability durability);
 
     std::optional<std::string> get(Space space, std::string_view key) const;
     std::optional<std::uint64_t> position(std::uint64_t session) const;
-    // Calls visit(key, value) in order of keys; positions in no order.
+    // Calls visit(key, value) in the order of keys; for positions in no particular order.
     template <typename Visitor>
     void each(Space space, Visitor&& visit) const {
         if (space == Space::positions)
@@ -63,23 +65,31 @@
     }
     const SessionTable& sessions() const { return sessions_; }
 
-    // Forgets what has expired. Nothing is written for it: a start forgets it as well.
+    // Removes expired records. Nothing is written, because a start removes them as well.
     void expire(std::uint64_t now_ms);
 
-    // The log's side.
-    std::vector<WriteRequest> take_write_requests();  // those since the last call
+    // Exchange with the log. Returns the write requests since the last call.
+    std::vector<WriteRequest> take_write_requests();
     bool has_write_requests() const { return !write_requests_.empty(); }
     void handle(StoreEvent&& event);
-    // Writes all there is, in place of what is on disk: of a store that was salvaged, right after begin().
+    // Writes all current records to replace the contents on disk. For a salvaged store, it must be called
+    // right after begin().
     void rewrite();
-    void close();  // the last request: all before it is on disk when it has been carried out
+    // Adds the last write request. Once it has been executed, all earlier changes are on disk.
+    void close();
 
-    std::uint64_t durable() const { return durable_; }  // the last ticket that is on disk, and all before it
-    std::uint64_t ticket() const { return ticket_; }    // the last one given
-    bool failing() const { return failing_; }           // nothing is written; served from memory
-    std::uint64_t live_bytes() const { return live_bytes_; }  // of current records, as in the log
-    std::uint64_t log_bytes() const { return log_bytes_; }    // as of the last event
-    std::size_t size() const;                                 // current records
+    // Highest ticket up to which all changes are on disk.
+    std::uint64_t durable() const { return durable_; }
+    // Last ticket returned.
+    std::uint64_t ticket() const { return ticket_; }
+    // True while nothing is written because of an error, and the store serves from memory.
+    bool failing() const { return failing_; }
+    // Size that the current records have in the log.
+    std::uint64_t live_bytes() const { return live_bytes_; }
+    // Size of the log according to the last event.
+    std::uint64_t log_bytes() const { return log_bytes_; }
+    // Number of current records.
+    std::size_t size() const;
 
   private:
     std::uint64_t enqueue(std::vector<Record> records, Durability durability);
@@ -95,10 +105,10 @@
     void expire_space(OrderedMap& space, std::uint64_t now_ms);
 
     SessionTable sessions_;
-    std::array<OrderedMap, kSpaceCount> spaces_;  // that of positions stays empty
-    TimingWheel expiry_;                          // of positions, in seconds
+    std::array<OrderedMap, kSpaceCount> spaces_;  // the element of Space::positions stays empty
+    TimingWheel expiry_;                          // expiry of positions, in seconds
     std::vector<WriteRequest> write_requests_;
-    std::uint64_t sequence_ = 1;  // of the next record
+    std::uint64_t next_sequence_ = 1;  // sequence number of the next record
     std::uint64_t ticket_ = 0;
     std::uint64_t durable_ = 0;
     std::uint64_t live_bytes_ = 0;
--- a/src/store/thread.cpp
+++ b/src/store/thread.cpp
@@ -10,7 +10,7 @@
 namespace indigovane::store {
 
 namespace {
-constexpr std::size_t kMaxGatheredBytes = 4u << 20;  // keys and values
+constexpr std::size_t kMaxGatheredBytes = 4u << 20;  // sum of the sizes of keys and values
 constexpr std::uint64_t kFirstTickMs = 1;
 
 std::uint64_t steady_ms() {
@@ -18,10 +18,10 @@
     return std::uint64_t(std::chrono::duration_cast<std::chrono::milliseconds>(since_epoch).count());
 }
 
-// Whether it should not wait for further requests.
+// Returns whether a group with this request must not wait for further requests.
 bool is_urgent(const WriteRequest& request) {
     const auto* write = std::get_if<WriteBatch>(&request);
-    return !write || write->strict;
+    return !write || write->is_strict;
 }
 
 std::size_t payload_bytes(const WriteRequest& request) {
@@ -34,8 +34,8 @@
 
 std::string log_line(const StoreEvent& event) {
     if (const auto* failing = std::get_if<WritesFailing>(&event))
-        return "nothing is written any more, served from memory: " + failing->text;
-    if (std::holds_alternative<WritesRetryable>(event)) return "trying to write again";
+        return "writing to disk has stopped, serving from memory: " + failing->text;
+    if (std::holds_alternative<WritesRetryable>(event)) return "retrying to write to disk";
     if (const auto* fault = std::get_if<LogFault>(&event)) return fault->text;
     return "";
 }
@@ -44,7 +44,7 @@
 struct StoreThread::Queues {
     moodycamel::BlockingConcurrentQueue<WriteRequest> requests;
     moodycamel::ConcurrentQueue<StoreEvent> events;
-    // One token each: with one thread at either end, order is kept.
+    // One producer token per queue: with one thread at each end, the order of messages is preserved.
     moodycamel::ProducerToken request_token{requests};
     moodycamel::ProducerToken event_token{events};
 };
@@ -60,7 +60,7 @@
 
 std::unique_ptr<StoreThread> StoreThread::open(std::unique_ptr<Environment> environment, OpenOptions options,
                                                std::uint64_t now_ms, std::function<void()> wake,
-                                               RecoveryResult& found, OpenError& error) {
+                                               RecoveryResult& recovery, OpenError& error) {
     std::unique_ptr<StoreThread> self(new StoreThread(std::move(environment), options, std::move(wake)));
     if (IoStatus status = self->environment_->lock(self->lock_); !status.ok()) {
         error = status.is(std::errc::operation_would_block)
@@ -68,21 +68,21 @@
                     : OpenError{OpenError::Kind::unusable, status.text()};
         return nullptr;
     }
-    found = recover_frames(*self->environment_, options.salvage,
-                           [&](const std::vector<RecordView>& records, std::uint64_t first_sequence) {
-                               self->store_.load(records, first_sequence);
-                           });
-    if (!found.usable()) {
+    recovery = recover_frames(*self->environment_, options.salvage,
+                              [&](const std::vector<RecordView>& records, std::uint64_t first_sequence) {
+                                  self->store_.load(records, first_sequence);
+                              });
+    if (!recovery.usable()) {
         error.kind = OpenError::Kind::unusable;
-        error.text = found.findings.empty() ? found.status.text() : found.findings.back().text();
+        error.text = recovery.findings.empty() ? recovery.status.text() : recovery.findings.back().text();
         return nullptr;
     }
-    self->store_.begin(found, now_ms);
-    if (IoStatus status = self->log_worker_.begin(found, options.new_store_number); !status.ok()) {
+    self->store_.begin(recovery, now_ms);
+    if (IoStatus status = self->log_worker_.begin(recovery, options.new_store_number); !status.ok()) {
         error = {OpenError::Kind::unusable, status.text()};
         return nullptr;
     }
-    if (found.salvaged) self->store_.rewrite();
+    if (recovery.salvaged) self->store_.rewrite();
     self->live_bytes_ = self->store_.live_bytes();
     self->thread_ = std::thread([raw = self.get()] { raw->run(); });
     return self;
@@ -91,7 +91,7 @@
 StoreThread::~StoreThread() {
     stop_ = true;
     if (!thread_.joinable()) return;
-    queues_->requests.enqueue(CloseLog{});  // wakes it
+    queues_->requests.enqueue(CloseLog{});  // wakes the log's thread
     thread_.join();
 }
 
@@ -128,24 +128,24 @@
 
 // ---- the log's thread ----------------------------------------------------------------------------
 
-// The first request and those that come within the sync interval. Whatever is taken from the queue is in the
-// group before the group is found large enough: no request is lost in between.
-std::vector<WriteRequest> StoreThread::gather(WriteRequest first) {
+// Returns the first request and those that arrive within the sync interval. Every request taken from the
+// queue is added to the group before the group's size is checked, so no request is lost.
+std::vector<WriteRequest> StoreThread::gather_group(WriteRequest first) {
     using Clock = std::chrono::steady_clock;
     auto deadline = Clock::now() + std::chrono::microseconds(options_.sync_interval_us);
-    std::vector<WriteRequest> gathered;
+    std::vector<WriteRequest> group;
     bool urgent = false;
     std::size_t bytes = 0;
     WriteRequest request = std::move(first);
     for (;;) {
         urgent = urgent || is_urgent(request);
         bytes += payload_bytes(request);
-        gathered.push_back(std::exchange(request, {}));
-        if (bytes >= kMaxGatheredBytes) return gathered;
+        group.push_back(std::exchange(request, {}));
+        if (bytes >= kMaxGatheredBytes) return group;
         if (queues_->requests.try_dequeue(request)) continue;
-        auto left = std::chrono::duration_cast<std::chrono::microseconds>(deadline - Clock::now());
-        if (urgent || left.count() <= 0) return gathered;
-        if (!queues_->requests.wait_dequeue_timed(request, left.count())) return gathered;
+        auto remaining = std::chrono::duration_cast<std::chrono::microseconds>(deadline - Clock::now());
+        if (urgent || remaining.count() <= 0) return group;
+        if (!queues_->requests.wait_dequeue_timed(request, remaining.count())) return group;
     }
 }
 
@@ -162,7 +162,7 @@
     while (!log_worker_.closed() && !stop_) {
         WriteRequest request;
         if (queues_->requests.wait_dequeue_timed(request, std::chrono::milliseconds(tick_ms))) {
-            std::vector<WriteRequest> group = gather(std::move(request));
+            std::vector<WriteRequest> group = gather_group(std::move(request));
             if (stop_) return;
             log_worker_.process(std::move(group), live_bytes_.load(std::memory_order_relaxed), steady_ms(),
                                 events);
--- a/src/store/thread.hpp
+++ b/src/store/thread.hpp
@@ -1,5 +1,5 @@
-// A store on disk: the owner's side on the owner's thread, a LogWorker on a thread of its own, two lock-free
-// queues between them. All public functions are called by the owner's thread.
+// StoreThread: a store on disk. The Store runs on the owner's thread and a LogWorker on a thread of its own,
+// with two lock-free queues between them. All public functions must be called on the owner's thread.
 #pragma once
 
 #include <atomic>
@@ -17,57 +17,61 @@
 
 struct OpenOptions {
     LogWorker::Options log_worker;
-    std::uint64_t sync_interval_us = 2000;  // a group waits so long for more, unless one of it is strict
-    bool salvage = false;                   // see recover()
-    std::uint64_t new_store_number = 1;     // random; of a store that is made
+    // How long a group waits for further requests, unless it contains a strict one.
+    std::uint64_t sync_interval_us = 2000;
+    // Recover a damaged store as far as possible, see recover().
+    bool salvage = false;
+    // Random number, used if a new store is created.
+    std::uint64_t new_store_number = 1;
 };
 
-// Why a store can't be used.
+// The reason why a store can't be used.
 struct OpenError {
     enum class Kind : std::uint8_t {
         none,
         locked,    // another process has it open
-        unusable,  // damaged, newer or unreadable; or its log can't be begun
+        unusable,  // damaged, of a newer version or unreadable, or its log can't be started
     } kind = Kind::none;
     std::string text;
 };
 
 class StoreThread {
   public:
-    // Recovers and begins; blocks for as long as that takes. `wake`: called from the log's thread when poll()
-    // has something to do. Null, with the error, where the store can't be used. What recovery found is in
-    // `found` either way.
+    // Recovers the store and starts the log's thread; blocks until this is done. Returns null and sets
+    // `error` if the store can't be used. `recovery` receives the result of the recovery in both cases.
+    // `wake`: called on the log's thread when poll() has something to do.
     static std::unique_ptr<StoreThread> open(std::unique_ptr<Environment> environment, OpenOptions options,
                                              std::uint64_t now_ms, std::function<void()> wake,
-                                             RecoveryResult& found, OpenError& error);
-    // As if the process ended: what has not been written yet is lost. Waits for the log's thread.
+                                             RecoveryResult& recovery, OpenError& error);
+    // Stops as if the process ended: requests that have not been written yet are lost. Waits for the log's
+    // thread.
     ~StoreThread();
     StoreThread(const StoreThread&) = delete;
     StoreThread& operator=(const StoreThread&) = delete;
 
     Store& store() { return store_; }
-    // Hands over the write requests since the last call; cheap where there are none.
+    // Passes the write requests since the last call to the log; cheap if there are none.
     void flush();
-    // Handles the log's events, then flushes. Returns lines for the operator's log.
+    // Handles the log's events, then flushes. Returns lines to be logged for the operator.
     std::vector<std::string> poll();
-    // Blocks until all is on disk, or until it is certain that it can't be.
+    // Blocks until all requests have been written, or have been skipped because the disk fails.
     void close();
 
-    // After close() only: until then it is the log thread's.
+    // May be called only after close(), because until then the log's thread uses the writer.
     const Writer& writer() const { return log_worker_.writer(); }
 
   private:
     struct Queues;
     StoreThread(std::unique_ptr<Environment> environment, OpenOptions options, std::function<void()> wake);
-    // The log's thread.
+    // The following functions run on the log's thread.
     void run();
-    std::vector<WriteRequest> gather(WriteRequest first);
+    std::vector<WriteRequest> gather_group(WriteRequest first);
     void publish(std::vector<StoreEvent>& events);
 
     std::unique_ptr<Environment> environment_;
     std::unique_ptr<FolderLock> lock_;
     OpenOptions options_;
-    LogWorker log_worker_;  // the log thread's once that runs
+    LogWorker log_worker_;  // used by the log's thread once it runs
     std::function<void()> wake_;
     Store store_;
     std::unique_ptr<Queues> queues_;
--- a/src/store/writer.cpp
+++ b/src/store/writer.cpp
@@ -26,16 +26,16 @@
         last.length = recovered.valid_length;
         last.checksum = recovered.valid_checksum;
     }
-    next.segments.push_back(listed(segment_, false));
+    next.segments.push_back(manifest_entry(segment_, false));
     if (IoStatus status = replace_manifest(std::move(next)); !status.ok()) return status;
     remove_unlisted();
     return {};
 }
 
-// Numbers go on behind all files that are there, whatever they are: none of them may be written over.
+// New segments get numbers above those of all existing files, valid or not, so that no file is overwritten.
 IoStatus Writer::begin_salvaged(const RecoveryResult& recovered, std::uint64_t new_store_number) {
     manifest_ = recovered.manifest;
-    if (manifest_.store == 0) manifest_.store = new_store_number;
+    if (manifest_.store_number == 0) manifest_.store_number = new_store_number;
     next_sequence_ = recovered.next_sequence;
     next_segment_ = std::max<std::uint64_t>(manifest_.next_segment, 1);
     std::vector<std::string> names;
@@ -49,12 +49,12 @@
 
 // ---- segments and the manifest -------------------------------------------------------------------
 
-// The file, its header and its name are on disk before any manifest names it.
+// Creates a segment. Its file, header and name are on disk before any manifest lists it.
 IoStatus Writer::create_segment(std::uint64_t first_sequence) {
     std::uint64_t number = next_segment_;
     std::unique_ptr<File> file;
     if (IoStatus status = environment_.create(segment_name(number), file); !status.ok()) return status;
-    std::string header = encode(SegmentHeader{manifest_.store, number, first_sequence});
+    std::string header = encode(SegmentHeader{manifest_.store_number, number, first_sequence});
     if (IoStatus status = file->append(header); !status.ok()) return status;
     if (IoStatus status = file->sync(); !status.ok()) return status;
     if (IoStatus status = environment_.sync_folder(); !status.ok()) return status;
@@ -67,26 +67,27 @@
     return {};
 }
 
-Manifest::Segment Writer::listed(const OpenSegment& segment, bool sealed) const {
+Manifest::Segment Writer::manifest_entry(const OpenSegment& segment, bool sealed) const {
     return {segment.number, sealed, segment.durable_length, sealed ? segment.checksum->value() : 0};
 }
 
-// Sets the number of the next segment and the epoch.
+// Replaces the manifest, after setting its epoch and the number of the next segment.
 IoStatus Writer::replace_manifest(Manifest next) {
     next.next_segment = next_segment_;
     next.epoch = manifest_.epoch + 1;
-    auto [status, in_doubt] = replace_manifest_file(environment_, next);
-    if (in_doubt) failed_ = true;
+    auto [status, is_in_doubt] = replace_manifest_file(environment_, next);
+    if (is_in_doubt) failed_ = true;
     if (status.ok()) manifest_ = std::move(next);
     return status;
 }
 
-// What can't be removed now is removed at the next start.
+// A file that can't be removed now is removed at the next start.
 void Writer::remove_if_possible(const std::string& name) {
     static_cast<void>(environment_.remove(name));
 }
 
-// Segments that no manifest names: of a beginning, a compaction or a generation that a crash cut short.
+// Removes segments that no manifest lists. They are left when a crash interrupts a start, a compaction or a
+// generation.
 void Writer::remove_unlisted() {
     std::vector<std::string> names;
     if (!environment_.list(names).ok()) return;
@@ -102,18 +103,18 @@
 
 // Seals the segment at its durable length and begins the next one.
 IoStatus Writer::seal_and_continue() {
-    Manifest::Segment sealed = listed(segment_, true);
+    Manifest::Segment sealed = manifest_entry(segment_, true);
     if (IoStatus status = create_segment(next_sequence_); !status.ok()) return status;
     if (generation_open_) {
         generation_.pop_back();
         generation_.push_back(sealed);
-        generation_.push_back(listed(segment_, false));
+        generation_.push_back(manifest_entry(segment_, false));
         return {};
     }
     Manifest next = manifest_;
     next.segments.pop_back();
     next.segments.push_back(sealed);
-    next.segments.push_back(listed(segment_, false));
+    next.segments.push_back(manifest_entry(segment_, false));
     return replace_manifest(std::move(next));
 }
 
@@ -133,7 +134,7 @@
         std::string payload;
         for (const Record& record : batch.records) encode_record(record, payload);
         Frame frame{sequence, segment_.durable_length, std::uint32_t(batch.records.size()), payload};
-        bytes += encode(frame, manifest_.store, segment_.durable_length + bytes.size());
+        bytes += encode(frame, manifest_.store_number, segment_.durable_length + bytes.size());
         sequence += batch.records.size();
     }
     if (IoStatus status = segment_.file->append(bytes); !status.ok()) return status;
@@ -146,12 +147,12 @@
 }
 
 IoStatus Writer::write(const std::vector<Batch>& group) {
-    if (failed_) return {EIO, "the log is given up"};
+    if (failed_) return {EIO, "writing to the log has failed before"};
     if (group.empty()) return {};
-    // Sequences say which record of a key is current: they must be the owner's.
+    // Sequence numbers determine which record of a key is current, so they must match the owner's.
     if (group.front().sequence != next_sequence_) {
         failed_ = true;
-        return {EINVAL, "sequences do not follow"};
+        return {EINVAL, "the batch does not continue the log's sequence numbers"};
     }
     if (segment_.durable_length >= options_.segment_bytes) {
         if (IoStatus status = seal_and_continue(); !status.ok()) {
@@ -161,8 +162,8 @@
     }
     IoStatus status = append(group);
     if (status.ok()) return status;
-    // After a failed write or sync nobody knows what of it is on disk, and a later sync that succeeds proves
-    // nothing: the segment is never written to again.
+    // After a failed write or sync it is unknown which bytes are on disk, and a later successful sync proves
+    // nothing. Therefore the segment is never written to again.
     if (seal_and_continue().ok() && !failed_) status = append(group);
     if (!status.ok()) {
         failed_ = true;
@@ -175,7 +176,7 @@
 
 IoStatus Writer::begin_generation(std::uint64_t next_sequence) {
     if (!salvaged_) {
-        // After a failed sync of the folder either manifest may be there.
+        // After a failed sync of the folder, either the old or the new manifest may be on disk.
         Manifest found;
         if (IoStatus status = read_manifest_file(environment_, found); !status.ok()) return status;
         manifest_ = found;
@@ -183,7 +184,7 @@
     }
     generation_.clear();
     if (IoStatus status = create_segment(next_sequence); !status.ok()) return status;
-    generation_.push_back(listed(segment_, false));
+    generation_.push_back(manifest_entry(segment_, false));
     next_sequence_ = next_sequence;
     generation_open_ = true;
     failed_ = false;
@@ -214,7 +215,7 @@
     const Manifest::Segment& oldest = manifest_.segments.front();
     if (!oldest.sealed) return std::nullopt;
     CompactionChunk chunk;
-    status = compaction_.read(environment_, manifest_.store, oldest, bytes, chunk);
+    status = compaction_.read(environment_, manifest_.store_number, oldest, bytes, chunk);
     if (!status.ok()) return std::nullopt;
     return chunk;
 }
@@ -224,8 +225,8 @@
     Manifest next = manifest_;
     std::uint64_t number = next.segments.front().number;
     next.segments.erase(next.segments.begin());
-    // The current records of the oldest segment stand in the last one, up to here: a copy of the store whose
-    // last segment is shorter must be found out.
+    // The last segment now holds the current records of the oldest one. The manifest states the last
+    // segment's length so that recovery detects a copy of the store whose last segment is shorter.
     next.segments.back().length = segment_.durable_length;
     if (IoStatus status = replace_manifest(std::move(next)); !status.ok()) return status;
     compaction_.reset();
--- a/src/store/writer.hpp
+++ b/src/store/writer.hpp
@@ -1,7 +1,7 @@
-// The log's only writer: groups of batches in, each synced before write() returns. Used by one thread, that
-// of the log.
+// Writer: the only writer of the log. It writes groups of batches and syncs each group before write()
+// returns. Used by one thread; in a running store that is the log's thread.
 //
-// A generation is a complete set of segments that replaces the one before at once, by a new manifest.
+// A generation is a complete set of segments. A new manifest replaces the previous generation atomically.
 #pragma once
 
 #include <memory>
@@ -21,40 +21,44 @@
 class Writer {
   public:
     struct Options {
-        std::size_t segment_bytes = 4 << 20;  // a group may make a segment longer
+        // A segment of this size is sealed before the next group; one group may exceed it.
+        std::size_t segment_bytes = 4 << 20;
     };
     Writer(Environment& environment, Options options);
     ~Writer();
 
-    // Takes over what was recovered: seals the last segment at its valid length, begins a new one. After an
-    // error nothing on disk has changed that matters; it may be tried again. `new_store_number`: random, of a
-    // store that is made.
+    // Continues a recovered store: seals the last segment at its valid length and begins a new one. After an
+    // error the store on disk is still valid, and the call may be repeated. `new_store_number`: random
+    // number, used if a new store is created.
     IoStatus begin(const RecoveryResult& recovered, std::uint64_t new_store_number);
-    // In place of begin(), for a store that was salvaged: nothing on disk changes until begin_generation()
-    // and end_generation() have put a generation in its place.
+    // Called instead of begin() for a salvaged store. The store on disk stays as it is until
+    // begin_generation() and end_generation() have replaced it with a new generation.
     IoStatus begin_salvaged(const RecoveryResult& recovered, std::uint64_t new_store_number);
 
-    // All of the group is on disk once this returns ok. After a failed write or sync the segment is abandoned
-    // at its last good length and the group written to a new one. An error: that failed too, see failed().
+    // Writes a group; if this returns ok, all of it is on disk. After a failed write or sync, the segment is
+    // sealed at its durable length and the group is written to a new segment. If that fails too, this returns
+    // an error, and failed() is true.
     IoStatus write(const std::vector<Batch>& group);
 
-    // Nothing can be written until begin_generation() has succeeded. The owner then writes all there is; with
-    // end_generation() that takes the place of the old generation.
+    // If failed() is true, nothing can be written until begin_generation() has succeeded. The owner then
+    // writes all its records, and end_generation() replaces the old generation with them.
     bool failed() const { return failed_; }
     IoStatus begin_generation(std::uint64_t next_sequence);
     IoStatus end_generation();
     bool generation_open() const { return generation_open_; }
 
-    // Compaction. The next chunk of the oldest segment; nothing: there is none to be compacted, or an error.
+    // For compaction: returns the next chunk of the oldest segment, or nothing if there is no segment to
+    // compact or if `status` is an error.
     std::optional<CompactionChunk> read_oldest(std::size_t bytes, IoStatus& status);
-    // All current records of the oldest segment have been written again: it is removed.
+    // Removes the oldest segment, whose current records have all been written again.
     IoStatus drop_oldest();
 
-    std::uint64_t bytes() const;  // of all segments
+    // Size of all segments.
+    std::uint64_t bytes() const;
     const Manifest& manifest() const { return manifest_; }
     struct Counts {
-        std::uint64_t bytes = 0;             // written in frames
-        std::uint64_t segments_dropped = 0;  // by compaction
+        std::uint64_t bytes = 0;             // bytes of the frames written
+        std::uint64_t segments_dropped = 0;  // segments removed by compaction
     };
     const Counts& counts() const { return counts_; }
 
@@ -62,27 +66,27 @@
     struct OpenSegment {
         std::uint64_t number = 0;
         std::unique_ptr<File> file;
-        std::unique_ptr<Checksum> checksum;  // of its durable bytes
-        std::uint64_t durable_length = 0;    // synced
+        std::unique_ptr<Checksum> checksum;  // of the durable bytes
+        std::uint64_t durable_length = 0;    // number of synced bytes
     };
     IoStatus create_segment(std::uint64_t first_sequence);
     IoStatus replace_manifest(Manifest next);
     IoStatus append(const std::vector<Batch>& group);
     IoStatus seal_and_continue();
-    Manifest::Segment listed(const OpenSegment& segment, bool sealed) const;
+    Manifest::Segment manifest_entry(const OpenSegment& segment, bool sealed) const;
     void remove_if_possible(const std::string& name);
     void remove_unlisted();
 
     Environment& environment_;
     Options options_;
     Manifest manifest_;                          // as it is on disk
-    std::vector<Manifest::Segment> generation_;  // segments of the open one
-    OpenSegment segment_;                        // that is written to
-    std::uint64_t next_segment_ = 1;
+    std::vector<Manifest::Segment> generation_;  // segments of the open generation
+    OpenSegment segment_;                        // the segment that is written to
+    std::uint64_t next_segment_ = 1;             // number of the next segment
     std::uint64_t next_sequence_ = 1;
     bool failed_ = false;
     bool generation_open_ = false;
-    bool salvaged_ = false;  // the manifest on disk is of no use
+    bool salvaged_ = false;  // the manifest on disk is unusable
     CompactionReader compaction_;
     Counts counts_;
 };
--- a/tests/store/environment_test.cpp
+++ b/tests/store/environment_test.cpp
@@ -1,4 +1,5 @@
-// The store's folder on a real file system: errors are typed, descriptors and locks end with their owners.
+// Tests of the store's folder on a real file system: errors have a type and a text, and descriptors and locks
+// are released with their owners.
 #include "store/environment.hpp"
 
 #include <doctest/doctest.h>
@@ -19,7 +20,7 @@
     ~TemporaryFolder() { std::filesystem::remove_all(path); }
 };
 
-TEST_CASE("a lock has one owner at a time, and ends with it") {
+TEST_CASE("a folder lock has one owner at a time and is released with it") {
     TemporaryFolder folder;
     std::unique_ptr<Environment> first;
     std::unique_ptr<Environment> second;
@@ -33,7 +34,7 @@
     CHECK(second->lock(other).ok());
 }
 
-TEST_CASE("an error says what failed, on which file, and why") {
+TEST_CASE("the text of an error names the call, the file and the reason") {
     TemporaryFolder folder;
     std::unique_ptr<Environment> environment;
     REQUIRE(open_folder(folder.path, environment).ok());
@@ -44,7 +45,7 @@
     CHECK(IoStatus().text() == "well");
 }
 
-TEST_CASE("what was appended is read back, as far as the file goes") {
+TEST_CASE("appended bytes are read back, up to the end of the file") {
     TemporaryFolder folder;
     std::unique_ptr<Environment> environment;
     REQUIRE(open_folder(folder.path, environment).ok());
@@ -60,7 +61,7 @@
     CHECK(names == std::vector<std::string>{"name"});
 }
 
-TEST_CASE("a descriptor is closed by its last owner only") {
+TEST_CASE("a file descriptor is closed only by its last owner") {
     int number = ::open("/dev/null", O_RDONLY | O_CLOEXEC);
     REQUIRE(number >= 0);
     {
--- a/tests/store/index_test.cpp
+++ b/tests/store/index_test.cpp
@@ -1,4 +1,4 @@
-// The index in memory: its structures against plain ones, and expiry.
+// Tests of the index in memory: its data structures behave like standard containers, and records expire.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -12,10 +12,10 @@
 namespace indigovane::store {
 namespace {
 
-TEST_CASE("sessions' table: as a plain map, through splits, removals and snapshots") {
+TEST_CASE("session table: equal to a standard map through splits, removals and snapshots") {
     std::mt19937_64 random(3);
     SessionTable table;
-    std::unordered_map<std::uint64_t, std::uint64_t> model, then;
+    std::unordered_map<std::uint64_t, std::uint64_t> model, model_at_snapshot;
     SessionTable::Snapshot snapshot = table.snapshot();
     for (int step = 0; step < 200000; ++step) {
         std::uint64_t key = random() % 20000;
@@ -27,33 +27,33 @@
         }
         if (step == 100000) {
             snapshot = table.snapshot();
-            then = model;
+            model_at_snapshot = model;
         }
     }
     CHECK(table.size() == model.size());
     for (auto& [key, value] : model) REQUIRE(table.find(key)->value == value);
-    std::size_t seen = 0;
-    snapshot.each([&](const SessionTable::Entry& e) {  // as it was, whatever came after
-        ++seen;
-        REQUIRE(then.at(e.key) == e.value);
+    std::size_t entries_seen = 0;
+    snapshot.each([&](const SessionTable::Entry& entry) {  // unaffected by later changes
+        ++entries_seen;
+        REQUIRE(model_at_snapshot.at(entry.key) == entry.value);
     });
-    CHECK(seen == then.size());
+    CHECK(entries_seen == model_at_snapshot.size());
 }
 
-TEST_CASE("the ordered map: as a plain one, in order, and snapshots stay what they were") {
+TEST_CASE("ordered map: equal to a standard map, in order, and snapshots are unaffected by later changes") {
     std::mt19937_64 random(4);
     OrderedMap map;
-    std::map<std::string, std::string> model, then;
+    std::map<std::string, std::string> model, model_at_snapshot;
     OrderedMap::Snapshot snapshot;
-    auto all = [](const auto& m) {
-        std::map<std::string, std::string> out;
-        std::string last;
-        m.each([&](std::string_view key, const OrderedMap::Value& v) {
-            CHECK((out.empty() || last < key));
-            last = key;
-            out.emplace(key, v.bytes);
+    auto contents = [](const auto& ordered) {
+        std::map<std::string, std::string> copy;
+        std::string last_key;
+        ordered.each([&](std::string_view key, const OrderedMap::Value& value) {
+            CHECK((copy.empty() || last_key < key));
+            last_key = key;
+            copy.emplace(key, value.bytes);
         });
-        return out;
+        return copy;
     };
     for (int step = 0; step < 20000; ++step) {
         std::string key = "k" + std::to_string(random() % 700);
@@ -63,27 +63,27 @@
         } else {
             CHECK(map.erase(key) == (model.erase(key) > 0));
         }
-        if (step == 9000) snapshot = map.snapshot(), then = model;
+        if (step == 9000) snapshot = map.snapshot(), model_at_snapshot = model;
     }
-    CHECK(all(map) == model);
-    CHECK(all(snapshot) == then);
+    CHECK(contents(map) == model);
+    CHECK(contents(snapshot) == model_at_snapshot);
     CHECK(map.size() == model.size());
 }
 
-TEST_CASE("the wheel: each key is due once, in its second, over all levels and leaps of the clock") {
+TEST_CASE("timing wheel: each key is due once and on time, over all levels and leaps of the clock") {
     std::mt19937_64 random(5);
     TimingWheel wheel(1000);
     std::multimap<std::uint64_t, std::uint64_t> model;
     std::uint64_t now = 1000;
     for (int step = 0; step < 20000; ++step) {
-        std::uint64_t ahead = std::uint64_t(1) << random() % 27, at = now + 1 + random() % ahead;
-        wheel.add(std::uint64_t(step), at);
-        model.emplace(at, std::uint64_t(step));
+        std::uint64_t ahead = std::uint64_t(1) << random() % 27, due_s = now + 1 + random() % ahead;
+        wheel.add(std::uint64_t(step), due_s);
+        model.emplace(due_s, std::uint64_t(step));
         now += random() % 50;
         if (random() % 1000 == 0) now += 20'000'000;
         std::set<std::uint64_t> due, expected;
-        wheel.due(now, [&](std::uint64_t key, std::uint64_t when) {
-            REQUIRE(when <= now);
+        wheel.advance(now, [&](std::uint64_t key, std::uint64_t item_due_s) {
+            REQUIRE(item_due_s <= now);
             REQUIRE(due.insert(key).second);
         });
         while (!model.empty() && model.begin()->first <= now) {
@@ -95,16 +95,16 @@
     CHECK(wheel.size() == model.size());
 }
 
-// Fails where the 31 bits of an entry's time wrap: it would be forgotten at once, and its session's reads be
-// stale.
-TEST_CASE("a position retained beyond 2038 is retained until then, not forgotten at once") {
+// Guards against an overflow of the 31-bit expiry time of an entry: the position would be forgotten at once,
+// and reads of its session could be stale.
+TEST_CASE("a position that expires after 2038 is not forgotten at once") {
     Store store;
     store.put_position(1, 7, (std::uint64_t(1) << 31) * 1000 + 5000);
     store.expire(1'800'000'000'000);
     CHECK(store.position(1) == 7);
 }
 
-TEST_CASE("a million sessions that expire give their memory back") {
+TEST_CASE("the memory of 300000 expired sessions is released") {
     Store store(3);
     for (std::uint64_t i = 0; i < 300000; ++i) store.put_position(i, i, 100'000 + i % 1000);
     for (std::uint64_t i = 0; i < 10; ++i) store.put_position(i, i, 10'000'000);
--- a/tests/store/recorded_logs_test.cpp
+++ b/tests/store/recorded_logs_test.cpp
@@ -1,6 +1,7 @@
-// Characterization of the log: seeded histories with failing disks, power loss, flipped bytes, salvage and
-// compaction must leave, byte by byte, the files and findings that were recorded in
-// tests/corpus/recorded_logs.txt, as a running hash after every kHistoriesPerHash histories.
+// Guards against any change of the log's bytes on disk or of recovery's findings. Seeded histories with
+// failing disks, power loss, flipped bits, salvage and compaction must produce exactly the files and findings
+// that were recorded in tests/corpus/recorded_logs.txt, which holds a running hash after every
+// kHistoriesPerHash histories.
 #include <doctest/doctest.h>
 
 #include <cerrno>
@@ -12,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "support/store_rig.hpp"
+#include "support/store_harness.hpp"
 
 namespace indigovane::store {
 namespace {
@@ -26,17 +27,17 @@
 
     void run(std::uint64_t seed) {
         std::mt19937_64 random(seed);
-        History history(seed % 2 ? 1 + random() % 800 : 0, seed);
+        RandomHistory history(seed % 2 ? 1 + random() % 800 : 0, seed);
         if (seed % 3 == 0) {
             auto dice = std::make_shared<std::mt19937_64>(seed);
-            history.disk.fail = [dice](FaultEnvironment::Step, const std::string&) {
+            history.disk.inject_error = [dice](FaultEnvironment::Step, const std::string&) {
                 return (*dice)() % 23 == 0 ? ((*dice)() % 2 ? ENOSPC : EIO) : 0;
             };
         }
         history.run(200);
         add(history.disk);
         for (int crash = 0; crash < 4; ++crash) {
-            auto after = history.disk.crash([&](std::size_t n) { return std::size_t(random() % n); });
+            auto after = history.disk.after_crash([&](std::size_t n) { return std::size_t(random() % n); });
             if (crash % 2 && !flip_bit(*after, random)) continue;
             add_recovery(*after, false);
             add_recovery(*after, true);
@@ -50,7 +51,7 @@
     }
 
   private:
-    // Whether there was a file.
+    // Flips the lowest bit of a random byte in a random file. Returns whether there was a file.
     static bool flip_bit(FaultEnvironment& disk, std::mt19937_64& random) {
         auto files = disk.files();
         if (files.empty()) return false;
@@ -66,7 +67,7 @@
             add(name);
             add(bytes);
         }
-        add(std::to_string(disk.steps));
+        add(std::to_string(disk.step_count));
     }
     void add_recovery(FaultEnvironment& disk, bool salvage) {
         auto result = recover(disk, salvage, [&](Record&& record, std::uint64_t sequence) {
@@ -82,7 +83,7 @@
     std::uint64_t hash_ = 0;
 };
 
-TEST_CASE("recorded logs: seeded histories leave the recorded files and findings, byte by byte") {
+TEST_CASE("recorded logs: seeded histories give the recorded files and findings, byte for byte") {
     std::ifstream file(RECORDED_LOGS);
     std::vector<std::string> recorded{std::istream_iterator<std::string>(file), {}};
     CHECK(recorded.size() == kHistories / kHistoriesPerHash);
--- a/tests/store/recovery_test.cpp
+++ b/tests/store/recovery_test.cpp
@@ -1,4 +1,4 @@
-// Recovery: from every crash point, every cut and flip; refusals and salvage.
+// Tests of recovery: after a crash at every point, after damage of every byte, refusals and salvage.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -9,65 +9,66 @@
 #include <set>
 
 #include "store/thread.hpp"
-#include "support/store_rig.hpp"
+#include "support/store_harness.hpp"
 
 namespace indigovane::store {
 namespace {
 
-// Small histories: each crash point with each state that the disk may then be in.
+// Small histories: every crash point with every state that the disk may be in after that crash.
 TEST_CASE(
-    "every crash point, every order of unsynced writes: nothing strict lost, nothing invented, order "
-    "retained") {
+    "recovery at every crash point: no durable record is lost, none is invented, and the order is kept") {
     std::uint64_t states = 0;
-    for (std::uint64_t stop = 1; stop < 60; ++stop) {
-        History history(stop, 1);
+    for (std::uint64_t power_loss_step = 1; power_loss_step < 60; ++power_loss_step) {
+        RandomHistory history(power_loss_step, 1);
         history.run(14);
         std::vector<std::size_t> path;
         do {
-            auto after = history.disk.crash(enumerate(path));
+            auto after = history.disk.after_crash(choose_along(path));
             history.check(*after);
             ++states;
-        } while (next(path) && states < 200000);
-        if (!history.disk.out_of_power()) break;
+        } while (advance_path(path) && states < 200000);
+        if (!history.disk.has_lost_power()) break;
     }
     CHECK(states > 200);
 }
 
 TEST_CASE(
-    "long histories: seeded crashes, crashes in recovery after them, compaction, failing disks on the way") {
+    "recovery after seeded crashes in long histories with compaction and failing disks, and after crashes "
+    "during recovery") {
     for (std::uint64_t seed = 1; seed <= 60; ++seed) {
         std::mt19937_64 random(seed);
-        History history(1 + random() % 400, seed);
+        RandomHistory history(1 + random() % 400, seed);
         if (seed % 3 == 0) {
-            // A disk that refuses now and then: full, or broken in writes and syncs.
+            // A disk that fails now and then: it is full, or writes and syncs fail.
             auto dice = std::make_shared<std::mt19937_64>(seed);
-            history.disk.fail = [dice](FaultEnvironment::Step, const std::string&) {
+            history.disk.inject_error = [dice](FaultEnvironment::Step, const std::string&) {
                 return (*dice)() % 23 == 0 ? ((*dice)() % 2 ? ENOSPC : EIO) : 0;
             };
         }
         history.run(150);
         for (int i = 0; i < 20; ++i) {
             auto choose = [&](std::size_t n) { return std::size_t(random() % n); };
-            auto after = history.disk.crash(choose);
+            auto after = history.disk.after_crash(choose);
             history.check(*after);
-            // The next start is cut off as well, at any of its steps; and the one after that.
-            after->stop_at = 1 + random() % 8;
+            // The power is also lost during the next start, at any of its steps, and during the start after
+            // that.
+            after->power_loss_step = 1 + random() % 8;
             { StoreHarness cut(*after); }
-            auto later = after->crash(choose);
+            auto later = after->after_crash(choose);
             history.check(*later);
-            later->stop_at = 1 + random() % 8;
+            later->power_loss_step = 1 + random() % 8;
             { StoreHarness cut(*later); }
-            history.check(*later->crash(choose));
+            history.check(*later->after_crash(choose));
         }
     }
 }
 
 TEST_CASE(
-    "refused loudly: a missing segment, another store's, a newer version, no manifest, a store that is "
-    "open") {
+    "recovery refuses a missing segment, a segment of another store, a newer version, a missing manifest and "
+    "an open store") {
     FaultEnvironment disk;
     {
-        StoreHarness harness(disk, 0, small_options());
+        StoreHarness harness(disk, 0, small_segment_options());
         for (int i = 0; i < 60; ++i)
             harness.store.put(Space::hosts, "h" + std::to_string(i), "v"), harness.process();
     }
@@ -81,7 +82,7 @@
         damage(copy);
         auto before = copy.files();
         RecoveryResult r = recover(copy, false, [](Record&&, std::uint64_t) {});
-        CHECK(copy.files() == before);  // and nothing was changed
+        CHECK(copy.files() == before);  // recovery has changed nothing
         return r;
     };
     auto r = outcome([&](auto& d) { d.remove_file(segment); });
@@ -94,7 +95,7 @@
     std::size_t damaged_at = 0;
     REQUIRE(decode(files["MANIFEST"], m, damaged_at) == DecodeResult::ok);
     Manifest other = m;
-    ++other.store;
+    ++other.store_number;
     r = outcome([&](auto& d) { d.set_file("MANIFEST", encode(other)); });
     CHECK(r.outcome == RecoveryResult::Outcome::damaged);
     CHECK(r.findings[0].what.find("another store") != std::string::npos);
@@ -104,7 +105,7 @@
     newer += encode_u64(checksum(newer));
     CHECK(outcome([&](auto& d) { d.set_file("MANIFEST", newer); }).outcome ==
           RecoveryResult::Outcome::newer_version);
-    // Salvage keeps what is provable and says what it dropped.
+    // Salvage retains the provably valid records and reports what it dropped.
     FaultEnvironment copy;
     for (auto& [name, bytes] : files) copy.set_file(name, bytes);
     copy.remove_file(segment);
@@ -124,13 +125,13 @@
     CHECK(error.text == "another process has it open");
 }
 
-// Found by fuzzing: a salvaged store was sealed as it was, so that the next start refused it again. What is
-// retained is written anew.
-TEST_CASE("after a salvage the store is whole, and holds what was retained") {
-    for (int how = 0; how < 3; ++how) {
+// Guards against a salvaged store that the next start refuses again. Fuzzing found this: the damaged segments
+// were sealed as they were. Now the retained records are written anew.
+TEST_CASE("after a salvage the store is undamaged and holds the retained records") {
+    for (int damage = 0; damage < 3; ++damage) {
         auto folder = std::make_unique<FaultEnvironment>();
         {
-            StoreHarness harness(*folder, 0, small_options());
+            StoreHarness harness(*folder, 0, small_segment_options());
             for (int i = 0; i < 60; ++i)
                 harness.store.put(Space::hosts, "h" + std::to_string(i), "v"), harness.process();
         }
@@ -138,9 +139,9 @@
         auto first = std::find_if(files.begin(), files.end(),
                                   [](auto& f) { return segment_number(f.first).has_value(); });
         auto last = std::prev(files.end());
-        if (how == 0) folder->set_file(first->first, first->second.substr(0, 200));
-        if (how == 1) folder->set_file("MANIFEST", "nonsense");
-        if (how == 2) {
+        if (damage == 0) folder->set_file(first->first, first->second.substr(0, 200));
+        if (damage == 1) folder->set_file("MANIFEST", "nonsense");
+        if (damage == 2) {
             std::string malformed = last->second;
             malformed[kSegmentHeaderBytes + 60] = char(~malformed[kSegmentHeaderBytes + 60]);
             folder->set_file(last->first, malformed);
@@ -156,20 +157,20 @@
         REQUIRE_MESSAGE(thread, error.text);
         CHECK(found.salvaged);
         std::size_t retained = thread->store().size();
-        CHECK(retained >= (how == 1 ? 60 : 20));
+        CHECK(retained >= (damage == 1 ? 60 : 20));
         thread->store().put(Space::operators, "after", "it");
         thread->close();
-        auto after = disk->crash([](std::size_t) { return std::size_t(0); });
+        auto after = disk->after_crash([](std::size_t) { return std::size_t(0); });
         thread.reset();
         StoreHarness harness(*after);
-        CHECK(harness.found.outcome == RecoveryResult::Outcome::complete);
+        CHECK(harness.recovery.outcome == RecoveryResult::Outcome::complete);
         CHECK(harness.store.size() == retained + 1);
     }
 }
 
-// A copy takes each file at another moment.
-TEST_CASE("a store copied while it is open is a state that there was, or refused") {
-    int refused = 0, good = 0;
+// A copy of an open store reads each file at a different time.
+TEST_CASE("a copy of an open store recovers to an earlier state or is refused") {
+    int refused = 0, recovered = 0;
     for (std::uint64_t seed = 1; seed <= 30; ++seed) {
         std::mt19937_64 random(seed);
         FaultEnvironment disk;
@@ -197,23 +198,23 @@
                 ++refused;
                 continue;
             }
-            ++good;
+            ++recovered;
             REQUIRE(states.count(StoreHarness::state_of(store)));
         }
     }
     CHECK(refused > 0);
-    CHECK(good > 0);
+    CHECK(recovered > 0);
 }
 
-// A store of some twenty kilobytes, each byte of it; `make torture` does the same to some megabytes.
-TEST_CASE("every byte cut, flipped and zeroed: an earlier state or a refusal, never wrong data") {
-    Specimen specimen(20, 300, 4096);
-    auto result = specimen.torture(0, 1);
+// Damages each byte of a store of about 20 kB. `make torture` does the same with some megabytes.
+TEST_CASE("recovery of a store truncated, flipped or zeroed at any byte never gives wrong data") {
+    DamageTest damage_test(20, 300, 4096);
+    auto result = damage_test.run(0, 1);
     CHECK(result.wrong == 0);
     CHECK(result.refused > 0);
     CHECK(result.earlier > 0);
     MESSAGE(result.tried << " damaged stores: " << result.refused << " refused, " << result.earlier
-                         << " at an earlier state, " << result.whole << " unharmed");
+                         << " at an earlier state, " << result.complete << " unharmed");
 }
 
 }  // namespace
--- a/tests/store/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -1,4 +1,4 @@
-// The store with its log: starts, compaction, failing disks, the thread.
+// Tests of the store with its log: starts, compaction, failing disks and the thread.
 #include <doctest/doctest.h>
 
 #include <cerrno>
@@ -8,12 +8,12 @@
 #include <thread>
 
 #include "store/thread.hpp"
-#include "support/store_rig.hpp"
+#include "support/store_harness.hpp"
 
 namespace indigovane::store {
 namespace {
 
-TEST_CASE("what was put is there after a start; what has expired is not; removed stays removed") {
+TEST_CASE("after a start, put records exist, and expired or removed ones do not") {
     FaultEnvironment disk;
     {
         StoreHarness harness(disk);
@@ -27,7 +27,7 @@
         harness.process();
     }
     StoreHarness again(disk, 3'000);
-    CHECK(again.found.outcome == RecoveryResult::Outcome::complete);
+    CHECK(again.recovery.outcome == RecoveryResult::Outcome::complete);
     CHECK(again.store.get(Space::hosts, "s-1") == "out");
     CHECK_FALSE(again.store.get(Space::hosts, "s-2"));
     CHECK(again.store.position(7) == 70);
@@ -38,11 +38,12 @@
     CHECK_THROWS_AS(again.store.put(Space::hosts, std::string(2000, 'k'), "v"), std::length_error);
 }
 
-TEST_CASE("compaction keeps the log within its bound, loses nothing, and survives starts between its steps") {
+TEST_CASE(
+    "compaction keeps the log within its bound and loses nothing, also with restarts between its steps") {
     FaultEnvironment disk;
     std::map<std::string, std::string> model;
     std::mt19937_64 random(6);
-    auto options = small_options();
+    auto options = small_segment_options();
     for (int start = 0; start < 6; ++start) {
         StoreHarness harness(disk, 0, options);
         REQUIRE(harness.state() == model);
@@ -66,14 +67,15 @@
 }
 
 TEST_CASE(
-    "a full or failing disk: served from memory, said once, written anew when it can be, strict only then") {
+    "a full disk: the store serves from memory, and changes become durable once the disk can be written "
+    "again") {
     FaultEnvironment disk;
     StoreHarness harness(disk);
     harness.store.put(Space::hosts, "a", "1", Durability::strict);
     harness.process();
     CHECK(harness.store.durable() == harness.store.ticket());
     bool full = true;
-    disk.fail = [&](FaultEnvironment::Step step, const std::string&) {
+    disk.inject_error = [&](FaultEnvironment::Step step, const std::string&) {
         return full && step != FaultEnvironment::Step::remove ? ENOSPC : 0;
     };
     std::uint64_t ticket = harness.store.put(Space::hosts, "b", "2", Durability::strict);
@@ -85,7 +87,7 @@
     harness.advance(3000);
     CHECK(harness.store.failing());
     {
-        StoreHarness found(*disk.kill());  // the old state, whole: not a mix
+        StoreHarness found(*disk.after_kill());  // the complete old state, no mixture
         CHECK(found.state() == std::map<std::string, std::string>{{"hosts/a", "1"}});
     }
     full = false;
@@ -94,29 +96,32 @@
     CHECK(harness.store.durable() >= ticket);
     harness.store.put(Space::hosts, "c", "3");
     harness.process();
-    StoreHarness found(*disk.kill());
+    StoreHarness found(*disk.after_kill());
     CHECK(found.state() == std::map<std::string, std::string>{{"hosts/b", "2"}, {"hosts/c", "3"}});
 }
 
-// Guards against trusting a second sync: it succeeds, and the pages of the first are gone.
-TEST_CASE("after a failed sync the segment is never trusted again") {
+// Guards against trusting a second sync after a failed one: it succeeds although the pages of the first are
+// lost.
+TEST_CASE("after a failed sync the segment is not written to again, and no durable record is lost") {
     FaultEnvironment disk;
     StoreHarness harness(disk);
     harness.store.put(Space::hosts, "a", "1", Durability::strict);
     harness.process();
     int failures = 1;
-    disk.fail = [&](FaultEnvironment::Step step, const std::string&) {
+    disk.inject_error = [&](FaultEnvironment::Step step, const std::string&) {
         return step == FaultEnvironment::Step::sync && failures-- > 0 ? EIO : 0;
     };
     std::uint64_t ticket = harness.store.put(Space::hosts, "b", "2", Durability::strict);
     harness.process();
-    CHECK(harness.store.durable() >= ticket);                             // in another segment
-    auto after = disk.crash([](std::size_t) { return std::size_t(0); });  // all that was not synced is lost
+    CHECK(harness.store.durable() >= ticket);                                   // in another segment
+    auto after = disk.after_crash([](std::size_t) { return std::size_t(0); });  // everything unsynced is lost
     StoreHarness found(*after);
     CHECK(found.state() == std::map<std::string, std::string>{{"hosts/a", "1"}, {"hosts/b", "2"}});
 }
 
-TEST_CASE("on a thread: strict records are acknowledged of, the rest follows, closing leaves all on disk") {
+TEST_CASE(
+    "store thread: strict records become durable without closing, and after closing all records are on "
+    "disk") {
     auto folder = std::make_unique<FaultEnvironment>();
     FaultEnvironment* disk = folder.get();
     RecoveryResult found;
@@ -138,7 +143,7 @@
         CHECK(thread->store().durable() >= ticket);
         thread->store().put(Space::operators, "last", "one");
         thread->close();
-        files = disk->crash([](std::size_t) { return std::size_t(0); })->files();
+        files = disk->after_crash([](std::size_t) { return std::size_t(0); })->files();
     }
     FaultEnvironment after;
     for (auto& [name, bytes] : files) after.set_file(name, bytes);
@@ -146,9 +151,9 @@
     CHECK(harness.store.size() == 5002);
 }
 
-// Found by a benchmark that recovered fewer records than were written: the order that was in the thread's
-// hand when a group reached 4 MiB was lost, and with it all after it.
-TEST_CASE("on a thread: more than a group holds, at once, is all on disk in the end") {
+// Guards against lost write requests. A benchmark recovered fewer records than were written: the request that
+// the thread had taken from the queue when a group reached 4 MiB was lost, and so were all later ones.
+TEST_CASE("store thread: requests that exceed the size of a group are all on disk after closing") {
     auto folder = std::make_unique<FaultEnvironment>();
     FaultEnvironment* disk = folder.get();
     RecoveryResult found;
@@ -159,7 +164,7 @@
         thread->store().put(Space::hosts, "h" + std::to_string(i), std::string(1000, char('a' + i % 26)));
     thread->close();
     CHECK_FALSE(thread->store().failing());
-    auto after = disk->kill();
+    auto after = disk->after_kill();
     thread.reset();
     StoreHarness harness(*after);
     CHECK(harness.store.size() == 12000);
--- a/tests/store/store_torture.cpp
+++ b/tests/store/store_torture.cpp
@@ -1,5 +1,5 @@
-// Every byte of a store of some megabytes cut at, flipped and zeroed, on all cores; prints what became of it.
-// Not part of CI: `make torture`. Exits with 1 if any of them gave wrong data.
+// Truncates, flips and zeroes every byte of a store of some megabytes on all cores, and prints the results of
+// recovery. Not part of CI; run it with `make torture`. Exits with 1 if any recovery gave wrong data.
 #define DOCTEST_CONFIG_IMPLEMENT
 #include <atomic>
 #include <chrono>
@@ -7,33 +7,33 @@
 #include <cstdlib>
 #include <thread>
 
-#include "support/store_rig.hpp"
+#include "support/store_harness.hpp"
 
 int main(int argc, char** argv) {
     using namespace indigovane::store;
     int batches = argc > 1 ? std::atoi(argv[1]) : 500;
     std::size_t threads = std::max(1u, std::thread::hardware_concurrency());
     auto began = std::chrono::steady_clock::now();
-    Specimen specimen(batches, 4000, 64 * 1024);
+    DamageTest damage_test(batches, 4000, 64 * 1024);
     std::uint64_t bytes = 0;
-    for (auto& [name, content] : specimen.files) bytes += content.size();
-    std::printf("%zu files, %llu bytes, %zu threads\n", specimen.files.size(),
+    for (auto& [name, content] : damage_test.files) bytes += content.size();
+    std::printf("%zu files, %llu bytes, %zu threads\n", damage_test.files.size(),
                 static_cast<unsigned long long>(bytes), threads);
-    std::vector<Specimen::AttemptResult> results(threads);
-    std::vector<std::thread> all;
+    std::vector<DamageTest::Counts> results(threads);
+    std::vector<std::thread> workers;
     for (std::size_t i = 0; i < threads; ++i)
-        all.emplace_back([&, i] { results[i] = specimen.torture(i, threads); });
-    for (auto& t : all) t.join();
-    Specimen::AttemptResult sum;
-    for (auto& r : results) {
-        sum.tried += r.tried, sum.refused += r.refused, sum.earlier += r.earlier;
-        sum.whole += r.whole, sum.wrong += r.wrong;
+        workers.emplace_back([&, i] { results[i] = damage_test.run(i, threads); });
+    for (auto& worker : workers) worker.join();
+    DamageTest::Counts sum;
+    for (auto& result : results) {
+        sum.tried += result.tried, sum.refused += result.refused, sum.earlier += result.earlier;
+        sum.complete += result.complete, sum.wrong += result.wrong;
     }
     std::printf(
         "%llu damaged stores in %.0f s: %llu refused, %llu at an earlier state, %llu unharmed, %llu wrong\n",
         static_cast<unsigned long long>(sum.tried),
         std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count(),
         static_cast<unsigned long long>(sum.refused), static_cast<unsigned long long>(sum.earlier),
-        static_cast<unsigned long long>(sum.whole), static_cast<unsigned long long>(sum.wrong));
+        static_cast<unsigned long long>(sum.complete), static_cast<unsigned long long>(sum.wrong));
     return sum.wrong > 0 ? 1 : 0;
 }
