--- a/src/program/persistent_state.cpp
+++ b/src/program/persistent_state.cpp
@@ -104,11 +104,11 @@
         store::StoreThread::open(std::move(environment), open_options(), now_ms(), wake_loop(), found, error);
     for (const store::Finding& finding : found.findings)
         logger_.log(
-            Level::warning, "store", finding.what,
+            Level::warning, "store", finding.description,
             {{"file", config_.folder + "/" + finding.file}, {"offset", std::to_string(finding.offset)}});
     if (thread_) return start(found);
     bool locked = found.outcome == store::RecoveryResult::Outcome::no_store &&
-                  error.kind == store::OpenError::Kind::locked;
+                  error.reason == store::OpenError::Reason::locked;
     if (final_attempt || !locked) throw ConfigError(config_.folder, error.text);
     // Until this process has it, what is acknowledged here is in no store: the next start must know.
     crash_marker_.write(CrashMarker::beyond_lease);
@@ -150,7 +150,7 @@
 
 void PersistentState::log_start(const store::RecoveryResult& found, const store::Positions::Start& start) {
     std::int64_t floor_age_ms = (std::int64_t(now_us()) - std::int64_t(start.floor.floor_us)) / 1000;
-    logger_.log(Level::notice, "store", start.floor.why,
+    logger_.log(Level::notice, "store", start.floor.reason,
                 {{"records", std::to_string(found.records)},
                  {"sessions", std::to_string(start.commits.size())},
                  {"in_hand", std::to_string(start.open_writes)},
--- a/src/store/position_floor.cpp
+++ b/src/store/position_floor.cpp
@@ -14,8 +14,9 @@
     present_us += slack_us;
     // Older positions have been forgotten: a session that wrote before then looks like one that never wrote.
     std::uint64_t forgotten_us = now_us > retention_us ? now_us - retention_us : 0;
-    auto floor = [&](PositionFloor::Level level, std::uint64_t floor_us, const char* why) {
-        return PositionFloor{level, std::max({floor_us, forgotten_us, previous.floor_us}), present_us, why};
+    auto floor = [&](PositionFloor::Level level, std::uint64_t floor_us, const char* reason) {
+        return PositionFloor{level, std::max({floor_us, forgotten_us, previous.floor_us}), present_us,
+                             reason};
     };
     using Level = PositionFloor::Level;
     if (!previous.recovered) return floor(Level::present, present_us, "there is no store yet");
--- a/src/store/position_floor.hpp
+++ b/src/store/position_floor.hpp
@@ -42,7 +42,7 @@
     } level = Level::present;
     std::uint64_t floor_us = 0;       // for all sessions
     std::uint64_t open_write_us = 0;  // for sessions with an open write at the end
-    std::string why;                  // the reason for the level, for the log
+    std::string reason;               // why the level was chosen, for the log
 };
 
 // `slack_us`: how far a host's clock may be ahead of this machine's. `retention_us`: how long positions are
--- a/src/store/recovery.cpp
+++ b/src/store/recovery.cpp
@@ -50,9 +50,9 @@
         return false;
     }
     // Records damage. Ends the recovery unless it is a salvage.
-    bool report_damage(std::string file, std::uint64_t offset, std::string what) {
-        if (!salvage_) return stop_with(Outcome::damaged, {std::move(file), offset, std::move(what)});
-        result_.findings.push_back({std::move(file), offset, std::move(what)});
+    bool report_damage(std::string file, std::uint64_t offset, std::string description) {
+        if (!salvage_) return stop_with(Outcome::damaged, {std::move(file), offset, std::move(description)});
+        result_.findings.push_back({std::move(file), offset, std::move(description)});
         result_.salvaged = true;
         return true;
     }
--- a/src/store/recovery.hpp
+++ b/src/store/recovery.hpp
@@ -15,9 +15,9 @@
 struct Finding {
     std::string file;
     std::uint64_t offset = 0;  // in bytes
-    std::string what;          // description of the fault
+    std::string description;
     // "FILE:OFFSET: DESCRIPTION".
-    std::string text() const { return file + ":" + std::to_string(offset) + ": " + what; }
+    std::string text() const { return file + ":" + std::to_string(offset) + ": " + description; }
 };
 
 struct RecoveryResult {
--- a/src/store/thread.cpp
+++ b/src/store/thread.cpp
@@ -64,8 +64,8 @@
     std::unique_ptr<StoreThread> self(new StoreThread(std::move(environment), options, std::move(wake)));
     if (IoStatus status = self->environment_->lock(self->lock_); !status.ok()) {
         error = status.is(std::errc::operation_would_block)
-                    ? OpenError{OpenError::Kind::locked, "another process has it open"}
-                    : OpenError{OpenError::Kind::unusable, status.text()};
+                    ? OpenError{OpenError::Reason::locked, "another process has it open"}
+                    : OpenError{OpenError::Reason::unusable, status.text()};
         return nullptr;
     }
     recovery = recover_frames(*self->environment_, options.salvage,
@@ -73,13 +73,13 @@
                                   self->store_.load(records, first_sequence);
                               });
     if (!recovery.usable()) {
-        error.kind = OpenError::Kind::unusable;
+        error.reason = OpenError::Reason::unusable;
         error.text = recovery.findings.empty() ? recovery.status.text() : recovery.findings.back().text();
         return nullptr;
     }
     self->store_.begin(recovery, now_ms);
     if (IoStatus status = self->log_worker_.begin(recovery, options.new_store_number); !status.ok()) {
-        error = {OpenError::Kind::unusable, status.text()};
+        error = {OpenError::Reason::unusable, status.text()};
         return nullptr;
     }
     if (recovery.salvaged) self->store_.rewrite();
--- a/src/store/thread.hpp
+++ b/src/store/thread.hpp
@@ -27,11 +27,11 @@
 
 // The reason why a store can't be used.
 struct OpenError {
-    enum class Kind : std::uint8_t {
+    enum class Reason : std::uint8_t {
         none,
         locked,    // another process has it open
         unusable,  // damaged, of a newer version or unreadable, or its log can't be started
-    } kind = Kind::none;
+    } reason = Reason::none;
     std::string text;
 };
 
--- a/tests/store/recovery_test.cpp
+++ b/tests/store/recovery_test.cpp
@@ -98,7 +98,7 @@
     ++other.store_number;
     r = outcome([&](auto& d) { d.set_file("MANIFEST", encode(other)); });
     CHECK(r.outcome == RecoveryResult::Outcome::damaged);
-    CHECK(r.findings[0].what.find("another store") != std::string::npos);
+    CHECK(r.findings[0].description.find("another store") != std::string::npos);
     std::string newer = files["MANIFEST"];
     newer[8] = 9;
     newer.resize(newer.size() - 8);
