--- a/src/ownership/lease_node.hpp
+++ b/src/ownership/lease_node.hpp
@@ -70,7 +70,7 @@
     bool is_voter_;
     std::size_t standby_count_;
     std::set<LeaseId> leases_;
-    std::vector<NodeId> alive_;  // ascending
+    std::vector<NodeId> alive_;  // in ascending order
 };
 
 }  // namespace indigovane::ownership
--- a/src/store/fault_environment.cpp
+++ b/src/store/fault_environment.cpp
@@ -126,16 +126,16 @@
 
 // Each unsynced write is lost, complete, its first half, or its second half with zeros before it.
 std::string FaultEnvironment::contents_after_crash(const Node& node, const Choose& choose) {
-    enum Fate : std::size_t { lost, complete, first_half, second_half, fates };
+    enum WriteOutcome : std::size_t { lost, complete, first_half, second_half, outcome_count };
     std::string contents = node.synced;
     for (const Write& write : node.unsynced) {
-        std::size_t fate = choose(fates);
-        if (fate == lost) continue;
+        std::size_t outcome = choose(outcome_count);
+        if (outcome == lost) continue;
         auto offset = std::size_t(write.offset);
         std::string part = write.bytes;
         std::size_t half = part.size() / 2;
-        if (fate == first_half) part.resize(half);
-        if (fate == second_half) std::fill_n(part.begin(), half, '\0');
+        if (outcome == first_half) part.resize(half);
+        if (outcome == second_half) std::fill_n(part.begin(), half, '\0');
         std::size_t end = offset + part.size();
         if (contents.size() < end) contents.resize(end, '\0');
         contents.replace(offset, part.size(), part);
--- a/src/store/log_tail.hpp
+++ b/src/store/log_tail.hpp
@@ -12,9 +12,8 @@
 
 enum class TailState : std::uint8_t {
     complete,  // the segment consists of complete frames
-    torn,     // the remaining bytes were never known to be on disk and so never acknowledged: they may be cut
-              // off
-    damaged,  // synced bytes differ from what was written
+    torn,      // the remaining bytes were never known to be on disk, so never acknowledged: cut them off
+    damaged,   // synced bytes differ from what was written
 };
 
 // Classifies the tail of an unsealed segment. `valid_length`: end of the complete frames that start at the
--- a/src/store/posix_environment.cpp
+++ b/src/store/posix_environment.cpp
@@ -142,7 +142,7 @@
 }  // namespace
 
 IoStatus open_folder(const std::string& path, std::unique_ptr<Environment>& environment) {
-    if (::mkdir(path.c_str(), kFolderMode) < 0 && errno != EEXIST) return failure("make", path);
+    if (::mkdir(path.c_str(), kFolderMode) < 0 && errno != EEXIST) return failure("create", path);
     FileDescriptor folder(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
     if (!folder.valid()) return failure("open", path);
     environment = std::make_unique<PosixEnvironment>(std::move(folder));
@@ -153,7 +153,7 @@
     FolderCheck check;
     struct stat status {};
     if (::stat(path.c_str(), &status) < 0) {
-        check.status = failure("look at", path);
+        check.status = failure("stat", path);
         return check;
     }
     if (!S_ISDIR(status.st_mode)) {
@@ -163,7 +163,7 @@
     if (status.st_uid != ::geteuid())
         check.status = {EPERM, path + " belongs to another user"};
     else if (::access(path.c_str(), R_OK | W_OK | X_OK) < 0)
-        check.status = failure("write to", path);
+        check.status = failure("access", path);
     struct statfs file_system {};
     if (::statfs(path.c_str(), &file_system) == 0) {
         std::uint64_t type = std::uint64_t(file_system.f_type) & 0xffffffffu;
--- a/src/store/recovery.hpp
+++ b/src/store/recovery.hpp
@@ -22,10 +22,10 @@
 
 struct RecoveryResult {
     enum class Outcome : std::uint8_t {
-        no_store,   // the folder holds no store
-        complete,   // everything that was written is intact
-        torn_tail,  // the end of the last segment was never acknowledged and is left out
-        damaged,    // synced bytes differ from what was written: the store must not be used unless salvaged
+        no_store,       // the folder holds no store
+        complete,       // everything that was written is intact
+        torn_tail,      // the end of the last segment was never acknowledged and is left out
+        damaged,        // synced bytes differ from what was written: unusable unless salvaged
         newer_version,  // the format version is newer than this program knows
         io_error,       // the files can't be read: see `status`
     } outcome = Outcome::no_store;
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -66,8 +66,8 @@
     if (record.space == Space::positions) {
         auto session = parse_position_key(record.key);
         const Position* position = session ? sessions_.find(*session) : nullptr;
-        // Only 32 bits of the sequence number are retained, so another record may match by chance. It then
-        // has the same value, and writing it again does no harm.
+        // Only 32 bits of the sequence number are retained, so an older record may match by chance. It counts
+        // only if it also has the same value; writing that once more does no harm.
         return position && position->sequence == std::uint32_t(sequence) &&
                encode_u64(position->value) == record.value;
     }
--- a/tests/store/recorded_logs_test.cpp
+++ b/tests/store/recorded_logs_test.cpp
@@ -29,9 +29,9 @@
         std::mt19937_64 random(seed);
         RandomHistory history(seed % 2 ? 1 + random() % 800 : 0, seed);
         if (seed % 3 == 0) {
-            auto dice = std::make_shared<std::mt19937_64>(seed);
-            history.disk.inject_error = [dice](FaultEnvironment::Step, const std::string&) {
-                return (*dice)() % 23 == 0 ? ((*dice)() % 2 ? ENOSPC : EIO) : 0;
+            auto fault_random = std::make_shared<std::mt19937_64>(seed);
+            history.disk.inject_error = [fault_random](FaultEnvironment::Step, const std::string&) {
+                return (*fault_random)() % 23 == 0 ? ((*fault_random)() % 2 ? ENOSPC : EIO) : 0;
             };
         }
         history.run(200);
--- a/tests/store/recovery_test.cpp
+++ b/tests/store/recovery_test.cpp
@@ -40,9 +40,9 @@
         RandomHistory history(1 + random() % 400, seed);
         if (seed % 3 == 0) {
             // A disk that fails now and then: it is full, or writes and syncs fail.
-            auto dice = std::make_shared<std::mt19937_64>(seed);
-            history.disk.inject_error = [dice](FaultEnvironment::Step, const std::string&) {
-                return (*dice)() % 23 == 0 ? ((*dice)() % 2 ? ENOSPC : EIO) : 0;
+            auto fault_random = std::make_shared<std::mt19937_64>(seed);
+            history.disk.inject_error = [fault_random](FaultEnvironment::Step, const std::string&) {
+                return (*fault_random)() % 23 == 0 ? ((*fault_random)() % 2 ? ENOSPC : EIO) : 0;
             };
         }
         history.run(150);
@@ -53,11 +53,11 @@
             // The power is also lost during the next start, at any of its steps, and during the start after
             // that.
             after->power_loss_step = 1 + random() % 8;
-            { StoreHarness cut(*after); }
+            { StoreHarness interrupted(*after); }
             auto later = after->after_crash(choose);
             history.check(*later);
             later->power_loss_step = 1 + random() % 8;
-            { StoreHarness cut(*later); }
+            { StoreHarness interrupted(*later); }
             history.check(*later->after_crash(choose));
         }
     }
@@ -73,38 +73,42 @@
             harness.store.put(Space::hosts, "h" + std::to_string(i), "v"), harness.process();
     }
     auto files = disk.files();
-    auto segment = std::find_if(files.begin(), files.end(), [](auto& f) {
-                       return segment_number(f.first).has_value();
+    auto segment = std::find_if(files.begin(), files.end(), [](auto& file) {
+                       return segment_number(file.first).has_value();
                    })->first;
-    auto outcome = [&](const std::function<void(FaultEnvironment&)>& damage) {
+    auto recover_damaged_copy = [&](const std::function<void(FaultEnvironment&)>& damage) {
         FaultEnvironment copy;
         for (auto& [name, bytes] : files) copy.set_file(name, bytes);
         damage(copy);
         auto before = copy.files();
-        RecoveryResult r = recover(copy, false, [](Record&&, std::uint64_t) {});
+        RecoveryResult result = recover(copy, false, [](Record&&, std::uint64_t) {});
         CHECK(copy.files() == before);  // recovery has changed nothing
-        return r;
+        return result;
     };
-    auto r = outcome([&](auto& d) { d.remove_file(segment); });
-    CHECK(r.outcome == RecoveryResult::Outcome::damaged);
-    CHECK(r.findings[0].file == segment);
-    CHECK(outcome([&](auto& d) { d.remove_file("MANIFEST"); }).outcome == RecoveryResult::Outcome::damaged);
-    CHECK(outcome([&](auto& d) { d.set_file("MANIFEST", "nonsense"); }).outcome ==
+    auto result = recover_damaged_copy([&](auto& damaged_disk) { damaged_disk.remove_file(segment); });
+    CHECK(result.outcome == RecoveryResult::Outcome::damaged);
+    CHECK(result.findings[0].file == segment);
+    CHECK(recover_damaged_copy([&](auto& damaged_disk) { damaged_disk.remove_file("MANIFEST"); }).outcome ==
           RecoveryResult::Outcome::damaged);
-    Manifest m;
+    CHECK(recover_damaged_copy([&](auto& damaged_disk) {
+              damaged_disk.set_file("MANIFEST", "nonsense");
+          }).outcome == RecoveryResult::Outcome::damaged);
+    Manifest manifest;
     std::size_t damaged_at = 0;
-    REQUIRE(decode(files["MANIFEST"], m, damaged_at) == DecodeResult::ok);
-    Manifest other = m;
-    ++other.store_number;
-    r = outcome([&](auto& d) { d.set_file("MANIFEST", encode(other)); });
-    CHECK(r.outcome == RecoveryResult::Outcome::damaged);
-    CHECK(r.findings[0].description.find("another store") != std::string::npos);
+    REQUIRE(decode(files["MANIFEST"], manifest, damaged_at) == DecodeResult::ok);
+    Manifest other_manifest = manifest;
+    ++other_manifest.store_number;
+    result = recover_damaged_copy(
+        [&](auto& damaged_disk) { damaged_disk.set_file("MANIFEST", encode(other_manifest)); });
+    CHECK(result.outcome == RecoveryResult::Outcome::damaged);
+    CHECK(result.findings[0].description.find("another store") != std::string::npos);
     std::string newer = files["MANIFEST"];
     newer[8] = 9;
     newer.resize(newer.size() - 8);
     newer += encode_u64(checksum(newer));
-    CHECK(outcome([&](auto& d) { d.set_file("MANIFEST", newer); }).outcome ==
-          RecoveryResult::Outcome::newer_version);
+    CHECK(recover_damaged_copy([&](auto& damaged_disk) {
+              damaged_disk.set_file("MANIFEST", newer);
+          }).outcome == RecoveryResult::Outcome::newer_version);
     // Salvage retains the provably valid records and reports what it dropped.
     FaultEnvironment copy;
     for (auto& [name, bytes] : files) copy.set_file(name, bytes);
@@ -116,17 +120,17 @@
     CHECK(retained > 0);
     CHECK(retained < 60);
 
-    RecoveryResult found;
+    RecoveryResult recovery;
     OpenError error;
     auto folder = std::make_unique<FaultEnvironment>();
     std::unique_ptr<FolderLock> lock;
     REQUIRE(folder->lock(lock, true).ok());
-    CHECK_FALSE(StoreThread::open(std::move(folder), {}, 0, {}, found, error));
+    CHECK_FALSE(StoreThread::open(std::move(folder), {}, 0, {}, recovery, error));
     CHECK(error.text == "another process has it open");
 }
 
-// Guards against a salvaged store that the next start refuses again. Fuzzing found this: the damaged segments
-// were sealed as they were. Now the retained records are written anew.
+// Guards against a salvaged store that the next start refuses again. Fuzzing found this: the damaged
+// segments were sealed as they were. Now the retained records are written anew.
 TEST_CASE("after a salvage the store is undamaged and holds the retained records") {
     for (int damage = 0; damage < 3; ++damage) {
         auto folder = std::make_unique<FaultEnvironment>();
@@ -137,7 +141,7 @@
         }
         auto files = folder->files();
         auto first = std::find_if(files.begin(), files.end(),
-                                  [](auto& f) { return segment_number(f.first).has_value(); });
+                                  [](auto& file) { return segment_number(file.first).has_value(); });
         auto last = std::prev(files.end());
         if (damage == 0) folder->set_file(first->first, first->second.substr(0, 200));
         if (damage == 1) folder->set_file("MANIFEST", "nonsense");
@@ -148,14 +152,14 @@
         }
         REQUIRE(recover(*folder, false, [](Record&&, std::uint64_t) {}).outcome ==
                 RecoveryResult::Outcome::damaged);
-        RecoveryResult found;
+        RecoveryResult recovery;
         OpenError error;
         OpenOptions options;
         options.salvage = true;
         FaultEnvironment* disk = folder.get();
-        auto thread = StoreThread::open(std::move(folder), options, 0, {}, found, error);
+        auto thread = StoreThread::open(std::move(folder), options, 0, {}, recovery, error);
         REQUIRE_MESSAGE(thread, error.text);
-        CHECK(found.salvaged);
+        CHECK(recovery.salvaged);
         std::size_t retained = thread->store().size();
         CHECK(retained >= (damage == 1 ? 60 : 20));
         thread->store().put(Space::operators, "after", "it");
@@ -192,9 +196,10 @@
                 if (auto it = later.find(name); it != later.end()) copied.set_file(name, it->second);
             }
             Store store;
-            RecoveryResult r =
-                recover(copied, false, [&](Record&& x, std::uint64_t s) { store.load(std::move(x), s); });
-            if (!r.usable()) {
+            RecoveryResult result = recover(copied, false, [&](Record&& record, std::uint64_t sequence) {
+                store.load(std::move(record), sequence);
+            });
+            if (!result.usable()) {
                 ++refused;
                 continue;
             }
--- a/tests/store/store_test.cpp
+++ b/tests/store/store_test.cpp
@@ -26,16 +26,16 @@
         harness.store.put(Space::list, "members", std::string(100000, 'm'));
         harness.process();
     }
-    StoreHarness again(disk, 3'000);
-    CHECK(again.recovery.outcome == RecoveryResult::Outcome::complete);
-    CHECK(again.store.get(Space::hosts, "s-1") == "out");
-    CHECK_FALSE(again.store.get(Space::hosts, "s-2"));
-    CHECK(again.store.position(7) == 70);
-    CHECK_FALSE(again.store.position(8));
-    CHECK(again.store.get(Space::list, "members")->size() == 100000);
-    again.store.expire(6'000'000);
-    CHECK(again.store.size() == 2);
-    CHECK_THROWS_AS(again.store.put(Space::hosts, std::string(2000, 'k'), "v"), std::length_error);
+    StoreHarness restarted(disk, 3'000);
+    CHECK(restarted.recovery.outcome == RecoveryResult::Outcome::complete);
+    CHECK(restarted.store.get(Space::hosts, "s-1") == "out");
+    CHECK_FALSE(restarted.store.get(Space::hosts, "s-2"));
+    CHECK(restarted.store.position(7) == 70);
+    CHECK_FALSE(restarted.store.position(8));
+    CHECK(restarted.store.get(Space::list, "members")->size() == 100000);
+    restarted.store.expire(6'000'000);
+    CHECK(restarted.store.size() == 2);
+    CHECK_THROWS_AS(restarted.store.put(Space::hosts, std::string(2000, 'k'), "v"), std::length_error);
 }
 
 TEST_CASE(
@@ -87,8 +87,8 @@
     harness.advance(3000);
     CHECK(harness.store.failing());
     {
-        StoreHarness found(*disk.after_kill());  // the complete old state, no mixture
-        CHECK(found.state() == std::map<std::string, std::string>{{"hosts/a", "1"}});
+        StoreHarness recovered(*disk.after_kill());  // the complete old state, no mixture
+        CHECK(recovered.state() == std::map<std::string, std::string>{{"hosts/a", "1"}});
     }
     full = false;
     harness.advance(6000);
@@ -96,8 +96,8 @@
     CHECK(harness.store.durable() >= ticket);
     harness.store.put(Space::hosts, "c", "3");
     harness.process();
-    StoreHarness found(*disk.after_kill());
-    CHECK(found.state() == std::map<std::string, std::string>{{"hosts/b", "2"}, {"hosts/c", "3"}});
+    StoreHarness recovered(*disk.after_kill());
+    CHECK(recovered.state() == std::map<std::string, std::string>{{"hosts/b", "2"}, {"hosts/c", "3"}});
 }
 
 // Guards against trusting a second sync after a failed one: it succeeds although the pages of the first are
@@ -115,8 +115,8 @@
     harness.process();
     CHECK(harness.store.durable() >= ticket);                                   // in another segment
     auto after = disk.after_crash([](std::size_t) { return std::size_t(0); });  // everything unsynced is lost
-    StoreHarness found(*after);
-    CHECK(found.state() == std::map<std::string, std::string>{{"hosts/a", "1"}, {"hosts/b", "2"}});
+    StoreHarness recovered(*after);
+    CHECK(recovered.state() == std::map<std::string, std::string>{{"hosts/a", "1"}, {"hosts/b", "2"}});
 }
 
 TEST_CASE(
@@ -124,11 +124,11 @@
     "disk") {
     auto folder = std::make_unique<FaultEnvironment>();
     FaultEnvironment* disk = folder.get();
-    RecoveryResult found;
+    RecoveryResult recovery;
     OpenError error;
     std::map<std::string, std::string> files;
     {
-        auto thread = StoreThread::open(std::move(folder), {}, 0, {}, found, error);
+        auto thread = StoreThread::open(std::move(folder), {}, 0, {}, recovery, error);
         REQUIRE(thread);
         for (int i = 0; i < 5000; ++i) {
             thread->store().put_position(std::uint64_t(i), 5, 0);
@@ -156,9 +156,9 @@
 TEST_CASE("store thread: requests that exceed the size of a group are all on disk after closing") {
     auto folder = std::make_unique<FaultEnvironment>();
     FaultEnvironment* disk = folder.get();
-    RecoveryResult found;
+    RecoveryResult recovery;
     OpenError error;
-    auto thread = StoreThread::open(std::move(folder), {}, 0, {}, found, error);
+    auto thread = StoreThread::open(std::move(folder), {}, 0, {}, recovery, error);
     REQUIRE(thread);
     for (int i = 0; i < 12000; ++i)
         thread->store().put(Space::hosts, "h" + std::to_string(i), std::string(1000, char('a' + i % 26)));
