--- a/src/adapters/client_listener.cpp
+++ b/src/adapters/client_listener.cpp
@@ -37,7 +37,7 @@
     sweep();
 }
 
-void ClientListener::welcome() {
+void ClientListener::resume_service() {
     retiring_ = refusing_ = false;
     sweeper_.cancel();
 }
--- a/src/adapters/client_listener.hpp
+++ b/src/adapters/client_listener.hpp
@@ -24,7 +24,7 @@
     void stop_accepting() override;
     void close_idle() override;
     void fail_checks() override { refusing_ = true; }
-    void welcome() override;
+    void resume_service() override;
     int listening_socket() override { return listener_.socket(); }
     std::size_t hand_over(const std::function<void(routing::ClientHandover)>& to) override;
     void take_over(routing::ClientHandover handover) override;
--- a/src/adapters/limited_admission.cpp
+++ b/src/adapters/limited_admission.cpp
@@ -13,32 +13,32 @@
     Ticket(LimitedAdmission& owner, RequestId id, ClientRequest request, Responder& responder, Time deadline)
         : owner_(owner), id_(id), request_(std::move(request)), responder_(&responder), deadline_(deadline) {}
 
-    void served(const Answer& answer) override {
-        std::size_t bytes = answer.passage.size();
+    void on_answer(const Answer& answer) override {
+        std::size_t bytes = answer.forwarded_messages.size();
         for (const Row& row : answer.rows) bytes += row.content.size();
         Responder* to = responder_;
         owner_.end(id_, limits::Outcome::served, bytes + passed_);  // destroys this
-        to->served(answer);
+        to->on_answer(answer);
     }
-    void began(const Answer& answer, std::size_t length) override {
+    void on_answer_started(const Answer& answer, std::size_t length) override {
         passed_ = length;
-        responder_->began(answer, length);
+        responder_->on_answer_started(answer, length);
     }
-    bool piece(std::string_view bytes) override { return responder_->piece(bytes); }
+    bool on_answer_piece(std::string_view bytes) override { return responder_->on_answer_piece(bytes); }
     bool is_client_present() override { return responder_->is_client_present(); }
-    void broken() override {
+    void on_answer_aborted() override {
         Responder* to = responder_;
         owner_.end(id_, limits::Outcome::failed, 0);
-        to->broken();
+        to->on_answer_aborted();
     }
-    void ended(const FinalError& ending) override {
+    void on_final_error(const FinalError& ending) override {
         Responder* to = responder_;
         auto how = ending.deadline                             ? limits::Outcome::timed_out
                    : ending.kind == FinalError::Kind::rejected ? limits::Outcome::never_ran
                                                                : limits::Outcome::failed;
         FinalError copy = ending;
         owner_.end(id_, how, 0);
-        to->ended(copy);
+        to->on_final_error(copy);
     }
 
   private:
@@ -74,7 +74,7 @@
         arrival.shape = {fixed.high, fixed.low};
     }
     arrival.estimate = limits::Duration(request.cost_us > 0 ? request.cost_us : 2000);
-    arrival.privileged = request.session.has_value() && !request.unreserved;
+    arrival.privileged = request.session.has_value() && !request.is_barred_from_reserve;
     arrival.deadline = limits::Time(deadline.time_since_epoch());
     auto ticket = std::make_unique<Ticket>(*this, id, std::move(request), responder, deadline);
     Ticket& t = *ticket;
@@ -136,7 +136,7 @@
     Responder* to = it->second->responder_;
     dequeue(*it->second);
     tickets_.erase(it);
-    to->ended({FinalError::Kind::rejected, false, decision.retry_after});
+    to->on_final_error({FinalError::Kind::rejected, false, decision.retry_after});
 }
 
 // What its calls bring about may call back in here: those calls only mark that there is more to do.
--- a/src/adapters/pg_backend.cpp
+++ b/src/adapters/pg_backend.cpp
@@ -45,7 +45,7 @@
         std::string text = std::to_string(left);
         verb_ = item.verb;
         row_limit_ = verb_ == ClientRequest::Verb::page ? item.limit : 1;
-        in_pieces_ = item.in_pieces && verb_ != ClientRequest::Verb::page;
+        in_pieces_ = item.may_stream_answer && verb_ != ClientRequest::Verb::page;
         if (verb_ == ClientRequest::Verb::other && item.has_no_comment_fields)
             query(pg::Writer().query(item.statement).take(), false);
         else if (item.statement.empty())
@@ -238,7 +238,7 @@
     const char* pass_on(const pg::Message& m) {
         bytes_ += m.body.size() + 5;
         if (bytes_ > kPageLimit) return "an answer too large";
-        std::string& out = result_.answer.passage;
+        std::string& out = result_.answer.forwarded_messages;
         auto size = std::uint32_t(m.body.size() + 4);
         out += m.type;
         for (int shift = 24; shift >= 0; shift -= 8) out += char(size >> shift);
--- a/src/adapters/pg_front.cpp
+++ b/src/adapters/pg_front.cpp
@@ -241,7 +241,7 @@
 
     // The head of a message tells its length, so that a value which breaks off can't be taken for a whole
     // one.
-    void began(const Answer& answer, std::size_t length) override {
+    void on_answer_started(const Answer& answer, std::size_t length) override {
         auto u32 = [](std::size_t v) {
             return std::string{char(v >> 24), char(v >> 16), char(v >> 8), char(v)};
         };
@@ -253,17 +253,17 @@
                 .take();
         pass_on(bytes + 'D' + u32(length + 10) + std::string("\0\1", 2) + u32(length));
     }
-    bool piece(std::string_view bytes) override { return pass_on(std::string(bytes)); }
-    void broken() override {
+    bool on_answer_piece(std::string_view bytes) override { return pass_on(std::string(bytes)); }
+    void on_answer_aborted() override {
         logger_.log(Level::warning, "response_aborted",
                     "a value broke off after its beginning had been passed on");
         break_off();
     }
 
-    void served(const Answer& answer) override {
+    void on_answer(const Answer& answer) override {
         pg::Writer w;
         if (std::exchange(begun_, false)) return answered(w.complete(answer.tag).ready().take());
-        if (!answer.passage.empty()) return answered(answer.passage + w.ready().take());
+        if (!answer.forwarded_messages.empty()) return answered(answer.forwarded_messages + w.ready().take());
         if (answer.rows.size() == 1 && answer.rows[0].name.empty()) {
             w.row_description({{answer.column.empty() ? "content" : std::string_view(answer.column),
                                 kByteaType, answer.binary}});
@@ -276,7 +276,7 @@
         answered(w.take());
     }
 
-    void ended(const FinalError& ending) override {
+    void on_final_error(const FinalError& ending) override {
         pg::Writer w;
         if (ending.kind == FinalError::Kind::rejected) {
             std::string after;
--- a/src/adapters/pg_request.cpp
+++ b/src/adapters/pg_request.cpp
@@ -158,7 +158,7 @@
     request.is_retry = statement.field("r") == "1";
     if (request_class->write || request_class->session) request.session = session_number(request.name);
     request.statement = sql;
-    request.in_pieces = true;
+    request.may_stream_answer = true;
     return std::nullopt;
 }
 
@@ -191,8 +191,8 @@
     // Whoever names no session is one by its connection: its reads see its own writes.
     if (request_class->write || request_class->session)
         request.session = session_number(statement.field("s").value_or(defaults.peer_address));
-    request.commits = request_class->write;
-    request.unreserved = read && !request_class->session;
+    request.may_write = request_class->write;
+    request.is_barred_from_reserve = read && !request_class->session;
     request.has_no_comment_fields = statement.fields.empty();
     request.shape_high = profile.shape.high;
     request.shape_low = profile.shape.low;
--- a/src/adapters/rest_front.cpp
+++ b/src/adapters/rest_front.cpp
@@ -168,7 +168,7 @@
         return std::nullopt;
     }
 
-    void served(const Answer& answer) override {
+    void on_answer(const Answer& answer) override {
         std::string position = answer.position_unix_ms ? std::to_string(*answer.position_unix_ms) : "";
         std::vector<http::Field> fields{{"Cache-Control", "no-store"}};
         if (!position.empty()) fields.push_back({"Data-Position", position});
@@ -203,7 +203,7 @@
         return out + "&limit=" + std::to_string(size_) + "&cursor=" + cursor;
     }
 
-    void ended(const FinalError& ending) override {
+    void on_final_error(const FinalError& ending) override {
         std::string seconds;
         std::vector<http::Field> fields;
         if (ending.retry_after) {
--- a/src/adapters/session.hpp
+++ b/src/adapters/session.hpp
@@ -62,7 +62,8 @@
     // there is.
     bool expect(std::size_t length);
     static constexpr auto kLongest = std::chrono::seconds(30);  // for one that is under way all the time
-    // One request; served() or ended() follows. `unread`: of its message, bytes that are in the buffer yet.
+    // One request; on_answer() or on_final_error() follows. `unread`: of its message, bytes that are in the
+    // buffer yet.
     void submit(routing::ClientRequest item, std::size_t unread = 0);
     bool has_capacity(std::size_t bytes) const { return admission_.has_capacity(bytes); }
     void answered(std::string bytes);
--- a/src/lab/clients.hpp
+++ b/src/lab/clients.hpp
@@ -42,8 +42,8 @@
         std::string id;
         Time deadline{};
         bool over = false;
-        void served(const routing::Answer& answer) override { clients->on_served(*this, answer); }
-        void ended(const routing::FinalError& error) override { clients->on_ended(*this, error); }
+        void on_answer(const routing::Answer& answer) override { clients->on_served(*this, answer); }
+        void on_final_error(const routing::FinalError& error) override { clients->on_ended(*this, error); }
     };
 
     void arrive();
--- a/src/lab/host_connection.cpp
+++ b/src/lab/host_connection.cpp
@@ -45,7 +45,7 @@
     });
 }
 
-bool HostConnection::quiet() {
+bool HostConnection::may_be_reused() {
     return owner_ && up_ && (incarnation_ == host_.incarnation() || !host_.up());
 }
 
--- a/src/lab/host_connection.hpp
+++ b/src/lab/host_connection.hpp
@@ -22,7 +22,7 @@
     void submit(const routing::ClientRequest& request, Duration remaining,
                 std::optional<std::int64_t> needs) override;
     void probe() override;
-    bool quiet() override;
+    bool may_be_reused() override;
     void close() override;
     void on_broken_by_host();
 
--- a/src/program/client_diversion.cpp
+++ b/src/program/client_diversion.cpp
@@ -33,7 +33,7 @@
 
 void ClientDiversion::end() {
     timer_.cancel();
-    for (auto& front : services_.fronts) front->welcome();
+    for (auto& front : services_.fronts) front->resume_service();
     services_.phases.enter(services_.discovery_client->has_complete_list() ? Phase::serving
                                                                            : Phase::reloading);
 }
--- a/src/program/handover_state.cpp
+++ b/src/program/handover_state.cpp
@@ -32,7 +32,8 @@
 void HandoverState::on_process_change() {
     bool shared = services_.process_handover->another_process();
     std::size_t processes = shared ? 2 : 1;
-    services_.core->limit(services_.budget.core.links / processes, services_.budget.core.bytes / processes);
+    services_.core->limit(services_.budget.core.max_connections / processes,
+                          services_.budget.core.max_request_bytes / processes);
     services_.apply_shared_limits();
     services_.log.log(routing::Level::notice, "handover",
                       shared ? "another process serves as well" : "this process serves alone", {});
--- a/src/program/resource_budget.cpp
+++ b/src/program/resource_budget.cpp
@@ -50,10 +50,10 @@
     budget.core.connect_timeout = config.connect_timeout;
     budget.core.probe_timeout = config.connect_timeout;
     budget.core.idle_limit = config.idle_limit;
-    budget.core.links = std::size_t(double(usable) * kHostShare);
-    budget.core.bytes = memory_share(config, kRequestShare);
+    budget.core.max_connections = std::size_t(double(usable) * kHostShare);
+    budget.core.max_request_bytes = memory_share(config, kRequestShare);
 
-    std::size_t for_clients = usable - budget.core.links;
+    std::size_t for_clients = usable - budget.core.max_connections;
     if (config.rest.enabled) budget.rest_clients = std::min(config.rest.connections, for_clients / 2);
     budget.pg_clients = for_clients - budget.rest_clients;
     budget.served_clients = std::size_t(double(config.sockets) * kServedShare);
--- a/src/routing/attempt_outcomes.cpp
+++ b/src/routing/attempt_outcomes.cpp
@@ -41,7 +41,7 @@
 
 void AttemptOutcomes::health_check_ended(const Outcome& outcome) {
     if (Endpoint* endpoint = core_.endpoints.find(outcome.endpoint)) {
-        if (!endpoint->health_check || !endpoint->health_check->same(outcome.task)) return;
+        if (!endpoint->health_check || !endpoint->health_check->is_same_task(outcome.task)) return;
         endpoint->health_check.reset();
     }
     if (!outcome.ok()) ++core_.statistics.health_checks_failed;
@@ -140,14 +140,14 @@
     pending->response_started = true;
     if (sites_) sites_->response_started(endpoint, now);
     core_.inbox.post(policy::ResponseStarted{task.request, task.number, endpoint, now - task.sent});
-    pending->responder->began(head, length);
+    pending->responder->on_answer_started(head, length);
 }
 
 // Without a responder the client is gone: its attempt is about to be cancelled, and until then no more is
 // read.
 bool AttemptOutcomes::pass_on_piece(const BackendTask& task, std::string_view bytes) {
     const PendingRequest* pending = core_.requests.find_unanswered(task.request);
-    return pending && pending->responder->piece(bytes);
+    return pending && pending->responder->on_answer_piece(bytes);
 }
 
 }  // namespace indigovane::routing
--- a/src/routing/backend_task.hpp
+++ b/src/routing/backend_task.hpp
@@ -17,7 +17,7 @@
     Time start_by = Time::max();                            // it may not begin later
     std::optional<std::int64_t> required_position_unix_ms;  // what its answer's data must have reached
 
-    bool same(const BackendTask& other) const {
+    bool is_same_task(const BackendTask& other) const {
         return health_check == other.health_check && request == other.request && number == other.number;
     }
 };
--- a/src/routing/core.cpp
+++ b/src/routing/core.cpp
@@ -32,7 +32,8 @@
       policy_(settings, seed, clock.now()),
       inbox_(driver),
       connections_(
-          limits.links, [this] { return endpoints_.close_oldest_idle(); }, [this] { inbox_.wake(); }),
+          limits.max_connections, [this] { return endpoints_.close_oldest_idle(); },
+          [this] { inbox_.wake(); }),
       endpoints_(clock, [this](EndpointId id) { return make_pool(id); }),
       log_(logger, [this](EndpointId id) { return endpoints_.uid(id); }),
       guard_(logger, [this](EndpointId id) { return endpoints_.uid(id); }),
@@ -85,8 +86,8 @@
 }
 
 void Core::limit(std::size_t links, std::size_t bytes) {
-    limits_.links = links;
-    limits_.bytes = bytes;
+    limits_.max_connections = links;
+    limits_.max_request_bytes = bytes;
     connections_.set_limit(links);
 }
 
--- a/src/routing/core.hpp
+++ b/src/routing/core.hpp
@@ -31,7 +31,9 @@
 
     // ---- requests (RequestAdmission) ----
     RequestId accept(ClientRequest request, Responder& responder) override;
-    bool has_capacity(std::size_t bytes) const override { return requests_.bytes() + bytes <= limits_.bytes; }
+    bool has_capacity(std::size_t bytes) const override {
+        return requests_.bytes() + bytes <= limits_.max_request_bytes;
+    }
     bool is_open(const std::string& id) const override { return requests_.is_open(id); }
     void resume(RequestId id) override { dispatcher_.resume(id); }
     void withdraw(RequestId id, Departure departure) override { completion_.withdraw(id, departure); }
@@ -106,8 +108,8 @@
     // ---- figures ----
     bool idle() const { return requests_.size() == 0; }
     std::size_t requests() const { return requests_.size(); }
-    std::size_t links() const { return connections_.open(); }
-    std::size_t members() const { return endpoints_.size(); }
+    std::size_t connection_count() const { return connections_.open(); }
+    std::size_t endpoint_count() const { return endpoints_.size(); }
     const RequestGuard::Counts& violations() const { return guard_.violations(); }
 
   private:
--- a/src/routing/discovery_client.cpp
+++ b/src/routing/discovery_client.cpp
@@ -42,7 +42,7 @@
 
 void DiscoveryClient::seed(const EndpointListing& known) {
     core_.apply_endpoint_list(EndpointListKind::cached, known.members);
-    if (schedule_.timing().from_known && known.all) schedule_.know(known.revision);
+    if (schedule_.timing().from_known && known.is_complete) schedule_.know(known.revision);
 }
 
 void DiscoveryClient::follow() {
@@ -176,9 +176,9 @@
 void DiscoveryClient::apply(const EndpointListing& list) {
     bool first = !schedule_.revision();
     // Changes that are older than the list in use would undo it: what holds now is in the complete list.
-    if (!first && !list.all && list.revision < *schedule_.revision())
+    if (!first && !list.is_complete && list.revision < *schedule_.revision())
         throw std::runtime_error("changes older than the list held");
-    bool complete = list.all || first;
+    bool complete = list.is_complete || first;
     bool empty = !complete && list.members.empty();
     if (!empty)
         core_.apply_endpoint_list(complete ? EndpointListKind::full : EndpointListKind::changes,
--- a/src/routing/endpoint_listing.cpp
+++ b/src/routing/endpoint_listing.cpp
@@ -38,7 +38,7 @@
     EndpointListing list;
     try {
         list.revision = json.value("rev", std::int64_t(0));
-        list.all = json.value("all", false);
+        list.is_complete = json.value("all", false);
         for (const auto& target : json["targets"])
             if (target.is_object() && target.contains("uid"))
                 list.members.push_back(read_endpoint(target, zones));
--- a/src/routing/endpoint_listing.hpp
+++ b/src/routing/endpoint_listing.hpp
@@ -11,7 +11,7 @@
 
 struct EndpointListing {
     std::int64_t revision = 0;
-    bool all = false;  // the complete list; else what has changed
+    bool is_complete = false;  // the complete list; else what has changed
     std::vector<EndpointInfo> members;
 };
 
--- a/src/routing/endpoint_registry.cpp
+++ b/src/routing/endpoint_registry.cpp
@@ -125,12 +125,12 @@
 // Not while anything refers to an endpoint, and not soon: one that comes back under its uid has the same id
 // until then. The routing policy forgets by itself, and never sends to an endpoint that is not listed.
 void EndpointRegistry::sweep(Time now, const CoreLimits& limits) {
-    overlays_.forget_operator_readmissions(now - limits.keep_left);
+    overlays_.forget_operator_readmissions(now - limits.delisted_retention);
     auto idle_limit = Duration(std::int64_t(double(limits.idle_limit.count()) * kIdleShare));
     for (auto at = endpoints_.begin(); at != endpoints_.end();) {
         Endpoint& endpoint = at->second;
         endpoint.pool->close_idle(endpoint.accepts_requests ? now - idle_limit : Time::max());
-        bool expired = endpoint.delisted_at && now - *endpoint.delisted_at > limits.keep_left;
+        bool expired = endpoint.delisted_at && now - *endpoint.delisted_at > limits.delisted_retention;
         if (!expired || is_in_use(endpoint)) {
             ++at;
             continue;
--- a/src/routing/interfaces.hpp
+++ b/src/routing/interfaces.hpp
@@ -44,7 +44,7 @@
     // There is room for pieces again.
     virtual void resume() {}
     // Whether nothing has come on it that no task asked for, its end neither.
-    virtual bool quiet() = 0;
+    virtual bool may_be_reused() = 0;
     // At once; the owner is not called any more.
     virtual void close() = 0;
 };
@@ -77,7 +77,7 @@
     // Answers no where a load balancer asks whether to send clients here.
     virtual void fail_checks() = 0;
     // Undoes close_idle() and fail_checks().
-    virtual void welcome() = 0;
+    virtual void resume_service() = 0;
     virtual std::size_t connections() const = 0;
     // Half-closed connections, whose clients' end is yet to come.
     virtual std::size_t lingering() const { return 0; }
--- a/src/routing/pool.cpp
+++ b/src/routing/pool.cpp
@@ -54,7 +54,7 @@
         // Bytes that came behind an answer would be taken for the next one, and a request written to a
         // connection whose other side has closed would be lost. The endpoint may also have another address
         // since the connection was opened.
-        if (!pooled->connection->quiet() || pooled->address != address_) {
+        if (!pooled->connection->may_be_reused() || pooled->address != address_) {
             close(pooled);
             continue;
         }
@@ -100,20 +100,22 @@
 }
 
 Pool::Cancelled Pool::cancel(const BackendTask& task) {
-    auto waiting = std::ranges::find_if(waiting_, [&](const BackendTask& other) { return other.same(task); });
+    auto waiting =
+        std::ranges::find_if(waiting_, [&](const BackendTask& other) { return other.is_same_task(task); });
     if (waiting != waiting_.end()) {
         waiting_.erase(waiting);
         return Cancelled::waiting;
     }
-    auto busy = std::ranges::find_if(
-        connections_, [&](const PooledConnection& pooled) { return pooled.task && pooled.task->same(task); });
+    auto busy = std::ranges::find_if(connections_, [&](const PooledConnection& pooled) {
+        return pooled.task && pooled.task->is_same_task(task);
+    });
     if (busy == connections_.end()) return Cancelled::unknown;
     close(busy);
     return Cancelled::sent;
 }
 
 bool Pool::is_waiting(const BackendTask& task) const {
-    return std::ranges::any_of(waiting_, [&](const BackendTask& other) { return other.same(task); });
+    return std::ranges::any_of(waiting_, [&](const BackendTask& other) { return other.is_same_task(task); });
 }
 
 void Pool::close_idle(Time idle_since_before) {
@@ -179,7 +181,7 @@
 
 void Pool::resume(const BackendTask& task) {
     for (PooledConnection& pooled : connections_)
-        if (pooled.task && pooled.task->same(task)) {
+        if (pooled.task && pooled.task->is_same_task(task)) {
             auto connection = pooled.connection;  // it may end on what it has
             return connection->resume();
         }
--- a/src/routing/request_completion.cpp
+++ b/src/routing/request_completion.cpp
@@ -29,11 +29,12 @@
 void RequestCompletion::answer(PendingRequest& pending, const Answer& answer, Time now) {
     if (!pending.responder) return;
     if (!pending.response_started) guard_.check_answer(pending, now);
-    std::exchange(pending.responder, nullptr)->served(answer);
+    std::exchange(pending.responder, nullptr)->on_answer(answer);
 }
 
 void RequestCompletion::break_off(PendingRequest& pending) {
-    if (pending.response_started && pending.responder) std::exchange(pending.responder, nullptr)->broken();
+    if (pending.response_started && pending.responder)
+        std::exchange(pending.responder, nullptr)->on_answer_aborted();
 }
 
 void RequestCompletion::end(RequestId id, FinalError ending, const char* why) {
@@ -47,7 +48,7 @@
     guard_.check_answer(*pending, now);
     count(*pending, ending, now);
     log_.ended(*pending, ending, why, now);
-    std::exchange(pending->responder, nullptr)->ended(ending);
+    std::exchange(pending->responder, nullptr)->on_final_error(ending);
     finish_if_done(id);
 }
 
--- a/src/routing/types.hpp
+++ b/src/routing/types.hpp
@@ -70,19 +70,19 @@
     std::optional<std::int64_t> after_unix_ms;  // a session token that the client carries: its last commit
     Duration client_timeout{};                  // until the client gives up
     bool is_retry = false;                      // the client marks it as a retry
-    bool in_pieces = false;                     // its responder takes a long value as it comes
+    bool may_stream_answer = false;             // its responder takes a long value as it comes
     std::string statement;                      // as the client wrote it, where its wire has statements
 
     // Of a statement that is none of the known forms (verb other): it goes to the host, and its answer to the
     // client, as they are.
-    bool commits = false;                // it may write
-    bool has_no_comment_fields = false;  // its comment holds none of our fields: no wait is written into it
-    bool unreserved = false;             // not to use what limits reserve for writes and session reads
-    std::uint64_t shape_high = 0;        // of its statement's fingerprint; 0: the verb's
+    bool may_write = false;               // it may write
+    bool has_no_comment_fields = false;   // its comment holds none of our fields: no wait is written into it
+    bool is_barred_from_reserve = false;  // not to use what limits reserve for writes and session reads
+    std::uint64_t shape_high = 0;         // of its statement's fingerprint; 0: the verb's
     std::uint64_t shape_low = 0;
     std::uint32_t cost_us = 0;  // expected before any was measured; 0: unknown
 
-    bool writes() const { return verb == Verb::write || (verb == Verb::other && commits); }
+    bool writes() const { return verb == Verb::write || (verb == Verb::other && may_write); }
 };
 
 struct Row {
@@ -94,10 +94,11 @@
 // What a host returned for a request.
 struct Answer {
     std::vector<Row> rows;
-    bool binary = true;   // a single value: bytes as they are, or bytea's text form
-    std::string column;   // its column's name
-    std::string tag;      // of a statement's completion
-    std::string passage;  // of verb other: the host's messages up to ReadyForQuery, in place of all above
+    bool binary = true;  // a single value: bytes as they are, or bytea's text form
+    std::string column;  // its column's name
+    std::string tag;     // of a statement's completion
+    std::string
+        forwarded_messages;  // of verb other: the host's messages up to ReadyForQuery, in place of all above
     std::optional<std::int64_t> position_unix_ms;  // how current it is
 };
 
@@ -111,17 +112,18 @@
     std::optional<Duration> retry_after;
 };
 
-// Whoever waits for a request's answer. Exactly one call of served(), broken() or ended() ends it.
+// Whoever waits for a request's answer. Exactly one call of on_answer(), on_answer_aborted() or
+// on_final_error() ends it.
 class Responder {
   public:
-    virtual void served(const Answer& answer) = 0;
-    // A value of that length follows in pieces, then served() with no rows, or broken(). Only where the
-    // request allows it (in_pieces).
-    virtual void began(const Answer&, std::size_t) {}
+    virtual void on_answer(const Answer& answer) = 0;
+    // A value of that length follows in pieces, then on_answer() with no rows, or on_answer_aborted(). Only
+    // where the request allows it (may_stream_answer).
+    virtual void on_answer_started(const Answer&, std::size_t) {}
     // False: no room for more now; RequestAdmission::resume() when there is.
-    virtual bool piece(std::string_view) { return true; }
-    virtual void broken() {}
-    virtual void ended(const FinalError& ending) = 0;
+    virtual bool on_answer_piece(std::string_view) { return true; }
+    virtual void on_answer_aborted() {}
+    virtual void on_final_error(const FinalError& ending) = 0;
     // False: its client's end of the connection has reached this machine, even if it has not been read yet.
     virtual bool is_client_present() { return true; }
 
--- a/tests/adapters/front_connections_test.cpp
+++ b/tests/adapters/front_connections_test.cpp
@@ -26,7 +26,7 @@
     REQUIRE(rig.admission.open.size() == 1);
     routing::Answer answer;
     answer.rows.push_back({"", "v"});
-    std::exchange(rig.admission.open, {}).begin()->second->served(answer);
+    std::exchange(rig.admission.open, {}).begin()->second->on_answer(answer);
     CHECK(client.reply() == "TDCZ");
 }
 
--- a/tests/adapters/limited_admission_test.cpp
+++ b/tests/adapters/limited_admission_test.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 struct RecordedOutcome : routing::Responder {
-    void served(const routing::Answer&) override { ++answers; }
-    void ended(const routing::FinalError& error) override {
+    void on_answer(const routing::Answer&) override { ++answers; }
+    void on_final_error(const routing::FinalError& error) override {
         ++answers;
         rejected = error.kind == routing::FinalError::Kind::rejected;
     }
@@ -46,7 +46,7 @@
         using Ids = std::vector<std::optional<routing::ClassId>>;
         limited.renumber(class_exists ? Ids{routing::ClassId{2}, routing::ClassId{1}, routing::ClassId{0}}
                                       : Ids{routing::ClassId{0}, routing::ClassId{1}});
-        core.responders[0]->served({});
+        core.responders[0]->on_answer({});
         loop.settle();
         CHECK(core.requests.size() == (class_exists ? 2 : 1));
         if (class_exists) CHECK(core.requests.back().request_class == routing::ClassId{0});
--- a/tests/adapters/pending_admission.hpp
+++ b/tests/adapters/pending_admission.hpp
@@ -46,7 +46,7 @@
     void serve(std::size_t request) {
         routing::Answer answer;
         answer.rows.push_back({"", "v"});
-        admission.responders[request]->served(answer);
+        admission.responders[request]->on_answer(answer);
     }
 };
 
--- a/tests/adapters/pg_backend_test.cpp
+++ b/tests/adapters/pg_backend_test.cpp
@@ -46,7 +46,7 @@
         REQUIRE(loop.until([&] { return ready || ended; }));
         routing::ClientRequest item;
         item.verb = routing::ClientRequest::Verb::lookup;
-        item.name = "n", item.id = "1", item.class_name = "c", item.in_pieces = in_pieces;
+        item.name = "n", item.id = "1", item.class_name = "c", item.may_stream_answer = in_pieces;
         begun.reset(), pieces.clear();
         if (probe)
             link->probe();
@@ -270,7 +270,8 @@
     rig.host.reply = joined(good(std::string(4 << 20, 'x')));
     REQUIRE(rig.loop.until([&] { return rig.ready; }));
     routing::ClientRequest item;
-    item.verb = routing::ClientRequest::Verb::lookup, item.name = "n", item.id = "1", item.in_pieces = true;
+    item.verb = routing::ClientRequest::Verb::lookup, item.name = "n", item.id = "1",
+    item.may_stream_answer = true;
     rig.link->submit(item, 4s, std::nullopt);
     REQUIRE(rig.loop.until([&] { return rig.begun.has_value(); }));
     rig.loop.settle();
@@ -303,7 +304,8 @@
     rig.host.reply = joined({parts[0], parts[1].substr(0, 100000)});
     REQUIRE(rig.loop.until([&] { return rig.ready; }));
     routing::ClientRequest item;
-    item.verb = routing::ClientRequest::Verb::lookup, item.name = "n", item.id = "1", item.in_pieces = true;
+    item.verb = routing::ClientRequest::Verb::lookup, item.name = "n", item.id = "1",
+    item.may_stream_answer = true;
     rig.link->submit(item, 4s, std::nullopt);
     REQUIRE(rig.loop.until([&] { return rig.pieces.size() == 100000 - 11; }));
     rig.host.drop_all();
@@ -324,9 +326,9 @@
     REQUIRE(rig.loop.until([&] { return rig.ended.has_value(); }));
     LinkRig closing;
     REQUIRE(closing.request(joined(good("v")))->reusable);
-    CHECK(closing.link->quiet());
+    CHECK(closing.link->may_be_reused());
     closing.host.drop_all();
-    CHECK(closing.loop.until([&] { return !closing.link->quiet(); }));
+    CHECK(closing.loop.until([&] { return !closing.link->may_be_reused(); }));
 }
 
 }  // namespace
--- a/tests/adapters/pg_front_long_values_test.cpp
+++ b/tests/adapters/pg_front_long_values_test.cpp
@@ -20,12 +20,12 @@
         client.reply();
         client.send(pg::Writer().query(sql("h1")).take());
         REQUIRE(rig.loop.until([&] { return rig.admission.open.size() == 1; }));
-        CHECK(rig.admission.last.in_pieces);
+        CHECK(rig.admission.last.may_stream_answer);
         routing::RequestId id = rig.admission.open.begin()->first;
         routing::Responder* responder = rig.admission.open.begin()->second;
         std::string value(100000 + dice.below(1000000), 'v');
         bool breaks = dice.below(3) == 0;
-        responder->began({}, value.size());
+        responder->on_answer_started({}, value.size());
         std::size_t sent = 0;
         std::size_t pauses = 0;
         const std::size_t stop = breaks ? dice.below(value.size()) : value.size();
@@ -37,20 +37,20 @@
                 REQUIRE(rig.loop.until([&] { return rig.admission.resumed > before; }));
                 ++pauses;
             }
-            has_capacity = responder->piece(std::string_view(value).substr(sent, count));
+            has_capacity = responder->on_answer_piece(std::string_view(value).substr(sent, count));
             sent += count;
         }
         CHECK((pauses > 0 || stop < 100000));
         rig.admission.open.erase(id);
         if (breaks) {
-            responder->broken();
+            responder->on_answer_aborted();
             REQUIRE(rig.loop.until([&] { return client.closed; }));
             CHECK(client.in.find("SELECT 1") == std::string::npos);  // no end: the client can see it
             CHECK(rig.front.connections() == 0);
         } else {
             routing::Answer end;
             end.tag = "SELECT 1";
-            responder->served(end);
+            responder->on_answer(end);
             CHECK(client.reply() == "TDCZ");
             CHECK(client.value == value);
             client.send(pg::Writer().query(sql("s2")).take());
@@ -74,10 +74,10 @@
     boost::asio::write(unread, boost::asio::buffer(bytes));
     REQUIRE(loop.until([&] { return admission.open.size() == 1; }));
     routing::Responder* responder = admission.open.begin()->second;
-    responder->began({}, 64 << 20);
+    responder->on_answer_started({}, 64 << 20);
     std::string piece(1 << 20, 'v');
     REQUIRE(loop.until([&] {
-        if (admission.withdrawn == 0) responder->piece(piece);
+        if (admission.withdrawn == 0) responder->on_answer_piece(piece);
         return admission.withdrawn > 0;
     }));
     CHECK(front.connections() == 0);
--- a/tests/adapters/scripted_front.hpp
+++ b/tests/adapters/scripted_front.hpp
@@ -40,13 +40,13 @@
             answer.rows.push_back({page ? request.name + "x" + std::to_string(i) : "", value});
         switch (request.id[0]) {
             case 's':
-                return responder->served(answer);
+                return responder->on_answer(answer);
             case 'r':
-                return responder->ended({routing::FinalError::Kind::rejected, false, 250ms});
+                return responder->on_final_error({routing::FinalError::Kind::rejected, false, 250ms});
             case 'd':
-                return responder->ended({routing::FinalError::Kind::failed, true, {}});
+                return responder->on_final_error({routing::FinalError::Kind::failed, true, {}});
             default:
-                return responder->ended({routing::FinalError::Kind::failed, false, {}});
+                return responder->on_final_error({routing::FinalError::Kind::failed, false, {}});
         }
     }
     Loop& loop;
--- a/tests/adapters/session_consistency_test.cpp
+++ b/tests/adapters/session_consistency_test.cpp
@@ -20,8 +20,8 @@
     void alarm(std::optional<policy::Time>) override {}
 };
 struct AnswerCount : routing::Responder {
-    void served(const routing::Answer&) override { ++answers; }
-    void ended(const routing::FinalError&) override {}
+    void on_answer(const routing::Answer&) override { ++answers; }
+    void on_final_error(const routing::FinalError&) override {}
     int answers = 0;
 };
 
--- a/tests/adapters/whole_path_test.cpp
+++ b/tests/adapters/whole_path_test.cpp
@@ -238,7 +238,7 @@
                                             {pooler.endpoint(0, EndpointState::ready), two});
         else
             pooler.core.apply_endpoint_list(EndpointListKind::changes, {one});
-        REQUIRE(pooler.loop.until([&] { return pooler.core.members() == 2; }));
+        REQUIRE(pooler.loop.until([&] { return pooler.core.endpoint_count() == 2; }));
         if (day == 2) client.response();
         pooler.hosts[2].silent = false;
         two.uid = "new" + std::to_string(day);  // a new machine, then the old one again
@@ -248,12 +248,12 @@
         int before = pooler.hosts[1].queries;
         REQUIRE(pooler.loop.until([&] {
             CHECK(client.get(kPage).status == 200);
-            return pooler.hosts[1].queries > before && pooler.core.members() == 3;
+            return pooler.hosts[1].queries > before && pooler.core.endpoint_count() == 3;
         }));
         two.state = EndpointState::gone;
         pooler.core.apply_endpoint_list(EndpointListKind::changes,
                                         {two, pooler.endpoint(2, EndpointState::ready)});
-        REQUIRE(pooler.loop.until([&] { return pooler.core.members() == 3; }));
+        REQUIRE(pooler.loop.until([&] { return pooler.core.endpoint_count() == 3; }));
     }
 }
 
@@ -330,7 +330,7 @@
     int served = 0;
     for (auto& client : clients) served += client->response().status == 200;
     CHECK(served >= 10);
-    CHECK(pooler.core.links() <= 3);
+    CHECK(pooler.core.connection_count() <= 3);
 }
 
 }  // namespace
--- a/tests/program/operations_test.cpp
+++ b/tests/program/operations_test.cpp
@@ -250,7 +250,7 @@
         late.send(read(++id));
         CHECK(late.reply() == "TDCZ");
         REQUIRE(d.loop.until([&] { return late.closed; }));
-        d.pg.welcome();
+        d.pg.resume_service();
         Client back(d.loop, d.pg.local());
         start(back);
         CHECK(check(back) == "IZ");
--- a/tests/program/resource_budget_test.cpp
+++ b/tests/program/resource_budget_test.cpp
@@ -21,7 +21,7 @@
             if (control) config.control.emplace();
             program::ResourceBudget budget = program::make_resource_budget(config);
             std::size_t reserved = 24 + (rest ? 32 : 16) + (control ? 49 : 0);
-            CHECK(budget.core.links + budget.pg_clients + budget.rest_clients + reserved == 1024);
+            CHECK(budget.core.max_connections + budget.pg_clients + budget.rest_clients + reserved == 1024);
             CHECK((budget.rest_clients > 0) == rest);
             CHECK(budget.served_clients == 170);
         }
@@ -30,7 +30,7 @@
 TEST_CASE("budget: memory is divided by fixed shares, what is unread among the fronts that are on") {
     program::Config config = config_with(1024);
     program::ResourceBudget budget = program::make_resource_budget(config);
-    CHECK(budget.core.bytes == (25u << 20));
+    CHECK(budget.core.max_request_bytes == (25u << 20));
     CHECK(budget.long_statement_bytes == (40u << 20));
     CHECK(budget.unread_bytes == (20u << 20));
     config.rest.enabled = true;
--- a/tests/program/services_test.cpp
+++ b/tests/program/services_test.cpp
@@ -311,8 +311,8 @@
     } driver;
     FakeBackend backend;  // whose connections never come up
     struct Client : routing::Responder {
-        void served(const routing::Answer&) override {}
-        void ended(const routing::FinalError&) override {}
+        void on_answer(const routing::Answer&) override {}
+        void on_final_error(const routing::FinalError&) override {}
     } client;
     for (std::uint32_t request_class : {1u, 2u}) {
         backend.opened.clear();
--- a/tests/program/state_records_test.cpp
+++ b/tests/program/state_records_test.cpp
@@ -42,7 +42,7 @@
     std::string text = program::write_endpoint_list({endpoint}, zones, 41);
     auto list = routing::read_endpoint_listing(nlohmann::json::parse(text), zones);
     CHECK(list.revision == 41);
-    CHECK(list.all);
+    CHECK(list.is_complete);
     REQUIRE(list.members.size() == 1);
     CHECK(list.members[0].uid == "s-1");
     CHECK(list.members[0].address == "127.0.0.1:5432");
--- a/tests/program/upgrade_test.cpp
+++ b/tests/program/upgrade_test.cpp
@@ -94,7 +94,7 @@
     // next sweep, 10 ms later: whether both processes still knew it hung on the machine's speed.
     static routing::CoreLimits limits() {
         routing::CoreLimits l = PgDeployment::limits(64);
-        l.keep_left = 60s;
+        l.delisted_retention = 60s;
         return l;
     }
     void serve() {
--- a/tests/routing/attempt_dispatcher_test.cpp
+++ b/tests/routing/attempt_dispatcher_test.cpp
@@ -15,8 +15,8 @@
 };
 
 struct RecordingResponder : Responder {
-    void served(const Answer&) override { ++answers; }
-    void ended(const FinalError& ending) override { endings.push_back(ending.kind); }
+    void on_answer(const Answer&) override { ++answers; }
+    void on_final_error(const FinalError& ending) override { endings.push_back(ending.kind); }
     bool is_client_present() override { return is_present; }
     int answers = 0;
     std::vector<FinalError::Kind> endings;
--- a/tests/routing/endpoint_registry_test.cpp
+++ b/tests/routing/endpoint_registry_test.cpp
@@ -70,7 +70,7 @@
     endpoints.apply(EndpointListKind::full, {info("a")});
     EndpointId id = *endpoints.find_uid("a");
     endpoints.apply(EndpointListKind::full, {});
-    Time later = registry.clock.now() + CoreLimits{}.keep_left + 1s;
+    Time later = registry.clock.now() + CoreLimits{}.delisted_retention + 1s;
 
     endpoints.sweep(registry.clock.now(), {});
     CHECK(endpoints.size() == 1);
--- a/tests/routing/request_completion_test.cpp
+++ b/tests/routing/request_completion_test.cpp
@@ -10,8 +10,8 @@
 using Departure = RequestAdmission::Departure;
 
 struct RecordingResponder : Responder {
-    void served(const Answer&) override { ++answers; }
-    void ended(const FinalError& ending) override { endings.push_back(ending.kind); }
+    void on_answer(const Answer&) override { ++answers; }
+    void on_final_error(const FinalError& ending) override { endings.push_back(ending.kind); }
     int answers = 0;
     std::vector<FinalError::Kind> endings;
 };
--- a/tests/routing/request_table_test.cpp
+++ b/tests/routing/request_table_test.cpp
@@ -9,8 +9,8 @@
 using namespace routing;
 
 struct IgnoringResponder : Responder {
-    void served(const Answer&) override {}
-    void ended(const FinalError&) override {}
+    void on_answer(const Answer&) override {}
+    void on_final_error(const FinalError&) override {}
 };
 
 ClientRequest request(const std::string& id) {
--- a/tests/support/deployment.hpp
+++ b/tests/support/deployment.hpp
@@ -56,9 +56,9 @@
     }
     static routing::CoreLimits limits(std::size_t links) {
         routing::CoreLimits limits;
-        limits.keep_left = 0s;
+        limits.delisted_retention = 0s;
         limits.sweep = 10ms;
-        limits.links = links;
+        limits.max_connections = links;
         limits.probe_timeout = 2s;
         limits.connect_timeout = 2s;
         return limits;
--- a/tests/support/fake_backend.hpp
+++ b/tests/support/fake_backend.hpp
@@ -14,7 +14,7 @@
         busy = true;
     }
     void probe() override { busy = true; }
-    bool quiet() override { return !noisy; }
+    bool may_be_reused() override { return !noisy; }
     void close() override { closed = true; }
     Owner* owner = nullptr;
     bool up = false, busy = false, closed = false, noisy = false;
