--- a/src/routing/endpoint_listing.cpp
+++ b/src/routing/endpoint_listing.cpp
@@ -34,11 +34,11 @@
 
 EndpointListing read_endpoint_listing(const nlohmann::json& json, const std::vector<std::string>& zones) {
     if (!json.is_object() || !json.contains("targets") || !json["targets"].is_array())
-        throw std::runtime_error("no list of members");
+        throw std::runtime_error("endpoint list: \"targets\" is missing or not an array");
     EndpointListing list;
     try {
         list.revision = json.value("rev", std::int64_t(0));
-        list.all = json.value("all", false);
+        list.is_complete = json.value("all", false);
         for (const auto& target : json["targets"])
             if (target.is_object() && target.contains("uid"))
                 list.members.push_back(read_endpoint(target, zones));
--- a/tests/program/operations_test.cpp
+++ b/tests/program/operations_test.cpp
@@ -263,7 +263,7 @@
         later_client.send(read(++id));
         CHECK(later_client.reply() == "TDCZ");
         REQUIRE(deployment.loop.until([&] { return later_client.closed; }));
-        deployment.pg.welcome();
+        deployment.pg.resume_service();
         Client client_after_diversion(deployment.loop, deployment.pg.local());
         start(client_after_diversion);
         CHECK(check(client_after_diversion) == "IZ");
--- a/tests/program/services_test.cpp
+++ b/tests/program/services_test.cpp
@@ -322,8 +322,8 @@
     } driver;
     FakeBackend backend;  // its connections are never established
     struct IgnoringResponder : routing::Responder {
-        void served(const routing::Answer&) override {}
-        void ended(const routing::FinalError&) override {}
+        void on_answer(const routing::Answer&) override {}
+        void on_final_error(const routing::FinalError&) override {}
     } client;
     for (std::uint32_t request_class : {1u, 2u}) {
         backend.opened.clear();
--- a/tests/program/upgrade_test.cpp
+++ b/tests/program/upgrade_test.cpp
@@ -100,7 +100,7 @@
     // machine's speed.
     static routing::CoreLimits limits() {
         routing::CoreLimits core_limits = PgDeployment::limits(64);
-        core_limits.keep_left = 60s;
+        core_limits.delisted_retention = 60s;
         return core_limits;
     }
     void serve() {
