--- a/tests/routing/endpoint_registry_test.cpp
+++ b/tests/routing/endpoint_registry_test.cpp
@@ -1,5 +1,6 @@
 // EndpointRegistry applies endpoint lists and forgets delisted endpoints.
 #include "routing/endpoint_registry.hpp"
+
 #include "support/harness.hpp"
 
 namespace indigovane::testing {
