--- a/src/lab/auditor.cpp
+++ b/src/lab/auditor.cpp
@@ -5,120 +5,126 @@
 namespace indigovane::lab {
 
 namespace {
-constexpr Duration kRounding =
-    std::chrono::milliseconds(3);  // positions are rounded down, commits up, on wires
+// Tolerance for rounding: on the wire, positions are rounded down and commits are rounded up.
+constexpr Duration kRounding = std::chrono::milliseconds(3);
+// Breaches beyond this number are not recorded.
 constexpr std::size_t kMaxBreaches = 1000;
 }  // namespace
 
-void Auditor::breach(Time now, const char* rule, std::string what) {
-    if (breaches_.size() < kMaxBreaches) breaches_.push_back({now, rule, std::move(what)});
+void Auditor::record_breach(Time now, const char* rule, std::string description) {
+    if (breaches_.size() < kMaxBreaches) breaches_.push_back({now, rule, std::move(description)});
 }
 
-void Auditor::requested(const std::string& id, Need need, std::uint64_t session) {
-    Request& r = requests_[id];
-    r = {};
-    r.need = need;
-    if (auto it = commits_.find(session); need == Need::session && it != commits_.end()) r.needs = it->second;
+void Auditor::request_sent(const std::string& id, Requirement requirement, std::uint64_t session) {
+    RequestRecord& request = requests_[id];
+    request = {};
+    request.requirement = requirement;
+    if (auto it = last_commits_.find(session);
+        requirement == Requirement::session && it != last_commits_.end())
+        request.required_position = it->second;
 }
 
-void Auditor::sent(const std::string& id, std::uint32_t pooler, std::uint32_t host, Time now) {
+void Auditor::attempt_sent(const std::string& id, std::uint32_t pooler, std::uint32_t host, Time now) {
     ++checks_;
     auto it = requests_.find(id);
     if (it == requests_.end())
-        return breach(now, "known", "a host was sent " + id + ", which no client asked");
-    Request& r = it->second;
-    // A request's attempts are never out at once.
-    if (++r.out > 1) breach(now, "copies", id + " is out at two hosts");
-    r.last_sent = now;
-    // Nothing new goes to a host that drains or is gone later than 2 s after its pooler was told.
-    auto draining = draining_.find({pooler, host});
-    if (draining != draining_.end() && now > draining->second + limits_.drain)
-        breach(now, "drain", "host " + std::to_string(host) + " was sent " + id + " after it drained");
+        return record_breach(now, "known", "a host was sent " + id + ", which no client asked");
+    RequestRecord& request = it->second;
+    // A request has at most one attempt in flight.
+    if (++request.attempts_in_flight > 1) record_breach(now, "copies", id + " is out at two hosts");
+    request.last_sent = now;
+    // A pooler sends no new request to a host later than `limits_.drain_grace` (2 s by default, with slack)
+    // after it was notified that the host drains.
+    auto draining = notified_draining_at_.find({pooler, host});
+    if (draining != notified_draining_at_.end() && now > draining->second + limits_.drain_grace)
+        record_breach(now, "drain", "host " + std::to_string(host) + " was sent " + id + " after it drained");
 }
 
-void Auditor::attempt_over(const std::string& id) {
+void Auditor::attempt_ended(const std::string& id) {
     auto it = requests_.find(id);
-    if (it != requests_.end() && it->second.out > 0) --it->second.out;
+    if (it != requests_.end() && it->second.attempts_in_flight > 0) --it->second.attempts_in_flight;
 }
 
 void Auditor::notified_draining(std::uint32_t pooler, std::uint32_t host, Time now) {
-    draining_.try_emplace({pooler, host}, now);
+    notified_draining_at_.try_emplace({pooler, host}, now);
 }
 void Auditor::notified_ready(std::uint32_t pooler, std::uint32_t host) {
-    draining_.erase({pooler, host});
+    notified_draining_at_.erase({pooler, host});
 }
 
-void Auditor::answered(const std::string& id, Time position, bool fresh, Time now) {
+void Auditor::request_answered(const std::string& id, Time position, bool from_primary, Time now) {
     ++checks_;
     auto it = requests_.find(id);
     if (it == requests_.end())
-        return breach(now, "answer", "an answer for " + id + ", which nobody waits for");
-    Request& r = it->second;
+        return record_breach(now, "answer", "an answer for " + id + ", which nobody waits for");
+    RequestRecord& request = it->second;
     // Each request ends in one final answer.
-    if (++r.answers > 1) breach(now, "answer", id + " was answered twice");
-    if (fresh) return;
-    // No read is answered from data older than its class allows when it was sent.
-    if (r.need == Need::bounded && position + limits_.staleness_bound < r.last_sent)
-        breach(now, "stale", id + " is older than its bound");
-    // A session sees what it has written.
-    if (r.need == Need::session && position + kRounding < r.needs)
-        breach(now, "stale", id + " misses its session's write");
+    if (++request.answers > 1) record_breach(now, "answer", id + " was answered twice");
+    if (from_primary) return;
+    // A bounded read is not answered from data that was older than its class's bound when the read was sent.
+    if (request.requirement == Requirement::bounded && position + limits_.staleness_bound < request.last_sent)
+        record_breach(now, "stale", id + " is older than its bound");
+    // A session read sees the session's own writes.
+    if (request.requirement == Requirement::session && position + kRounding < request.required_position)
+        record_breach(now, "stale", id + " misses its session's write");
 }
 
-void Auditor::refused(const std::string& id, Time now) {
+void Auditor::request_ended_with_error(const std::string& id, Time now) {
     ++checks_;
     auto it = requests_.find(id);
     if (it == requests_.end())
-        return breach(now, "answer", "a refusal for " + id + ", which nobody waits for");
-    if (++it->second.answers > 1) breach(now, "answer", id + " was answered twice");
+        return record_breach(now, "answer", "a refusal for " + id + ", which nobody waits for");
+    if (++it->second.answers > 1) record_breach(now, "answer", id + " was answered twice");
 }
 
 void Auditor::client_left(const std::string& id) {
     if (auto it = requests_.find(id); it != requests_.end()) ++it->second.answers;
 }
 
-void Auditor::committed(std::uint64_t session, Time commit) {
-    Time& known = commits_[session];
-    known = std::max(known, commit);
+void Auditor::write_committed(std::uint64_t session, Time commit) {
+    Time& last = last_commits_[session];
+    last = std::max(last, commit);
 }
 
 Time Auditor::last_commit(std::uint64_t session) const {
-    auto it = commits_.find(session);
-    return it == commits_.end() ? Time{} : it->second;
+    auto it = last_commits_.find(session);
+    return it == last_commits_.end() ? Time{} : it->second;
 }
 
 void Auditor::host_started(std::uint32_t host, Time now, double capacity) {
     warming_hosts_[host] = {now, capacity, {}};
 }
 
-// A host that has just started is not pushed over: the work sent to it within any window stays under a
-// multiple of what it can do then.
+// A host in slow start is not overloaded: the work sent to it within any window stays below a multiple of its
+// capacity at that time.
 void Auditor::work_sent(std::uint32_t host, Duration amount, Time now) {
     auto it = warming_hosts_.find(host);
     if (it == warming_hosts_.end()) return;
     ++checks_;
-    WarmingHost& c = it->second;
-    if (now > c.started + limits_.ramp) {
+    WarmingHost& warming_host = it->second;
+    if (now > warming_host.started + limits_.slow_start_ramp) {
         warming_hosts_.erase(it);
         return;
     }
-    std::erase_if(c.recent, [&](auto& w) { return w.first + limits_.overload_window < now; });
-    c.recent.emplace_back(now, amount);
-    double sum = 0;
-    for (auto& [at, w] : c.recent) sum += double(w.count()) / 1e6;
-    double warm = std::min(1.0, limits_.slow_start_share + (1 - limits_.slow_start_share) *
-                                                               double((now - c.started).count()) /
-                                                               double(limits_.ramp.count()));
-    double window = double(limits_.overload_window.count()) / 1e6;
-    if (sum > limits_.overload_multiple * warm * c.capacity * window) {
-        breach(now, "cold", "host " + std::to_string(host) + " was pushed over while it was cold");
+    std::erase_if(warming_host.recent_work,
+                  [&](auto& sent_work) { return sent_work.first + limits_.overload_window < now; });
+    warming_host.recent_work.emplace_back(now, amount);
+    double sent_s = 0;
+    for (auto& [sent_at, work] : warming_host.recent_work) sent_s += double(work.count()) / 1e6;
+    double capacity_share =
+        std::min(1.0, limits_.slow_start_share + (1 - limits_.slow_start_share) *
+                                                     double((now - warming_host.started).count()) /
+                                                     double(limits_.slow_start_ramp.count()));
+    double window_s = double(limits_.overload_window.count()) / 1e6;
+    if (sent_s > limits_.overload_multiple * capacity_share * warming_host.capacity * window_s) {
+        record_breach(now, "cold", "host " + std::to_string(host) + " was pushed over while it was cold");
         warming_hosts_.erase(it);
     }
 }
 
 void Auditor::finish(Time now) {
-    for (auto& [id, r] : requests_)
-        if (r.answers == 0) breach(now, "answer", id + " has no answer");
+    for (auto& [id, request] : requests_)
+        if (request.answers == 0) record_breach(now, "answer", id + " has no answer");
 }
 
 }  // namespace indigovane::lab
--- a/src/lab/discovery.hpp
+++ b/src/lab/discovery.hpp
@@ -1,4 +1,5 @@
-// The model of discovery: pushes list changes late, or is one service that all poolers poll.
+// The model of discovery. It either pushes list changes with a delay, or is a single service that all poolers
+// poll.
 #pragma once
 
 #include <vector>
@@ -12,15 +13,16 @@
   public:
     explicit Discovery(World& world) : world_(world) {}
 
-    // What a pooler starts with, and how it receives changes from then on.
+    // Gives a pooler its first list, and answers its polls from then on.
     void add(SimulatedPooler& pooler);
-    // Every pooler is told of the host's state, each at a moment of its own.
+    // Notifies every pooler of the host's state, each after its own random delay.
     void notify(const Host& host);
-    void begin_outage();  // watches end
-    void end_outage() { out_of_reach_ = false; }
+    // Ends all watches, and lets polls fail until end_outage().
+    void begin_outage();
+    void end_outage() { is_unreachable_ = false; }
 
   private:
-    bool polled() const;
+    bool is_polled() const;
     routing::EndpointInfo describe(const Host& host) const;
     std::vector<routing::EndpointInfo> describe_all() const;
     void deliver(std::uint32_t pooler, std::uint32_t host, const routing::EndpointInfo& info);
@@ -28,8 +30,9 @@
     void poll(SimulatedPooler& pooler);
 
     World& world_;
-    bool out_of_reach_ = false;
-    Time service_free_at_{};  // where lists are polled
+    bool is_unreachable_ = false;
+    // Time at which the service can answer its next call. Only with polled lists.
+    Time service_free_at_{};
 };
 
 }  // namespace indigovane::lab
--- a/src/lab/fault_schedule.cpp
+++ b/src/lab/fault_schedule.cpp
@@ -12,11 +12,13 @@
 
 void FaultSchedule::schedule_all() {
     for (const Fault& fault : world_.options.faults)
-        world_.timeline.at(World::at_seconds(fault.begins_s), Rank::world, [this, &fault] { begin(fault); });
+        world_.timeline.schedule_at(World::at_seconds(fault.start_s), EventRank::world,
+                                    [this, &fault] { begin(fault); });
 }
 
-void FaultSchedule::at_end(const Fault& fault, std::function<void()> then) {
-    world_.timeline.after(World::duration_of_seconds(fault.lasts_s), Rank::world, std::move(then));
+void FaultSchedule::at_end(const Fault& fault, std::function<void()> action) {
+    world_.timeline.schedule_after(World::duration_of_seconds(fault.duration_s), EventRank::world,
+                                   std::move(action));
 }
 
 void FaultSchedule::begin(const Fault& fault) {
@@ -27,11 +29,11 @@
 bool FaultSchedule::begin_traffic_fault(const Fault& fault) {
     switch (fault.kind) {
         case Kind::surge:
-            world_.clients.begin_surge(fault.size);
-            at_end(fault, [this, size = fault.size] { world_.clients.end_surge(size); });
+            world_.clients.begin_surge(fault.magnitude);
+            at_end(fault, [this, magnitude = fault.magnitude] { world_.clients.end_surge(magnitude); });
             return true;
         case Kind::hot_client:
-            world_.clients.set_hot_client(fault.size);
+            world_.clients.set_hot_client(fault.magnitude);
             at_end(fault, [this] { world_.clients.set_hot_client(0); });
             return true;
         case Kind::discovery_outage:
@@ -46,19 +48,19 @@
 bool FaultSchedule::begin_host_fault(const Fault& fault) {
     switch (fault.kind) {
         case Kind::replication_lag:
-            for (Host* host : choose_hosts(fault.part, true)) fall_behind(*host, fault);
+            for (Host* host : choose_hosts(fault.affected_share, true)) fall_behind(*host, fault);
             return true;
         case Kind::slow_hosts:
-            for (Host* host : choose_hosts(fault.part, false)) {
-                host->slowdown *= fault.size;
-                at_end(fault, [host, size = fault.size] { host->slowdown /= size; });
+            for (Host* host : choose_hosts(fault.affected_share, false)) {
+                host->slowdown *= fault.magnitude;
+                at_end(fault, [host, magnitude = fault.magnitude] { host->slowdown /= magnitude; });
             }
             return true;
         case Kind::drain:
-            for (Host* host : choose_hosts(fault.part, true)) drain(*host, fault);
+            for (Host* host : choose_hosts(fault.affected_share, true)) drain(*host, fault);
             return true;
         case Kind::crash:
-            for (Host* host : choose_hosts(fault.part, true)) {
+            for (Host* host : choose_hosts(fault.affected_share, true)) {
                 world_.crash(*host, World::CrashMode::connections_reset);
                 at_end(fault, [this, host] { world_.restart(*host); });
             }
@@ -69,21 +71,21 @@
 }
 
 void FaultSchedule::fall_behind(Host& host, const Fault& fault) {
-    host.fall_behind(World::duration_of_seconds(fault.size));
+    host.fall_behind(World::duration_of_seconds(fault.magnitude));
     at_end(fault, [&host] { host.catch_up(); });
 }
 
 void FaultSchedule::drain(Host& host, const Fault& fault) {
-    host.draining = true;
+    host.is_draining = true;
     world_.discovery.notify(host);
     at_end(fault, [this, &host] {
-        host.draining = false;
+        host.is_draining = false;
         world_.discovery.notify(host);
     });
 }
 
 bool FaultSchedule::begin_zone_fault(const Fault& fault) {
-    auto zone = std::uint32_t(fault.size);
+    auto zone = std::uint32_t(fault.magnitude);
     switch (fault.kind) {
         case Kind::zone_vanishes:
         case Kind::zone_resets:
@@ -98,7 +100,7 @@
             at_end(fault, [this, zone] { world_.network.make_two_way(zone); });
             return true;
         case Kind::zone_flapping:
-            flap(zone, world_.timeline.now() + World::duration_of_seconds(fault.lasts_s));
+            flap(zone, world_.timeline.now() + World::duration_of_seconds(fault.duration_s));
             return true;
         default:
             return false;
@@ -106,12 +108,13 @@
 }
 
 void FaultSchedule::lose_zone(const Fault& fault) {
-    bool resets = fault.kind == Kind::zone_resets;
-    for (auto& owned : world_.hosts) {
-        Host& host = *owned;
-        if (host.zone != std::uint32_t(fault.size) || !host.up()) continue;
-        world_.crash(host, resets ? World::CrashMode::connections_reset : World::CrashMode::unresponsive);
-        host.refuses_connections = resets;
+    bool resets_connections = fault.kind == Kind::zone_resets;
+    for (auto& owned_host : world_.hosts) {
+        Host& host = *owned_host;
+        if (host.zone != std::uint32_t(fault.magnitude) || !host.is_up()) continue;
+        world_.crash(
+            host, resets_connections ? World::CrashMode::connections_reset : World::CrashMode::unresponsive);
+        host.refuses_connections = resets_connections;
         at_end(fault, [this, &host] { world_.restart(host); });
     }
 }
@@ -121,17 +124,18 @@
         world_.network.heal_partition(zone);
         return;
     }
-    bool open = world_.network.heal_partition(zone);
-    if (!open) world_.network.partition(zone);
-    world_.timeline.after(open ? 300ms : 700ms, Rank::world, [this, zone, until] { flap(zone, until); });
+    bool was_partitioned = world_.network.heal_partition(zone);
+    if (!was_partitioned) world_.network.partition(zone);
+    world_.timeline.schedule_after(was_partitioned ? 300ms : 700ms, EventRank::world,
+                                   [this, zone, until] { flap(zone, until); });
 }
 
 void FaultSchedule::begin_pooler_fault(const Fault& fault) {
     auto& poolers = world_.poolers;
-    auto count = std::size_t(std::llround(fault.part * double(poolers.size())));
+    auto count = std::size_t(std::llround(fault.affected_share * double(poolers.size())));
     for (std::uint32_t i = 0; i < std::min(count, poolers.size()); ++i) {
         if (fault.kind == Kind::pooler_paused) {
-            poolers[i]->paused_until = world_.timeline.now() + World::duration_of_seconds(fault.lasts_s);
+            poolers[i]->paused_until = world_.timeline.now() + World::duration_of_seconds(fault.duration_s);
         } else if (fault.kind == Kind::pooler_disconnected) {
             world_.network.disconnect_pooler(i);
             at_end(fault, [this, i] { world_.network.reconnect_pooler(i); });
@@ -141,13 +145,13 @@
     }
 }
 
-std::vector<Host*> FaultSchedule::choose_hosts(double part, bool replicas_only) {
+std::vector<Host*> FaultSchedule::choose_hosts(double share, bool replicas_only) {
     std::vector<Host*> chosen;
     for (auto& host : world_.hosts)
-        if (!replicas_only || !host->primary) chosen.push_back(host.get());
+        if (!replicas_only || !host->is_primary) chosen.push_back(host.get());
     for (std::size_t i = chosen.size(); i > 1; --i)
         std::swap(chosen[i - 1], chosen[world_.fault_stream.below(i)]);
-    auto count = std::size_t(std::max(1.0, part * double(chosen.size()) + 0.5));
+    auto count = std::size_t(std::max(1.0, share * double(chosen.size()) + 0.5));
     chosen.resize(std::min(chosen.size(), count));
     std::sort(chosen.begin(), chosen.end(), [](Host* a, Host* b) { return a->number < b->number; });
     return chosen;
--- a/src/lab/fault_schedule.hpp
+++ b/src/lab/fault_schedule.hpp
@@ -1,4 +1,4 @@
-// Brings a run's faults about, and ends them.
+// Starts and ends the faults of a run.
 #pragma once
 
 #include <functional>
@@ -15,7 +15,8 @@
   public:
     explicit FaultSchedule(World& world) : world_(world) {}
 
-    void schedule_all();  // of the world's options
+    // Schedules all faults of the run's options.
+    void schedule_all();
 
   private:
     void begin(const Fault& fault);
@@ -26,9 +27,11 @@
     void fall_behind(Host& host, const Fault& fault);
     void drain(Host& host, const Fault& fault);
     void lose_zone(const Fault& fault);
+    // Partitions and heals the zone in turn. Heals it for good at the time `until`.
     void flap(std::uint32_t zone, Time until);
-    void at_end(const Fault& fault, std::function<void()> then);
-    std::vector<Host*> choose_hosts(double part, bool replicas_only);
+    void at_end(const Fault& fault, std::function<void()> action);
+    // Draws this share of the hosts, at least one, ordered by number.
+    std::vector<Host*> choose_hosts(double share, bool replicas_only);
 
     World& world_;
 };
--- a/src/lab/fleet.hpp
+++ b/src/lab/fleet.hpp
@@ -1,5 +1,6 @@
-// A whole installation in virtual time: clients, poolers (the real core with the real routing policy), hosts,
-// the network between them, and the faults that befall them. One thread, one seed: the same again each time.
+// Emulates a whole installation in virtual time: clients, poolers (the real core with the real routing
+// policy), hosts, the network between them, and faults. It uses one thread and one seed, so equal options
+// give equal results.
 #pragma once
 
 #include "lab/fleet_options.hpp"
--- a/src/lab/fleet_options.cpp
+++ b/src/lab/fleet_options.cpp
@@ -24,10 +24,10 @@
                        {"own-read", Consistency::session, 0.2, 1, 0, 118ms, 500ms, 1200ms},
                        {"fresh-read", Consistency::fresh, 0.021, 1, 0, 118ms, 600ms, 2s},
                        {"booking-write", Consistency::write, 0.079, 4, 0.5, 180ms, 1500ms, 5s}};
-    options.one_way = 600us;
+    options.one_way_delay = 600us;
     options.replication_delay = 9ms;
     options.slow_start_share = 0.18;
-    options.ramp = 16s;
+    options.slow_start_ramp = 16s;
     options.overload_multiple = 2;
     options.overload_window = 1500ms;
     options.drain_grace = 1s;
--- a/src/lab/fleet_options.hpp
+++ b/src/lab/fleet_options.hpp
@@ -1,4 +1,4 @@
-// What an emulated fleet is made of, and the faults that befall it. Defaults describe a small calm fleet.
+// The options of an emulated fleet, and its faults. The defaults describe a small fleet without faults.
 #pragma once
 
 #include <chrono>
@@ -16,95 +16,134 @@
 using routing::Duration;
 using routing::Time;
 
-// One class of request, as clients send it and as the poolers' settings describe it.
+// A class of requests, for the clients that send it and for the poolers' settings.
 struct ClassOptions {
     std::string name;
     policy::Consistency consistency = policy::Consistency::bounded;
-    double share = 1;            // of all requests; the last class gets what is left
-    double priority_weight = 1;  // earned by an answer within the objective
-    double late_share = 0;       // of the weight, earned by a later answer
-    Duration work{};             // of an attempt at a warm host: the mean; half of it to one and a half times
+    // Share of all requests. The last class gets the remainder.
+    double share = 1;
+    // Weight earned by an answer within the latency objective.
+    double priority_weight = 1;
+    // Share of the weight that is earned by a later answer.
+    double late_share = 0;
+    // Mean time that an attempt takes on a warm host. Times are uniform between 0.5 and 1.5 times the mean.
+    Duration work{};
     Duration latency_objective{}, deadline{};
 };
 
-// A fault begins at `begins_s` and is over after `lasts_s` seconds.
+// A fault that starts at `start_s` and ends `duration_s` seconds later. `magnitude` and `affected_share` (a
+// share from 0 to 1) have the meaning given with each kind.
 struct Fault {
     enum class Kind {
-        surge,             // `size`: traffic times that
-        replication_lag,   // `size`: seconds that `part` of the replicas are behind
-        crash,             // `part` of the replicas end, and are back warming up when it is over
-        drain,             // `part` of the replicas drain, and are ready again when it is over
-        slow_hosts,        // `part` of the hosts take `size` times as long, and report nothing of it
-        restart_poolers,   // `part` of the poolers end and start with nothing, all at its beginning
-        discovery_outage,  // calls fail, watches end, and changes wait to be polled
-        hot_client,        // `size`: share of all traffic that one pooler gets beside its own
-        zone_vanishes,     // zone `size`: its hosts vanish, and are back warming up when it is over
-        zone_resets,     // zone `size`: its processes die; connections are reset and refused until it is over
-        zone_partition,  // zone `size`: nothing passes between it and the other zones
-        zone_one_way,    // zone `size`: requests reach its hosts, responses to other zones are lost
-        zone_flapping,   // zone `size`: partitioned for 700 ms, connected for 300 ms, and so on
-        pooler_disconnected,  // `part` of the poolers reach no host
-        pooler_paused,        // `part` of the poolers stand still, and go on when it is over
+        // The rate of requests is multiplied by `magnitude`.
+        surge,
+        // `affected_share` of the replicas fall behind by `magnitude` seconds.
+        replication_lag,
+        // `affected_share` of the replicas crash. They restart in slow start when the fault ends.
+        crash,
+        // `affected_share` of the replicas drain. They are ready again when the fault ends.
+        drain,
+        // `affected_share` of the hosts take `magnitude` times as long, without reporting it.
+        slow_hosts,
+        // `affected_share` of the poolers restart without any state, all at the start of the fault.
+        restart_poolers,
+        // Calls fail, watches end, and poolers learn of changes only when they poll again.
+        discovery_outage,
+        // One pooler gets the share `magnitude` of all requests in addition to its own.
+        hot_client,
+        // The hosts of zone `magnitude` stop responding. They restart in slow start when the fault ends.
+        zone_vanishes,
+        // The processes of zone `magnitude` die. Connections are reset and refused until the fault ends.
+        zone_resets,
+        // No message passes between zone `magnitude` and the other zones.
+        zone_partition,
+        // Requests reach the hosts of zone `magnitude`; their responses to other zones are lost.
+        zone_one_way,
+        // Zone `magnitude` is partitioned for 700 ms and connected for 300 ms in turn.
+        zone_flapping,
+        // `affected_share` of the poolers reach no host.
+        pooler_disconnected,
+        // `affected_share` of the poolers stop running, and continue when the fault ends.
+        pooler_paused,
     } kind = Kind::surge;
-    double begins_s = 0, lasts_s = 0, size = 1, part = 1;
+    double start_s = 0, duration_s = 0, magnitude = 1, affected_share = 1;
 };
 
 struct FleetOptions {
-    // Size. Hosts of a group, and poolers, are spread over the zones in turn.
+    // Size of the fleet. The hosts of a group, and the poolers, are spread over the zones in turn.
     unsigned poolers = 4;
     unsigned groups = 2;
     unsigned hosts_per_group = 4;
     unsigned zones = 1;
+    // Time in which clients send new requests. The run continues after it for twice the longest deadline and
+    // 1 s.
     double seconds = 20;
 
-    // A host.
+    // Settings of each host.
     unsigned cores = 3;
-    std::size_t queue = 40;              // requests that wait at most
-    std::size_t connections = 200;       // at most
-    bool hosts_check_staleness = false;  // hosts reject reads that they are too far behind for
-    bool hosts_drop_cancelled = true;    // a host drops what was cancelled while it waited
-    bool answers_tell_position = true;   // else only a write's commit
-    bool reports_cpu = false;  // health checks report how busy the cores are, in place of requests in flight
-    // Share of a core's time in which a replica applies the log. What its cores are taken up with beyond
-    // their number holds the log up, and the host answers as fast as ever. 0: it always keeps up.
+    // Greatest number of queued requests.
+    std::size_t max_queued_requests = 40;
+    // Greatest number of open connections.
+    std::size_t max_connections = 200;
+    // Replicas answer with a miss to reads that require a later log position than they have reached.
+    bool hosts_check_staleness = false;
+    // A host drops queued work that is cancelled.
+    bool hosts_drop_cancelled = true;
+    // Every answer tells the log position of the host. If false, only the answers to writes do.
+    bool answers_tell_position = true;
+    // Health checks report the share of busy cores instead of the number of requests in flight.
+    bool reports_cpu = false;
+    // Share of one core's time that a replica needs to apply the log. Work in flight beyond the number of
+    // cores slows the apply of the log, while the host answers as fast as before. 0: the log always keeps up.
     double log_apply_load = 0;
-    double election_s = 3;  // a primary that is gone for so long gives way to a replica; 0: never
+    // Seconds after its crash at which a primary that is still down is replaced by a replica; 0: never.
+    double election_delay_s = 3;
 
-    // Slow start: a host that has started can do this share of its work, all of it after `ramp`; the auditor
-    // counts an overload above `overload_multiple` of that within `overload_window`.
+    // Slow start: a started host has this share of its capacity, which grows to all of it within
+    // `slow_start_ramp`. The auditor counts an overload if the work sent within `overload_window` exceeds
+    // `overload_multiple` times that capacity.
     double slow_start_share = 0.2;
-    Duration ramp = std::chrono::seconds(17);
+    Duration slow_start_ramp = std::chrono::seconds(17);
     double overload_multiple = 2.5;
     Duration overload_window = std::chrono::seconds(2);
 
     // Clients.
-    double rate = 300;  // first attempts a second, all together
+    // Requests per second of all clients together, without retries.
+    double rate = 300;
     unsigned sessions = 400;
-    unsigned retries = 0;               // of a client, at once
-    bool clients_carry_tokens = false;  // a session's read says how long ago its last write was committed
+    // Retries that a client makes of a rejected request, each at once.
+    unsigned max_client_retries = 0;
+    // Requests of sessions carry the log position of the session's last commit.
+    bool clients_carry_tokens = false;
     std::vector<ClassOptions> classes;
 
     // Network and discovery.
-    Duration one_way = std::chrono::microseconds(700);
+    // Network delay in one direction.
+    Duration one_way_delay = std::chrono::microseconds(700);
     Duration replication_delay = std::chrono::milliseconds(10);
-    Duration notification_delay = std::chrono::milliseconds(800);  // of a pushed list change, at most
-    // Lists are polled: one service takes so many calls a second, one after the other, and fails those that
-    // have waited for a second. 0: lists are pushed.
+    // Greatest delay of a notification of a list change.
+    Duration notification_delay = std::chrono::milliseconds(800);
+    // Above 0, lists are polled from a single service that answers this many calls per second, one at a time.
+    // Calls that would wait for more than a second fail. 0: lists are pushed.
     double list_calls_per_second = 0;
 
     // The poolers' settings.
     bool hedging = false;
     double health_check_price = 0;
     Duration drain_grace = std::chrono::seconds(2);
-    Duration staleness_bound = std::chrono::seconds(3);  // of bounded reads
-    std::optional<site::Settings> sites;                 // none: sites are not watched
+    // Greatest age of the data of bounded reads.
+    Duration staleness_bound = std::chrono::seconds(3);
+    // std::nullopt: sites are not watched.
+    std::optional<site::Settings> sites;
 
     std::vector<Fault> faults;
     std::uint64_t seed = 1;
-    std::uint64_t permutation = 0;  // of events at one instant; 0: in the order of their setting
+    // Seed of the order of events with the same time and rank; 0: the order of scheduling.
+    std::uint64_t permutation = 0;
+    // The run is cut short after this many events.
     std::uint64_t max_events = 200'000'000;
 
-    // Planted defects, for tests of the auditor: what a broken pooler would do.
+    // A defect planted to test the auditor. The auditor observes what a pooler with this defect would do.
     enum class Defect {
         none,
         duplicate_attempt,
@@ -115,9 +154,11 @@
     } defect = Defect::none;
 };
 
-// Three classes like a laundry's: pushed lists, remembered tokens, a bound of seconds.
+// A fleet like that of a laundry: three classes, pushed lists, session tokens remembered by the poolers, and
+// a staleness bound of seconds.
 FleetOptions usual_fleet();
-// Four classes like a charging map's: tight bounds, polled lists, carried tokens, lag not told by answers.
+// A fleet like that of a map of charging stations: four classes, tight staleness bounds, polled lists,
+// session tokens carried by clients, and answers that don't tell the host's log position.
 FleetOptions station_fleet();
 
 }  // namespace indigovane::lab
--- a/src/lab/host_connection.hpp
+++ b/src/lab/host_connection.hpp
@@ -1,5 +1,5 @@
-// One connection between a pooler and a host. Bytes take the network's time; a close is seen at once on this
-// side and later on the other.
+// A connection between a pooler and a host. Messages take the network's delay. The pooler's close takes
+// effect at once for the pooler, and after the network's delay for the host.
 #pragma once
 
 #include <memory>
@@ -17,33 +17,39 @@
   public:
     HostConnection(World& world, std::uint32_t pooler, Host& host, Owner& owner);
 
-    std::uint64_t number() const { return number_; }  // by opening
+    // Connections are numbered in the order in which they were opened.
+    std::uint64_t number() const { return number_; }
     void open(Duration timeout);
     void submit(const routing::ClientRequest& request, Duration remaining,
-                std::optional<std::int64_t> needs) override;
+                std::optional<std::int64_t> required_position) override;
     void probe() override;
     bool may_be_reused() override;
     void close() override;
+    // The host's side of the connection has ended.
     void on_broken_by_host();
 
   private:
-    bool gone() const { return !owner_ || incarnation_ != host_.incarnation(); }
-    void arrive(const routing::ClientRequest& request, std::optional<std::int64_t> needs);
-    void finish_work(bool write);
-    void answer(routing::AttemptResult result);
-    void end_later(Duration wait);
-    void clear_request();
+    bool is_gone() const { return !owner_ || incarnation_ != host_.incarnation(); }
+    void receive(const routing::ClientRequest& request, std::optional<std::int64_t> required_position);
+    void finish_work(bool is_write);
+    void send_result(routing::AttemptResult result);
+    void end_later(Duration delay);
+    void end_attempt();
 
     World& world_;
     std::uint64_t number_;
     std::uint32_t pooler_;
     Host& host_;
-    Owner* owner_;  // none: closed
+    Owner* owner_;  // null: the connection is closed
     std::uint64_t incarnation_ = 0;
-    std::uint64_t work_ = 0;  // at the host
-    std::string request_;     // in flight on it; empty: none
-    bool up_ = false;
-    bool registered_ = false;  // with network and host
+    // Number of the work that the host runs for the request in flight.
+    std::uint64_t work_number_ = 0;
+    // Id of the request in flight; empty if there is none.
+    std::string request_id_;
+    // The startup has completed.
+    bool is_established_ = false;
+    // The network and the host count this connection.
+    bool is_registered_ = false;
 };
 
 }  // namespace indigovane::lab
--- a/src/lab/network.cpp
+++ b/src/lab/network.cpp
@@ -9,11 +9,11 @@
 bool Network::request_passes(std::uint32_t pooler, const Host& host) const {
     if (disconnected_poolers_.count(pooler)) return false;
     std::uint32_t from = zone_of(pooler);
-    return from == host.zone || (!partitioned_.count(from) && !partitioned_.count(host.zone));
+    return from == host.zone || (!partitioned_zones_.count(from) && !partitioned_zones_.count(host.zone));
 }
 
 bool Network::response_passes(std::uint32_t pooler, const Host& host) const {
-    return request_passes(pooler, host) && (zone_of(pooler) == host.zone || !one_way_.count(host.zone));
+    return request_passes(pooler, host) && (zone_of(pooler) == host.zone || !one_way_zones_.count(host.zone));
 }
 
 void Network::add(const Host& host, HostConnection& connection) {
--- a/src/lab/network.hpp
+++ b/src/lab/network.hpp
@@ -1,4 +1,4 @@
-// Which bytes pass between poolers and hosts, and the connections that are open.
+// The model of the network between poolers and hosts: which messages pass, and which connections are open.
 #pragma once
 
 #include <map>
@@ -16,26 +16,31 @@
   public:
     explicit Network(unsigned zones) : zones_(std::max(1U, zones)) {}
 
+    // Poolers are spread over the zones in turn.
     std::uint32_t zone_of(std::uint32_t pooler) const { return pooler % zones_; }
     bool request_passes(std::uint32_t pooler, const Host& host) const;
     bool response_passes(std::uint32_t pooler, const Host& host) const;
 
     void disconnect_pooler(std::uint32_t pooler) { disconnected_poolers_.insert(pooler); }
     void reconnect_pooler(std::uint32_t pooler) { disconnected_poolers_.erase(pooler); }
-    void partition(std::uint32_t zone) { partitioned_.insert(zone); }
-    bool heal_partition(std::uint32_t zone) { return partitioned_.erase(zone) > 0; }  // false: there was none
-    void make_one_way(std::uint32_t zone) { one_way_.insert(zone); }
-    void make_two_way(std::uint32_t zone) { one_way_.erase(zone); }
+    void partition(std::uint32_t zone) { partitioned_zones_.insert(zone); }
+    // Returns false if the zone was not partitioned.
+    bool heal_partition(std::uint32_t zone) { return partitioned_zones_.erase(zone) > 0; }
+    // Responses from the zone's hosts to other zones are lost, while requests still reach them.
+    void make_one_way(std::uint32_t zone) { one_way_zones_.insert(zone); }
+    void make_two_way(std::uint32_t zone) { one_way_zones_.erase(zone); }
 
     std::uint64_t next_connection() { return ++last_connection_; }
     void add(const Host& host, HostConnection& connection);
     void remove(const Host& host, const HostConnection& connection);
-    void break_connections(const Host& host);  // by the host's end, in the order of their opening
+    // Ends the host's connections from the host's side, in the order in which they were opened.
+    void break_connections(const Host& host);
 
   private:
     unsigned zones_;
-    std::set<std::uint32_t> disconnected_poolers_, partitioned_, one_way_;
-    std::map<std::uint32_t, std::map<std::uint64_t, HostConnection*>> connections_;  // by host and number
+    std::set<std::uint32_t> disconnected_poolers_, partitioned_zones_, one_way_zones_;
+    // Open connections by host number and connection number.
+    std::map<std::uint32_t, std::map<std::uint64_t, HostConnection*>> connections_;
     std::uint64_t last_connection_ = 0;
 };
 
--- a/src/lab/quorum_simulation.cpp
+++ b/src/lab/quorum_simulation.cpp
@@ -13,11 +13,12 @@
 namespace own = ownership;
 
 constexpr Duration kObservationInterval = std::chrono::milliseconds(10);
-constexpr double kSettlingTimeS = 10;  // until all leases should have an owner
+// Seconds after the start within which all leases should have an owner.
+constexpr double kSettlingTimeS = 10;
 constexpr double kMaxLatenessS = 60;
 constexpr std::int64_t kMinTimerUs = 1000;
 
-// Streams of random numbers, one a part of the model.
+// Each part of the model draws its random numbers from its own stream.
 enum StreamPart : std::uint32_t { network_part = 1, fault_part = 2, clock_part = 3, node_part = 4 };
 
 Duration to_duration(double seconds) {
@@ -35,12 +36,14 @@
         for (unsigned v = 0; v < options_.voters; ++v) options_.settings.voters.push_back(NodeId(v));
         for (unsigned i = 0; i < options_.leases; ++i)
             leases_.push_back(lease_id("probe/host-" + std::to_string(i)));
-        for (unsigned n = 0; n < options_.nodes; ++n) members_.push_back(NodeId(n));
+        for (unsigned node_index = 0; node_index < options_.nodes; ++node_index)
+            members_.push_back(NodeId(node_index));
         nodes_.resize(options_.nodes);
-        for (unsigned n = 0; n < options_.nodes; ++n) {
-            nodes_[n].clock_rate = 1 + options_.settings.max_clock_drift * clock_random_.between(-1, 1);
-            nodes_[n].random = std::make_unique<Stream>(options_.seed, node_part, n);
-            start(n);
+        for (unsigned node_index = 0; node_index < options_.nodes; ++node_index) {
+            nodes_[node_index].clock_rate =
+                1 + options_.settings.max_clock_drift * clock_random_.between(-1, 1);
+            nodes_[node_index].random = std::make_unique<RandomStream>(options_.seed, node_part, node_index);
+            start(node_index);
         }
     }
 
@@ -62,98 +65,107 @@
   private:
     struct Node {
         std::unique_ptr<LeaseNode> lease_node;
-        std::unique_ptr<Stream> random;
+        std::unique_ptr<RandomStream> random;
         std::vector<GrantRecord> store;
-        double clock_rate = 1;  // of its own clock to virtual time
+        // Rate of the node's clock relative to virtual time.
+        double clock_rate = 1;
         std::uint64_t incarnation = 0;
         bool running = false;
         bool paused = false;
         std::vector<std::function<void()>> received_while_paused;
-        std::uint64_t timer = 0;  // the latest set; earlier ones are void
+        // Number of the timer set last. Earlier timers are ignored when they expire.
+        std::uint64_t timer = 0;
     };
     struct ObservedOwner {
-        int node = -1;  // -1: none
+        int node = -1;  // -1: the lease has no owner
         std::uint64_t incarnation = 0;
-        double lost_at_s = -1;  // -1: not lost
+        double lost_at_s = -1;  // -1: the lease has not lost an owner
     };
 
     double now_s() const { return double(timeline_.now().time_since_epoch().count()) / 1e6; }
     void schedule_every(Duration interval, const std::function<void()>& action) {
-        timeline_.after(interval, Rank::timer, [this, interval, action] {
+        timeline_.schedule_after(interval, EventRank::timer, [this, interval, action] {
             action();
             schedule_every(interval, action);
         });
     }
-    // A node's own clock: its rate, and an epoch of its own.
-    own::Time clock(unsigned n) const {
-        auto elapsed = double(timeline_.now().time_since_epoch().count()) * nodes_[n].clock_rate;
-        return own::Time(own::seconds(1000 * (n + 1)) + own::Duration(std::int64_t(elapsed)));
+    // Time on the clock of the node. Each node has its own rate and its own epoch.
+    own::Time clock(unsigned node_index) const {
+        auto elapsed = double(timeline_.now().time_since_epoch().count()) * nodes_[node_index].clock_rate;
+        return own::Time(own::seconds(1000 * (node_index + 1)) + own::Duration(std::int64_t(elapsed)));
+    }
+    Participant participant(unsigned node_index) const {
+        return {NodeId(node_index), nodes_[node_index].incarnation};
     }
-    Participant participant(unsigned n) const { return {NodeId(n), nodes_[n].incarnation}; }
 
-    void start(unsigned n) {
-        Node& node = nodes_[n];
+    void start(unsigned node_index) {
+        Node& node = nodes_[node_index];
         node.running = true;
         node.paused = false;
         ++node.incarnation;
         node.received_while_paused.clear();
-        Stream* random = node.random.get();
+        RandomStream* random = node.random.get();
         node.lease_node = std::make_unique<LeaseNode>(
-            participant(n), options_.settings, node.store, [random] { return random->uniform(); }, clock(n));
-        carry_out(n, node.lease_node->set_members(members_, clock(n)));
-        carry_out(n, node.lease_node->set_leases(leases_, clock(n)));
+            participant(node_index), options_.settings, node.store, [random] { return random->uniform(); },
+            clock(node_index));
+        carry_out(node_index, node.lease_node->set_members(members_, clock(node_index)));
+        carry_out(node_index, node.lease_node->set_leases(leases_, clock(node_index)));
     }
 
-    void crash(std::size_t n) {
-        Node& node = nodes_[n];
+    void crash(std::size_t node_index) {
+        Node& node = nodes_[node_index];
         if (!node.running || node.paused) return;
         node.running = false;
-        record_owner_lost(int(n), node.incarnation);
+        record_owner_lost(int(node_index), node.incarnation);
         if (!options_.persistent) node.store.clear();
-        timeline_.after(to_duration(options_.outage_s), Rank::world, [this, n] { start(unsigned(n)); });
+        timeline_.schedule_after(to_duration(options_.outage_s), EventRank::world,
+                                 [this, node_index] { start(unsigned(node_index)); });
     }
 
-    void pause(std::size_t n) {
-        Node& node = nodes_[n];
+    void pause(std::size_t node_index) {
+        Node& node = nodes_[node_index];
         if (!node.running || node.paused) return;
         node.paused = true;
-        record_owner_lost(int(n), node.incarnation);
-        timeline_.after(to_duration(options_.outage_s), Rank::world, [this, n] { resume(unsigned(n)); });
+        record_owner_lost(int(node_index), node.incarnation);
+        timeline_.schedule_after(to_duration(options_.outage_s), EventRank::world,
+                                 [this, node_index] { resume(unsigned(node_index)); });
     }
 
-    // It goes on where it was: with an act that it was about to do, unless it checks its lease first.
-    void resume(unsigned n) {
-        nodes_[n].paused = false;
-        for (LeaseId lease : leases_) act(n, lease);
-        for (auto& receive : std::exchange(nodes_[n].received_while_paused, {})) receive();
-        advance(n);
+    // The node continues where it was paused, with the act that it was about to perform. With
+    // Settings::check_expiry, the node checks its lease first and does not act if it has expired.
+    void resume(unsigned node_index) {
+        nodes_[node_index].paused = false;
+        for (LeaseId lease : leases_) act(node_index, lease);
+        for (auto& receive : std::exchange(nodes_[node_index].received_while_paused, {})) receive();
+        advance(node_index);
     }
 
-    void record_owner_lost(int n, std::uint64_t incarnation) {
+    void record_owner_lost(int node_index, std::uint64_t incarnation) {
         for (auto& [lease, owner] : owners_) {
-            if (owner.node != n || owner.incarnation != incarnation) continue;
+            if (owner.node != node_index || owner.incarnation != incarnation) continue;
             owner.lost_at_s = now_s();
             owner.node = -1;
         }
     }
 
-    void carry_out(unsigned n, const NodeOutput& output) {
-        Node& node = nodes_[n];
+    void carry_out(unsigned node_index, const NodeOutput& output) {
+        Node& node = nodes_[node_index];
         for (const GrantRecord& record : output.persist) {
             std::erase_if(node.store,
                           [&](const GrantRecord& stored) { return stored.lease == record.lease; });
             node.store.push_back(record);
         }
-        for (const ClaimTransition& transition : output.transitions) observe_transition(n, transition);
-        for (const OutgoingMessage& message : output.send) send(n, message);
-        set_timer(n);
+        for (const ClaimTransition& transition : output.transitions)
+            observe_transition(node_index, transition);
+        for (const OutgoingMessage& message : output.send) send(node_index, message);
+        set_timer(node_index);
     }
 
     void send(unsigned from, const OutgoingMessage& message) {
         auto to = unsigned(message.to);
         if (to == from) {
             std::uint64_t incarnation = nodes_[from].incarnation;
-            timeline_.after(Duration(0), Rank::arrival, [this, from, message, incarnation] {
+            timeline_.schedule_after(Duration(0), EventRank::arrival, [this, from, message, incarnation] {
                 if (nodes_[from].incarnation == incarnation) receive(from, message);
             });
             return;
@@ -169,68 +181,74 @@
             network_random_.between(double(options_.min_delay.count()), double(options_.max_delay.count()));
         if (network_random_.uniform() < options_.late_share)
             delay_us += network_random_.between(0, kMaxLatenessS * 1e6);
-        timeline_.after(Duration(std::int64_t(delay_us)), Rank::arrival,
-                        [this, to, message] { receive(to, message); });
+        timeline_.schedule_after(Duration(std::int64_t(delay_us)), EventRank::arrival,
+                                 [this, to, message] { receive(to, message); });
     }
 
-    void receive(unsigned n, const OutgoingMessage& received) {
-        Node& node = nodes_[n];
+    void receive(unsigned node_index, const OutgoingMessage& received) {
+        Node& node = nodes_[node_index];
         if (!node.running) return;
         if (node.paused) {
-            node.received_while_paused.push_back([this, n, received] { receive(n, received); });
+            node.received_while_paused.push_back(
+                [this, node_index, received] { receive(node_index, received); });
             return;
         }
-        carry_out(n,
-                  std::visit([&](const auto& message) { return node.lease_node->receive(message, clock(n)); },
-                             received.message));
+        carry_out(node_index, std::visit(
+                                  [&](const auto& message) {
+                                      return node.lease_node->receive(message, clock(node_index));
+                                  },
+                                  received.message));
     }
 
-    void set_timer(unsigned n) {
-        Node& node = nodes_[n];
+    void set_timer(unsigned node_index) {
+        Node& node = nodes_[node_index];
         auto due = node.lease_node->next_due();
         if (!due) return;
         std::uint64_t timer = ++node.timer;
-        auto delay_us = std::int64_t(double((*due - clock(n)).count()) / node.clock_rate);
-        timeline_.after(Duration(std::max(kMinTimerUs, delay_us)), Rank::timer, [this, n, timer] {
-            if (nodes_[n].timer == timer) advance(n);
-        });
+        auto delay_us = std::int64_t(double((*due - clock(node_index)).count()) / node.clock_rate);
+        timeline_.schedule_after(Duration(std::max(kMinTimerUs, delay_us)), EventRank::timer,
+                                 [this, node_index, timer] {
+                                     if (nodes_[node_index].timer == timer) advance(node_index);
+                                 });
     }
 
-    void advance(unsigned n) {
-        Node& node = nodes_[n];
-        if (node.running && !node.paused) carry_out(n, node.lease_node->advance(clock(n)));
+    void advance(unsigned node_index) {
+        Node& node = nodes_[node_index];
+        if (node.running && !node.paused) carry_out(node_index, node.lease_node->advance(clock(node_index)));
     }
 
-    void observe_transition(unsigned n, const ClaimTransition& transition) {
+    void observe_transition(unsigned node_index, const ClaimTransition& transition) {
         ObservedOwner& owner = owners_[transition.lease];
-        bool is_owner = owner.node == int(n) && owner.incarnation == nodes_[n].incarnation;
+        bool is_owner = owner.node == int(node_index) && owner.incarnation == nodes_[node_index].incarnation;
         if (transition.after == ClaimState::owner) {
             ++summary_.acquisitions;
             if (owner.node >= 0 && !is_owner) ++summary_.false_takeovers;
             if (owner.lost_at_s >= 0) summary_.vacancies_s.push_back(now_s() - owner.lost_at_s);
-            owner = {int(n), nodes_[n].incarnation, -1};
+            owner = {int(node_index), nodes_[node_index].incarnation, -1};
         } else if (is_owner && transition.before == ClaimState::owner) {
-            // Its lease has expired although it is well: whoever comes next is a false takeover.
+            // The lease has expired although its owner runs. If another node acquires it next, that is a
+            // false takeover.
             owner.lost_at_s = now_s();
         }
     }
 
     void act_all() {
-        for (unsigned n = 0; n < options_.nodes; ++n)
-            for (LeaseId lease : leases_) act(n, lease);
+        for (unsigned node_index = 0; node_index < options_.nodes; ++node_index)
+            for (LeaseId lease : leases_) act(node_index, lease);
     }
 
-    void act(unsigned n, LeaseId lease) {
-        Node& node = nodes_[n];
+    void act(unsigned node_index, LeaseId lease) {
+        Node& node = nodes_[node_index];
         if (!node.running || node.paused) return;
-        auto token = node.lease_node->fencing_token(lease, clock(n));
+        auto token = node.lease_node->fencing_token(lease, clock(node_index));
         if (!token) return;
         ++summary_.acts;
         Duration delay(std::int64_t(
             network_random_.between(double(options_.min_delay.count()), double(options_.max_delay.count()))));
         if (network_random_.uniform() < options_.late_share)
             delay += to_duration(network_random_.between(0, kMaxLatenessS));
-        timeline_.after(delay, Rank::arrival, [this, lease, token = *token] { receive_act(lease, token); });
+        timeline_.schedule_after(delay, EventRank::arrival,
+                                 [this, lease, token = *token] { receive_act(lease, token); });
     }
 
     void receive_act(LeaseId lease, const FencingToken& token) {
@@ -248,9 +266,10 @@
     void observe_owners() {
         for (LeaseId lease : leases_) {
             int owners = 0;
-            for (unsigned n = 0; n < options_.nodes; ++n) {
-                const Node& node = nodes_[n];
-                owners += node.running && node.lease_node->fencing_token(lease, clock(n)).has_value();
+            for (unsigned node_index = 0; node_index < options_.nodes; ++node_index) {
+                const Node& node = nodes_[node_index];
+                owners +=
+                    node.running && node.lease_node->fencing_token(lease, clock(node_index)).has_value();
             }
             summary_.concurrent_owners += owners > 1;
             if (now_s() <= kSettlingTimeS) continue;
@@ -260,9 +279,9 @@
     }
 
     QuorumOptions options_;
-    Stream network_random_;
-    Stream fault_random_;
-    Stream clock_random_;
+    RandomStream network_random_;
+    RandomStream fault_random_;
+    RandomStream clock_random_;
     Timeline timeline_;
     std::vector<LeaseId> leases_;
     std::vector<NodeId> members_;
--- a/src/lab/simulated_pooler.cpp
+++ b/src/lab/simulated_pooler.cpp
@@ -5,10 +5,10 @@
 
 namespace indigovane::lab {
 
-SimulatedPooler::SimulatedPooler(World& world, std::uint32_t n, std::uint64_t seed)
+SimulatedPooler::SimulatedPooler(World& world, std::uint32_t pooler_number, std::uint64_t seed)
     : core(static_cast<routing::Driver&>(*this), world.clock, world.settings(), seed, {},
            static_cast<routing::Backend&>(*this), world.logger),
-      number(n),
+      number(pooler_number),
       world_(world) {}
 
 void SimulatedPooler::wake() {
@@ -18,24 +18,24 @@
 
 void SimulatedPooler::schedule_batch(Time at) {
     batch_scheduled_ = true;
-    world_.timeline.at(at, Rank::batch, [this, lifetime = lifetime()] {
+    world_.timeline.schedule_at(at, EventRank::batch, [this, lifetime = lifetime()] {
         if (lifetime.expired()) return;
         batch_scheduled_ = false;
         run_batch();
     });
 }
 
-// One that is paused finds all at once what has come by the time it goes on.
+// A paused pooler handles everything that it has received in one batch when the pause ends.
 void SimulatedPooler::run_batch() {
     if (paused_until && world_.timeline.now() < *paused_until) return schedule_batch(*paused_until);
     core.run_batch();
 }
 
 void SimulatedPooler::alarm(std::optional<Time> at) {
-    std::uint64_t timer = ++timers_set_;
+    std::uint64_t timer = ++last_timer_;
     if (!at) return;
-    world_.timeline.at(*at, Rank::timer, [this, timer, lifetime = lifetime()] {
-        if (lifetime.expired() || timer != timers_set_) return;
+    world_.timeline.schedule_at(*at, EventRank::timer, [this, timer, lifetime = lifetime()] {
+        if (lifetime.expired() || timer != last_timer_) return;
         core.timer_expired();
         wake();
     });
--- a/src/lab/simulated_pooler.hpp
+++ b/src/lab/simulated_pooler.hpp
@@ -1,4 +1,4 @@
-// One pooler: the real core, driven by the timeline instead of an event loop.
+// A pooler in the emulator: the real core, driven by the timeline instead of an event loop.
 #pragma once
 
 #include <memory>
@@ -14,14 +14,16 @@
 
 class SimulatedPooler final : private routing::Driver, private routing::Backend {
   public:
-    SimulatedPooler(World& world, std::uint32_t number, std::uint64_t seed);
+    SimulatedPooler(World& world, std::uint32_t pooler_number, std::uint64_t seed);
 
     routing::Core core;
     const std::uint32_t number;
-    bool watches_list = false;           // where lists are polled: it is told of changes
-    std::optional<Time> paused_until{};  // it does nothing until then
+    // Only with polled endpoint lists: discovery notifies this pooler of changes.
+    bool watches_list = false;
+    // The pooler runs no batch before this time.
+    std::optional<Time> paused_until{};
 
-    // Expires when the pooler's process ends: what was set for it before is void then.
+    // Expires when the pooler's process ends. Events that were scheduled for that process are then ignored.
     std::weak_ptr<const bool> lifetime() const { return lifetime_; }
     void end_process() { lifetime_.reset(); }
 
@@ -34,7 +36,8 @@
     void run_batch();
 
     World& world_;
-    std::uint64_t timers_set_ = 0;
+    // Number of the timer set last. Earlier timers are ignored when they expire.
+    std::uint64_t last_timer_ = 0;
     bool batch_scheduled_ = false;
     std::shared_ptr<const bool> lifetime_ = std::make_shared<const bool>(true);
 };
--- a/src/lab/world.hpp
+++ b/src/lab/world.hpp
@@ -1,5 +1,5 @@
-// All that there is in an emulated run, and what ties its parts together. The parts (network, discovery,
-// clients, fault schedule, poolers, hosts) reach each other through it.
+// The state of an emulated run. It owns the parts of the model (network, discovery, clients, fault schedule,
+// poolers, hosts), which reach each other through it.
 #pragma once
 
 #include <memory>
@@ -25,16 +25,20 @@
     World(const World&) = delete;
     World& operator=(const World&) = delete;
 
+    // Runs the fleet once until its end, and returns the results.
     FleetSummary run();
-    policy::Settings settings() const;  // of every pooler
+    // The routing settings, which are the same for every pooler.
+    policy::Settings settings() const;
 
     enum class CrashMode {
-        connections_reset,  // the machine is there and resets them
-        unresponsive,       // nothing is heard of it
+        connections_reset,  // the machine is reachable and resets the connections
+        unresponsive,       // the machine does not respond at all
     };
     void crash(Host& host, CrashMode mode);
     void restart(Host& host);
     void restart_pooler(std::uint32_t number);
+    // Reports to the auditor what a pooler with the defect duplicate_attempt or overloaded_slow_start would
+    // do. Does nothing for other defects. `host` is the host that the request was sent to.
     void plant_defect(const std::string& request, std::uint32_t pooler, std::uint32_t host);
 
     static Duration duration_of_seconds(double seconds) { return Duration(std::int64_t(seconds * 1e6)); }
@@ -47,7 +51,7 @@
     struct NullLogger final : routing::Logger {
         void log(routing::Level, const char*, const std::string&, const Data&) override {}
     } logger;
-    Stream traffic_stream, work_stream, fault_stream;
+    RandomStream traffic_stream, work_stream, fault_stream;
     FleetSummary summary;
     Network network;
     std::vector<std::unique_ptr<Host>> hosts;
@@ -58,13 +62,14 @@
 
   private:
     void make_hosts();
-    void start_pooler(std::unique_ptr<SimulatedPooler>& place, std::uint32_t number, std::uint64_t seed);
+    void start_pooler(std::unique_ptr<SimulatedPooler>& slot, std::uint32_t number, std::uint64_t seed);
     void schedule_election(std::uint32_t group);
     void elect(std::uint32_t group);
     void schedule_cleanup();
     void finish();
 
-    std::vector<std::unique_ptr<SimulatedPooler>> ended_poolers_;  // connections still refer to them
+    // Kept until the end of the run, because connections still refer to them.
+    std::vector<std::unique_ptr<SimulatedPooler>> ended_poolers_;
 };
 
 }  // namespace indigovane::lab
--- a/tests/lab/quorum_simulation_test.cpp
+++ b/tests/lab/quorum_simulation_test.cpp
@@ -1,4 +1,5 @@
-// Ownership in simulation: real lease nodes, a bad network, nodes that crash, pause and resume.
+// Tests of lease ownership in the simulation: real lease nodes on a network that loses, duplicates and delays
+// datagrams, with nodes that crash, pause and resume.
 #include "lab/quorum_simulation.hpp"
 
 #include <doctest/doctest.h>
@@ -21,17 +22,17 @@
 }
 
 TEST_CASE(
-    "ownership: in a bad network no lease has two owners, no late act counts, leases find owners anew") {
+    "ownership: with faults no lease has two owners, late acts are rejected, and leases get new owners") {
     for (bool persistent : {true, false}) {
         QuorumOptions options = with_faults(10, 3);
         options.persistent = persistent;
         QuorumSummary summary = run(options);
         CHECK(summary.concurrent_owners == 0);
         CHECK(summary.acts_out_of_order == 0);
-        CHECK(summary.rejected_acts > 0);  // late acts have arrived at the fence
+        CHECK(summary.rejected_acts > 0);  // late acts reached the fence
         CHECK(summary.vacancies_s.size() > 50);
-        // A lease's duration, another after a request at a bad moment. Five nodes of ten are voters and fail
-        // too.
+        // A vacancy takes about the duration of a lease, and another one if a request came at an unfortunate
+        // time. Five of the ten nodes are voters, and they fail as well.
         CHECK(summary.vacancy_s(0.5) < 5);
         CHECK(summary.owned_share > 0.6);
         CHECK(run(options).text() == summary.text());
@@ -39,8 +40,8 @@
 }
 
 TEST_CASE(
-    "ownership: a resumed process that does not check its lease acts beside the owner, and the fence rejects "
-    "it") {
+    "ownership: the fence rejects the acts of a resumed process that does not check whether its lease has "
+    "expired") {
     QuorumOptions options = with_faults(10, 4);
     options.settings.check_expiry = false;
     QuorumSummary summary = run(options);
@@ -50,14 +51,14 @@
     CHECK(run(options).acts_out_of_order > 0);
 }
 
-TEST_CASE("ownership: without faults an owner stays, and 10% loss takes no lease from it in a minute") {
+TEST_CASE("ownership: a loss of 10% of the datagrams takes no lease from a running owner within a minute") {
     QuorumOptions options;
     options.loss_share = 0.1;
     QuorumSummary summary = run(options);
     CHECK(summary.false_takeovers == 0);
     CHECK(summary.owned_share > 0.99);
-    // An owner renews three times a lease with five voters, two others request once a lease, all with
-    // replies.
+    // Per lease duration, the owner sends three renewals to five voters, and two other nodes send one request
+    // each. All get replies.
     double max_messages = options.leases * 5 * 2 * (3 * 1.5 + 2 * 1.5) / 3 * options.duration_s;
     CHECK(double(summary.messages) < max_messages);
 }
@@ -72,7 +73,7 @@
             options.leases = nodes / 2;
             options.loss_share = loss;
             options.seed = 7;
-            options.crash_interval_s = 300.0 / nodes;  // each once in five minutes
+            options.crash_interval_s = 300.0 / nodes;  // each node crashes about once in five minutes
             options.duration_s = nodes > 100 ? 60 : 600;
             QuorumSummary summary = run(options);
             std::printf("%6u %6.2f %10.2f %10.2f %8.4f %8llu %14.2f\n", nodes, loss, summary.vacancy_s(0.5),
--- a/tests/lab/recorded_runs_test.cpp
+++ b/tests/lab/recorded_runs_test.cpp
@@ -1,7 +1,8 @@
-// Characterization: emulated fleets (the real core with the decision module, the site controllers and the
-// lease holders in virtual time) give the figures that were recorded, to the byte.
+// Characterization tests: emulated fleets (the real core with the routing policy and the site controllers)
+// and simulated lease holders, in virtual time, give exactly the recorded figures.
 //
-// RUNS_RECORD=FILE writes the recorded lines anew; RUNS_DUMP=DIR leaves each run's whole text there.
+// RUNS_RECORD=FILE appends new recorded lines to the file. RUNS_DUMP=DIR writes the full text of each run
+// there.
 #include <doctest/doctest.h>
 
 #include <cinttypes>
@@ -19,14 +20,15 @@
 
 struct RecordedRun {
     std::string name;
-    std::function<std::string()> text;  // all figures of the run
+    // Performs the run and returns all its figures.
+    std::function<std::string()> text;
 };
 
 FleetOptions small_fleet(FleetOptions options, std::uint64_t seed) {
     options.seconds = 4;
     options.rate = 150;
     options.seed = seed;
-    options.retries = 1;
+    options.max_client_retries = 1;
     return options;
 }
 
@@ -58,22 +60,22 @@
                                                         {Kind::restart_poolers, "restart"},
                                                         {Kind::discovery_outage, "no-discovery"},
                                                         {Kind::hot_client, "hot-client"}};
-    for (auto [kind, name] : host_faults) {
+    for (auto [fault_kind, name] : host_faults) {
         FleetOptions laundry = small_fleet(usual_fleet(), 31);
-        laundry.faults = {{kind, 1, 2, 2, 0.5}};
+        laundry.faults = {{fault_kind, 1, 2, 2, 0.5}};
         runs.push_back(fleet_run(std::string("laundry-") + name, laundry));
-        FleetOptions charging = small_fleet(station_fleet(), 32);
-        charging.faults = laundry.faults;
-        runs.push_back(fleet_run(std::string("charging-") + name, charging));
+        FleetOptions station = small_fleet(station_fleet(), 32);
+        station.faults = laundry.faults;
+        runs.push_back(fleet_run(std::string("charging-") + name, station));
     }
     const std::pair<Kind, const char*> zone_faults[] = {
         {Kind::zone_vanishes, "zone-silent"}, {Kind::zone_resets, "zone-reset"},
         {Kind::zone_partition, "zone-cut"},   {Kind::zone_one_way, "zone-one-way"},
         {Kind::zone_flapping, "zone-flap"},   {Kind::pooler_disconnected, "own-link"},
         {Kind::pooler_paused, "stall"}};
-    for (auto [kind, name] : zone_faults) {
+    for (auto [fault_kind, name] : zone_faults) {
         FleetOptions laundry = zoned_fleet(usual_fleet(), 33);
-        laundry.faults = {{kind, 2, 3, 1, 0.3}};
+        laundry.faults = {{fault_kind, 2, 3, 1, 0.3}};
         runs.push_back(fleet_run(std::string("laundry-") + name, laundry));
     }
     return runs;
@@ -81,7 +83,7 @@
 
 std::vector<RecordedRun> lease_runs() {
     std::vector<RecordedRun> runs;
-    for (bool disks : {true, false}) {
+    for (bool is_persistent : {true, false}) {
         QuorumOptions options;
         options.duration_s = 40;
         options.loss_share = 0.1;
@@ -89,15 +91,15 @@
         options.late_share = 0.01;
         options.crash_interval_s = 4;
         options.pause_interval_s = 5;
-        options.persistent = disks;
-        options.seed = disks ? 34 : 35;
-        runs.push_back(
-            {disks ? "leases-on-disk" : "leases-in-memory", [options] { return run(options).text(); }});
+        options.persistent = is_persistent;
+        options.seed = is_persistent ? 34 : 35;
+        runs.push_back({is_persistent ? "leases-on-disk" : "leases-in-memory",
+                        [options] { return run(options).text(); }});
     }
     return runs;
 }
 
-// The first line of the text, and an FNV-1a hash of all of it.
+// Returns the FNV-1a hash of the text and its first line.
 std::string summarize(const std::string& text) {
     std::uint64_t hash = 0xcbf29ce484222325;
     for (unsigned char byte : text) hash = (hash ^ byte) * 0x100000001b3;
