--- a/src/lab/clients.hpp
+++ b/src/lab/clients.hpp
@@ -17,7 +17,7 @@
   public:
     explicit Clients(World& world) : world_(world) {}
 
-    // Schedules the next request. Its arrival schedules the one after it, until the end of the run.
+    // Schedules the next request. Its arrival schedules the one after it, until FleetOptions::seconds.
     void schedule_arrival();
     // Erases attempts that are finished and whose deadline passed more than a second ago.
     void forget_old_attempts();
--- a/src/lab/discovery.hpp
+++ b/src/lab/discovery.hpp
@@ -25,8 +25,10 @@
     bool is_polled() const;
     routing::EndpointInfo describe(const Host& host) const;
     std::vector<routing::EndpointInfo> describe_all() const;
+    // A notification of a host's state reaches a pooler.
     void deliver(std::uint32_t pooler, std::uint32_t host, const routing::EndpointInfo& info);
     void deliver_whole_list(SimulatedPooler& pooler);
+    // Handles a pooler's call for the whole list.
     void poll(SimulatedPooler& pooler);
 
     World& world_;
--- a/src/lab/fault_schedule.cpp
+++ b/src/lab/fault_schedule.cpp
@@ -16,7 +16,7 @@
                                     [this, &fault] { begin(fault); });
 }
 
-void FaultSchedule::at_end(const Fault& fault, std::function<void()> action) {
+void FaultSchedule::schedule_end(const Fault& fault, std::function<void()> action) {
     world_.timeline.schedule_after(World::duration_of_seconds(fault.duration_s), EventRank::world,
                                    std::move(action));
 }
@@ -30,15 +30,15 @@
     switch (fault.kind) {
         case Kind::surge:
             world_.clients.begin_surge(fault.magnitude);
-            at_end(fault, [this, magnitude = fault.magnitude] { world_.clients.end_surge(magnitude); });
+            schedule_end(fault, [this, magnitude = fault.magnitude] { world_.clients.end_surge(magnitude); });
             return true;
         case Kind::hot_client:
             world_.clients.set_hot_client(fault.magnitude);
-            at_end(fault, [this] { world_.clients.set_hot_client(0); });
+            schedule_end(fault, [this] { world_.clients.set_hot_client(0); });
             return true;
         case Kind::discovery_outage:
             world_.discovery.begin_outage();
-            at_end(fault, [this] { world_.discovery.end_outage(); });
+            schedule_end(fault, [this] { world_.discovery.end_outage(); });
             return true;
         default:
             return false;
@@ -53,7 +53,7 @@
         case Kind::slow_hosts:
             for (Host* host : choose_hosts(fault.affected_share, false)) {
                 host->slowdown *= fault.magnitude;
-                at_end(fault, [host, magnitude = fault.magnitude] { host->slowdown /= magnitude; });
+                schedule_end(fault, [host, magnitude = fault.magnitude] { host->slowdown /= magnitude; });
             }
             return true;
         case Kind::drain:
@@ -62,7 +62,7 @@
         case Kind::crash:
             for (Host* host : choose_hosts(fault.affected_share, true)) {
                 world_.crash(*host, World::CrashMode::connections_reset);
-                at_end(fault, [this, host] { world_.restart(*host); });
+                schedule_end(fault, [this, host] { world_.restart(*host); });
             }
             return true;
         default:
@@ -72,13 +72,13 @@
 
 void FaultSchedule::fall_behind(Host& host, const Fault& fault) {
     host.fall_behind(World::duration_of_seconds(fault.magnitude));
-    at_end(fault, [&host] { host.catch_up(); });
+    schedule_end(fault, [&host] { host.catch_up(); });
 }
 
 void FaultSchedule::drain(Host& host, const Fault& fault) {
     host.is_draining = true;
     world_.discovery.notify(host);
-    at_end(fault, [this, &host] {
+    schedule_end(fault, [this, &host] {
         host.is_draining = false;
         world_.discovery.notify(host);
     });
@@ -93,11 +93,11 @@
             return true;
         case Kind::zone_partition:
             world_.network.partition(zone);
-            at_end(fault, [this, zone] { world_.network.heal_partition(zone); });
+            schedule_end(fault, [this, zone] { world_.network.heal_partition(zone); });
             return true;
         case Kind::zone_one_way:
             world_.network.make_one_way(zone);
-            at_end(fault, [this, zone] { world_.network.make_two_way(zone); });
+            schedule_end(fault, [this, zone] { world_.network.make_two_way(zone); });
             return true;
         case Kind::zone_flapping:
             flap(zone, world_.timeline.now() + World::duration_of_seconds(fault.duration_s));
@@ -115,7 +115,7 @@
         world_.crash(
             host, resets_connections ? World::CrashMode::connections_reset : World::CrashMode::unresponsive);
         host.refuses_connections = resets_connections;
-        at_end(fault, [this, &host] { world_.restart(host); });
+        schedule_end(fault, [this, &host] { world_.restart(host); });
     }
 }
 
@@ -138,7 +138,7 @@
             poolers[i]->paused_until = world_.timeline.now() + World::duration_of_seconds(fault.duration_s);
         } else if (fault.kind == Kind::pooler_disconnected) {
             world_.network.disconnect_pooler(i);
-            at_end(fault, [this, i] { world_.network.reconnect_pooler(i); });
+            schedule_end(fault, [this, i] { world_.network.reconnect_pooler(i); });
         } else {
             world_.restart_pooler(i);
         }
--- a/src/lab/fault_schedule.hpp
+++ b/src/lab/fault_schedule.hpp
@@ -20,16 +20,20 @@
 
   private:
     void begin(const Fault& fault);
+    // These return false if the fault is of another kind.
     bool begin_traffic_fault(const Fault& fault);
     bool begin_host_fault(const Fault& fault);
     bool begin_zone_fault(const Fault& fault);
+    // Starts a fault of any of the remaining kinds, which concern poolers.
     void begin_pooler_fault(const Fault& fault);
     void fall_behind(Host& host, const Fault& fault);
     void drain(Host& host, const Fault& fault);
+    // Takes the hosts of a zone down until the end of the fault.
     void lose_zone(const Fault& fault);
     // Partitions and heals the zone in turn. Heals it for good at the time `until`.
     void flap(std::uint32_t zone, Time until);
-    void at_end(const Fault& fault, std::function<void()> action);
+    // Schedules the action for the end of the fault, which has just started.
+    void schedule_end(const Fault& fault, std::function<void()> action);
     // Draws this share of the hosts, at least one, ordered by number.
     std::vector<Host*> choose_hosts(double share, bool replicas_only);
 
--- a/src/lab/host_connection.hpp
+++ b/src/lab/host_connection.hpp
@@ -19,6 +19,7 @@
 
     // Connections are numbered in the order in which they were opened.
     std::uint64_t number() const { return number_; }
+    // Starts to open the connection. Reports an unresponsive host to the owner after `timeout`.
     void open(Duration timeout);
     void submit(const routing::ClientRequest& request, Duration remaining,
                 std::optional<std::int64_t> required_position) override;
@@ -33,7 +34,9 @@
     void receive(const routing::ClientRequest& request, std::optional<std::int64_t> required_position);
     void finish_work(bool is_write);
     void send_result(routing::AttemptResult result);
+    // Reports to the owner after this delay that the host is unreachable.
     void end_later(Duration delay);
+    // Ends the attempt in flight, if there is one.
     void end_attempt();
 
     World& world_;
--- a/src/lab/network.hpp
+++ b/src/lab/network.hpp
@@ -18,6 +18,7 @@
 
     // Poolers are spread over the zones in turn.
     std::uint32_t zone_of(std::uint32_t pooler) const { return pooler % zones_; }
+    // Whether messages from the pooler reach the host, and from the host the pooler.
     bool request_passes(std::uint32_t pooler, const Host& host) const;
     bool response_passes(std::uint32_t pooler, const Host& host) const;
 
--- a/src/lab/quorum_simulation.cpp
+++ b/src/lab/quorum_simulation.cpp
@@ -112,6 +112,7 @@
         carry_out(node_index, node.lease_node->set_leases(leases_, clock(node_index)));
     }
 
+    // The node loses its state in memory, and also its stored grants if they are not persistent.
     void crash(std::size_t node_index) {
         Node& node = nodes_[node_index];
         if (!node.running || node.paused) return;
@@ -122,6 +123,7 @@
                                  [this, node_index] { start(unsigned(node_index)); });
     }
 
+    // The node stops running but keeps its state. It handles messages received meanwhile when it resumes.
     void pause(std::size_t node_index) {
         Node& node = nodes_[node_index];
         if (!node.running || node.paused) return;
@@ -251,6 +253,7 @@
                                  [this, lease, token = *token] { receive_act(lease, token); });
     }
 
+    // An act reaches the resource that the lease protects, behind the fence.
     void receive_act(LeaseId lease, const FencingToken& token) {
         if (!fence_.accept(lease, token)) {
             ++summary_.rejected_acts;
--- a/src/lab/timeline.hpp
+++ b/src/lab/timeline.hpp
@@ -58,6 +58,7 @@
         now_ = std::max(now_, until);
         return true;
     }
+    // Number of events that are scheduled and have not run.
     std::size_t pending() const { return queue_.size(); }
 
   private:
