--- a/src/adapters/backend_connection_base.hpp
+++ b/src/adapters/backend_connection_base.hpp
@@ -1,4 +1,5 @@
-// What links of every wire have in common: one connection, its owner, and what a break says of the job.
+// The part of a backend connection that is the same for every protocol: the TCP connection, its owner, and
+// what the loss of the connection says about the task in flight.
 #pragma once
 
 #include <boost/asio/post.hpp>
@@ -10,19 +11,23 @@
 
 namespace indigovane::adapters {
 
+// Created by std::make_shared: the callbacks use shared_from_this(). Runs on the event loop's thread.
 class BackendConnectionBase : public routing::BackendConnection,
                               protected transport::Connection::Handler,
                               public std::enable_shared_from_this<BackendConnectionBase> {
   public:
-    BackendConnectionBase(boost::asio::io_context& io, Owner& owner, std::size_t unread)
+    // `unread_limit`: bytes received and not consumed at which reading stops.
+    BackendConnectionBase(boost::asio::io_context& io, Owner& owner, std::size_t unread_limit)
         : owner_(&owner), connection_(std::make_shared<transport::Connection>(io)) {
-        connection_->limit_unread(unread);
+        connection_->limit_unread(unread_limit);
     }
     ~BackendConnectionBase() override { connection_->close(); }
 
+    // `address`: "host:port". One that cannot be parsed ends the connection as unreachable, from the event
+    // loop.
     void connect(boost::asio::io_context& io, const std::string& address, routing::Duration timeout) {
-        if (auto to = transport::parse_socket_address(address)) {
-            connection_->connect(*to, timeout, *this);
+        if (auto socket_address = transport::parse_socket_address(address)) {
+            connection_->connect(*socket_address, timeout, *this);
             return;
         }
         boost::asio::post(io, [weak = weak_from_this()] {
@@ -40,19 +45,21 @@
 
     void on_closed(const transport::error_code& ec) override {
         auto self = shared_from_this();
-        end(state_ == State::starting && transport::is_shortage(ec) ? End::unopened : broken());
+        end(state_ == State::starting && transport::is_shortage(ec) ? End::unopened : end_reason_if_lost());
     }
-    // What a break at this moment says of the job.
-    virtual End broken() const {
+    // How the connection ends for its owner if it is lost in its present state.
+    virtual End end_reason_if_lost() const {
         if (state_ == State::starting) return End::unreachable;
         if (state_ == State::awaiting_answer && !connection_->all_written()) return End::unwritten;
         return End::written;
     }
-    void end(End how) {
+    // Closes the connection and tells the owner, at most once.
+    void end(End reason) {
         connection_->close();
-        if (Owner* owner = std::exchange(owner_, nullptr)) owner->on_end(*this, how);
+        if (Owner* owner = std::exchange(owner_, nullptr)) owner->on_end(*this, reason);
     }
-    void came_up() {
+    // The host's protocol is ready for the first task.
+    void on_established() {
         state_ = State::idle;
         connection_->established();
         owner_->on_ready(*this);
@@ -61,14 +68,16 @@
         state_ = State::awaiting_answer;
         connection_->write(std::move(bytes));
     }
-    void answer(routing::AttemptResult result) {
-        // What is left of a request that was answered early would be taken for a part of the next one.
+    // Passes the result of the task in flight to the owner.
+    void complete_task(routing::AttemptResult result) {
+        // The host would take the unwritten rest of a request that it answered early for part of the next
+        // request.
         if (!connection_->all_written()) result.reusable = false;
         state_ = State::idle;
         owner_->on_result(*this, std::move(result));
     }
 
-    Owner* owner_;  // none: the link is closed
+    Owner* owner_;  // null once the connection is closed
     std::shared_ptr<transport::Connection> connection_;
     State state_ = State::starting;
 };
--- a/src/adapters/pg_backend.cpp
+++ b/src/adapters/pg_backend.cpp
@@ -20,201 +20,223 @@
 
 namespace {
 
-// What a message of an answer may be long at most: a row, whose value may be 4 MiB, in bytea's text form
-// twice as long; all others.
-constexpr std::size_t kRowLimit = (8 << 20) + 65536, kOtherLimit = 16 * 1024;
-constexpr std::size_t kLongValue = 64 * 1024;   // a value is passed on in pieces from here
-constexpr std::size_t kUnreadLong = 32 * 1024;  // of such a value, while there is no room for more
-constexpr std::size_t kPageLimit = 4 << 20;     // the rows of a page, all together
-// An answer that has begun is written by then. Guards against one that never ends, since its connection stays
-// open and silent. Could do harm where a lost packet takes longer to be sent again: the attempt is made anew.
-constexpr auto kRestOfAnswer = std::chrono::milliseconds(150);
-constexpr auto kRestOfLong =
-    std::chrono::milliseconds(5000);  // for the next piece of a long value, if it is read
-
-// A member's answer has exactly one form for each query. Whatever differs from it is spoilt: a failed attempt
-// that may have run, which teaches nothing and ends the connection. Guards against passing on what was made
-// for no request or for another one, and against waiting for the end of what has none.
+// Maximum lengths of a message in an answer. A row may hold a value of 4 MiB, which is twice as long in
+// bytea's text form. The second limit is for every other message.
+constexpr std::size_t kMaxRowBytes = (8 << 20) + 65536, kMaxOtherMessageBytes = 16 * 1024;
+// A row message longer than this is streamed to the client in pieces, if the request allows it.
+constexpr std::size_t kLongRowBytes = 64 * 1024;
+// Bytes of a long value that are read ahead while the client cannot take more.
+constexpr std::size_t kMaxUnreadLongValueBytes = 32 * 1024;
+// All rows of a page together, or all messages of a forwarded answer.
+constexpr std::size_t kMaxAnswerBytes = 4 << 20;
+// Longest time without new bytes once an answer has begun. Without it, an answer that never ends would keep
+// its request waiting, since the connection stays open and silent. If a lost packet is retransmitted later
+// than this, the attempt fails although its answer was on the way, and is retried.
+constexpr auto kAnswerIdleTimeout = std::chrono::milliseconds(150);
+// The same limit while a long value is streamed. It does not run while the client takes no more pieces.
+constexpr auto kLongValueIdleTimeout = std::chrono::milliseconds(5000);
+
+// A host's answer has exactly one valid form for each query. Any other answer is malformed: the attempt fails
+// as one that may have run, only its evidence of execution is kept, and the connection ends. This prevents a
+// client from receiving bytes that belong to no request or to another one, and a request from waiting for the
+// end of an answer that has none.
 class PgConnection : public BackendConnectionBase {
   public:
     PgConnection(boost::asio::io_context& io, Owner& owner)
-        : BackendConnectionBase(io, owner, kRowLimit + kOtherLimit), timer_(io) {}
-
-    void submit(const ClientRequest& item, Duration remaining, std::optional<std::int64_t>) override {
-        auto left = std::max<std::int64_t>(1, remaining.count() / 1000);
-        std::string text = std::to_string(left);
-        verb_ = item.verb;
-        row_limit_ = verb_ == ClientRequest::Verb::page ? item.limit : 1;
-        in_pieces_ = item.may_stream_answer && verb_ != ClientRequest::Verb::page;
-        if (verb_ == ClientRequest::Verb::other && item.has_no_comment_fields)
-            query(pg::Writer().query(item.statement).take(), false);
-        else if (item.statement.empty())
-            query(pg::Writer().query(query_text(item, left)).take(), false);
+        : BackendConnectionBase(io, owner, kMaxRowBytes + kMaxOtherMessageBytes), timer_(io) {}
+
+    void submit(const ClientRequest& request, Duration remaining, std::optional<std::int64_t>) override {
+        auto remaining_ms = std::max<std::int64_t>(1, remaining.count() / 1000);
+        std::string deadline_text = std::to_string(remaining_ms);
+        verb_ = request.verb;
+        row_limit_ = verb_ == ClientRequest::Verb::page ? request.limit : 1;
+        may_stream_value_ = request.may_stream_answer && verb_ != ClientRequest::Verb::page;
+        if (verb_ == ClientRequest::Verb::other && request.has_no_comment_fields)
+            send_query(pg::Writer().query(request.statement).take(), false);
+        else if (request.statement.empty())
+            send_query(pg::Writer().query(query_text(request, remaining_ms)).take(), false);
         else
-            query(pg::query_with_deadline(item.statement, pg::read_statement(item.statement), text), false);
+            send_query(pg::query_with_deadline(request.statement, pg::read_statement(request.statement),
+                                               deadline_text),
+                       false);
     }
     void probe() override {
         row_limit_ = 1;
-        in_pieces_ = false;
-        query(pg::Writer().query("SHOW health").take(), true);
+        may_stream_value_ = false;
+        send_query(pg::Writer().query("SHOW health").take(), true);
     }
 
   private:
-    enum class Part { authentication, greeting, columns, rows, ready };  // what comes next
+    // The part of the startup or of an answer that the next message may belong to.
+    enum class Part { authentication, greeting, columns, rows, ready };
 
-    void query(std::string message, bool probing) {
+    void send_query(std::string message, bool is_health_check) {
         result_ = AttemptResult{};
-        probing_ = probing;
-        bytes_ = left_ = rows_ = 0;
-        begun_ = paused_ = own_error_ = false;
-        connection_->limit_unread(kRowLimit + kOtherLimit);
+        is_health_check_ = is_health_check;
+        answer_bytes_ = value_bytes_left_ = row_count_ = 0;
+        has_begun_ = is_paused_ = has_statement_error_ = false;
+        connection_->limit_unread(kMaxRowBytes + kMaxOtherMessageBytes);
         connection_->set_read_size(2048);
-        part_ = Part::columns;
+        expected_part_ = Part::columns;
         send_request(std::move(message));
     }
 
     void on_connected() override { connection_->write(pg::Writer().startup("backend", "store").take()); }
 
     void on_data(transport::Buffer& in) override {
-        auto self = shared_from_this();  // the owner may let go of this link on what it is told
-        in_ = &in;
-        while (owner_ && !in.empty() && !paused_) {
-            if (left_ > 0) {
-                std::size_t count = std::min(left_, in.size());
-                left_ -= count;
-                paused_ = !owner_->on_piece(*this, in.view().substr(0, count));
+        auto self = shared_from_this();  // the owner may release this connection in a callback
+        input_ = &in;
+        while (owner_ && !in.empty() && !is_paused_) {
+            if (value_bytes_left_ > 0) {
+                std::size_t count = std::min(value_bytes_left_, in.size());
+                value_bytes_left_ -= count;
+                is_paused_ = !owner_->on_piece(*this, in.view().substr(0, count));
                 if (owner_) in.consume(count);
                 continue;
             }
-            if (state_ == State::idle) return malformed("bytes that belong to no request");
-            begun_ = true;
-            pg::Message m;
+            if (state_ == State::idle) return malformed("the host sent bytes while no request was in flight");
+            has_begun_ = true;
+            pg::Message message;
             std::size_t length = 0;
             const char type = in.view()[0];
-            if (!may_come(type)) return malformed("a message that does not belong here");
-            if (type == 'D' && in_pieces_ && is_long(in.view())) {
+            if (!may_come(type)) return malformed("unexpected message type for this part of the answer");
+            if (type == 'D' && may_stream_value_ && is_long_row(in.view())) {
                 if (in.size() < 11) break;
-                if (const char* wrong = begin_long(in)) return malformed(wrong);
+                if (const char* problem = begin_long_value(in)) return malformed(problem);
                 continue;
             }
-            pg::Next next = pg::next_message(in.view(), type == 'D' ? kRowLimit : kOtherLimit, m, length);
+            pg::Next next = pg::next_message(in.view(), type == 'D' ? kMaxRowBytes : kMaxOtherMessageBytes,
+                                             message, length);
             if (next == pg::Next::more) {
                 if (type == 'D' && !row_may_fit(in.view()))
-                    return malformed("a row whose lengths do not fit");
+                    return malformed("length of the row and length of its value do not match");
                 break;
             }
-            if (next != pg::Next::message) return malformed("a message too long or with no length");
-            const char* wrong = take(m);
-            bool over = type == 'Z' || (type == 'E' && !result_.reusable);
+            if (next != pg::Next::message) return malformed("message length is invalid or over the limit");
+            const char* problem = process_message(message);
+            bool is_answer_over = type == 'Z' || (type == 'E' && !result_.reusable);
             in.consume(length);
-            if (wrong) return malformed(wrong);
-            if (over) at_end(in.empty());
+            if (problem) return malformed(problem);
+            if (is_answer_over) finish_answer(in.empty());
         }
-        if (owner_ && state_ == State::awaiting_answer && begun_ && !paused_) await_rest();
+        if (owner_ && state_ == State::awaiting_answer && has_begun_ && !is_paused_) restart_idle_timeout();
     }
 
     void resume() override {
-        if (!owner_ || !std::exchange(paused_, false)) return;
+        if (!owner_ || !std::exchange(is_paused_, false)) return;
         auto self = shared_from_this();
-        on_data(*in_);
+        on_data(*input_);
         if (owner_) connection_->resume();
     }
 
-    static bool is_long(std::string_view in) {
-        return in.size() >= 5 && pg::read_u32(in.substr(1)) > kLongValue;
+    static bool is_long_row(std::string_view in) {
+        return in.size() >= 5 && pg::read_u32(in.substr(1)) > kLongRowBytes;
     }
 
-    // The head of a row with one long value. From here on its pieces go to the client, and to no other
-    // attempt.
-    const char* begin_long(transport::Buffer& in) {
+    // Reads the header of a row with one long value. From here on its pieces go to the client, so that no
+    // other attempt can answer the request. Returns what is wrong with the header, or null.
+    const char* begin_long_value(transport::Buffer& in) {
         std::size_t length = pg::read_u32(in.view().substr(1));
-        if (length + 1 > (result_.answer.binary ? kRowLimit / 2 : kRowLimit) || rows_ > 0 ||
+        if (length + 1 > (result_.answer.binary ? kMaxRowBytes / 2 : kMaxRowBytes) || row_count_ > 0 ||
             in.view().substr(5, 2) != std::string_view("\0\1", 2) || !row_may_fit(in.view()))
-            return "a long row whose lengths do not fit";
+            return "long row has invalid lengths or column count, or follows another row";
         in.consume(11);
         note_execution('D');
-        ++rows_;
-        left_ = length - 10;
-        connection_->limit_unread(kUnreadLong);
-        connection_->set_read_size(kUnreadLong / 2);
-        owner_->on_begun(*this, result_.answer, left_);
+        ++row_count_;
+        value_bytes_left_ = length - 10;
+        connection_->limit_unread(kMaxUnreadLongValueBytes);
+        connection_->set_read_size(kMaxUnreadLongValueBytes / 2);
+        owner_->on_begun(*this, result_.answer, value_bytes_left_);
         return nullptr;
     }
 
+    // Whether a message of this type is allowed in the present part.
     bool may_come(char type) const {
         static constexpr std::string_view kMessagesAllowed[] = {"REN", "SKNZE", "TESN", "DCESN", "SNZ"};
-        if (passes_on() && part_ == Part::columns && type == 'C') return true;  // a statement without rows
-        return kMessagesAllowed[std::size_t(part_)].find(type) != std::string_view::npos;
+        if (forwards_messages() && expected_part_ == Part::columns && type == 'C')
+            return true;  // the completion of a statement without rows
+        return kMessagesAllowed[std::size_t(expected_part_)].find(type) != std::string_view::npos;
     }
 
-    // A row of one value tells its length twice: the two are compared before the value has come.
+    // A row of one value states its length twice, for the message and for the value. The two are compared
+    // before the value has been received. True also for rows with other numbers of values, and if the header
+    // is incomplete.
     bool row_may_fit(std::string_view in) const {
-        if (passes_on() || (verb_ == ClientRequest::Verb::page && !probing_)) return true;
+        if (forwards_messages() || (verb_ == ClientRequest::Verb::page && !is_health_check_)) return true;
         return in.size() < 11 ||
                std::uint64_t(pg::read_u32(in.substr(1))) == std::uint64_t(pg::read_u32(in.substr(7))) + 10;
     }
 
-    void await_rest() {
-        timer_.expires_after(left_ > 0 ? kRestOfLong : kRestOfAnswer);
-        timer_.async_wait([weak = weak_from_this(), number = ++waits_](const transport::error_code& ec) {
+    // Starts the idle timeout of an answer anew.
+    void restart_idle_timeout() {
+        timer_.expires_after(value_bytes_left_ > 0 ? kLongValueIdleTimeout : kAnswerIdleTimeout);
+        timer_.async_wait([weak = weak_from_this(),
+                           timeout_number = ++idle_timeout_number_](const transport::error_code& ec) {
             auto self = std::static_pointer_cast<PgConnection>(weak.lock());
-            if (self && !ec && self->owner_ && number == self->waits_ &&
-                self->state_ == State::awaiting_answer && !self->paused_)
-                self->malformed("an answer that does not end");
+            if (self && !ec && self->owner_ && timeout_number == self->idle_timeout_number_ &&
+                self->state_ == State::awaiting_answer && !self->is_paused_)
+                self->malformed("answer is incomplete: no further bytes within the idle timeout");
         });
     }
 
+    // Fails the task in flight, whose connection cannot be reused; without a task, ends the connection. `why`
+    // is a string literal: it is kept until the line is logged.
     void malformed(const char* why) {
-        ++waits_;
-        if (state_ != State::awaiting_answer) return end(broken());
+        ++idle_timeout_number_;
+        if (state_ != State::awaiting_answer) return end(end_reason_if_lost());
         AttemptResult result;
         result.status = AttemptStatus::error;
         result.evidence = result_.evidence;
         result.reusable = false;
         result.malformed = why;
-        answer(std::move(result));
+        complete_task(std::move(result));
     }
 
-    End broken() const override { return turned_away_ ? End::rejected : BackendConnectionBase::broken(); }
+    End end_reason_if_lost() const override {
+        return is_rejected_ ? End::rejected : BackendConnectionBase::end_reason_if_lost();
+    }
 
-    // A description of rows comes once the host has begun to execute, a row or a completion once it has
-    // executed. No later message takes that back, a refusal neither.
+    // Records what a message proves about execution. A host sends RowDescription after it has begun to
+    // execute, and a row or CommandComplete after it has executed. No later message changes that, not even a
+    // rejection.
     void note_execution(char type) {
         if (state_ != State::awaiting_answer) return;
         if (type == 'T') result_.evidence = std::max(result_.evidence, Execution::may_have_run);
         if (type == 'D' || type == 'C') result_.evidence = Execution::ran;
     }
 
-    // Returns what is wrong with the message, if anything is.
-    const char* take(const pg::Message& m) {
-        std::string_view body = m.body;
-        note_execution(m.type);
-        switch (m.type) {
+    // Returns what is wrong with the message, or null. So do the functions for the single types of messages
+    // below.
+    const char* process_message(const pg::Message& message) {
+        std::string_view body = message.body;
+        note_execution(message.type);
+        switch (message.type) {
             case 'R':
-                if (body != std::string_view("\0\0\0\0", 4)) return "a password is asked for";
-                part_ = Part::greeting;
+                if (body != std::string_view("\0\0\0\0", 4))
+                    return "host requests an authentication that is not supported";
+                expected_part_ = Part::greeting;
                 return nullptr;
             case 'S':
-                return parameter(body);
+                return process_parameter(body);
             case 'E':
-                return error(body);
+                return process_error(body);
             case 'T':
-                return columns(body);
+                return process_columns(body);
             case 'D':
-                return row(body);
+                return process_row(body);
             case 'C':
-                return complete(body);
+                return process_completion(body);
             case 'Z':
-                return body == "I" ? nullptr : "no plain end of the answer";
+                return body == "I" ? nullptr : "ReadyForQuery without the idle status";
         }
-        return nullptr;  // key data and notices say nothing that matters here
+        return nullptr;  // BackendKeyData and notices are not used
     }
 
-    // What is told beside an answer may be spoilt by itself: it teaches nothing then, and the answer counts.
-    const char* parameter(std::string_view body) {
-        auto p = pg::read_parameter(body);
-        if (!p) return body.substr(0, 6) == "health" ? nullptr : "a parameter that can't be read";
-        auto [name, value] = *p;
+    // A malformed value of a known parameter is ignored, and the answer stays valid.
+    const char* process_parameter(std::string_view body) {
+        auto parsed = pg::read_parameter(body);
+        if (!parsed) return body.substr(0, 6) == "health" ? nullptr : "malformed ParameterStatus";
+        auto [name, value] = *parsed;
         if (state_ != State::awaiting_answer) return nullptr;
         if (name == "recovery" && (value == "off" || value == "on"))
             result_.role = value == "off" ? Role::primary : Role::replica;
@@ -231,23 +253,24 @@
         return nullptr;
     }
 
-    // Of an open statement nothing is known but its messages' form: they go to the client as they are.
-    bool passes_on() const {
-        return verb_ == ClientRequest::Verb::other && !probing_ && state_ == State::awaiting_answer;
+    // Whether the messages of the answer go to the client unchanged. They do for an open statement, whose
+    // columns and rows are not known in advance.
+    bool forwards_messages() const {
+        return verb_ == ClientRequest::Verb::other && !is_health_check_ && state_ == State::awaiting_answer;
     }
-    const char* pass_on(const pg::Message& m) {
-        bytes_ += m.body.size() + 5;
-        if (bytes_ > kPageLimit) return "an answer too large";
+    const char* forward_message(const pg::Message& message) {
+        answer_bytes_ += message.body.size() + 5;
+        if (answer_bytes_ > kMaxAnswerBytes) return "answer is larger than the limit";
         std::string& out = result_.answer.forwarded_messages;
-        auto size = std::uint32_t(m.body.size() + 4);
-        out += m.type;
+        auto size = std::uint32_t(message.body.size() + 4);
+        out += message.type;
         for (int shift = 24; shift >= 0; shift -= 8) out += char(size >> shift);
-        out += m.body;
+        out += message.body;
         return nullptr;
     }
-    // Errors that the statement itself has made: another host would say the same, and nothing of it has taken
-    // effect. Anything else (08, 53, 57, 58, XX, ...) is the host's trouble.
-    static bool own_error(std::string_view code) {
+    // Whether the statement itself caused the error: every other host would answer the same, and the
+    // statement has had no effect. All other classes (08, 53, 57, 58, XX, ...) are faults of the host.
+    static bool is_statement_error(std::string_view code) {
         static constexpr std::string_view kStatementErrorClasses[] = {
             "0A", "20", "21", "22", "23", "24", "25", "26", "28", "2B", "2D", "2F",
             "34", "38", "39", "3B", "3D", "3F", "40", "42", "44", "54", "55", "P0"};
@@ -256,128 +279,134 @@
                          code.substr(0, 2)) != std::end(kStatementErrorClasses);
     }
 
-    const char* error(std::string_view body) {
+    const char* process_error(std::string_view body) {
         pg::ErrorFields e = pg::read_error(body);
         if (e.code.size() != 5 || !std::all_of(e.code.begin(), e.code.end(), [](char c) {
                 return (c >= '0' && c <= '9') || (c >= 'A' && c <= 'Z');
             }))
-            return "an error with no code";
-        failed_ = true;
+            return "error message without a valid SQLSTATE";
+        has_failed_ = true;
         if (e.code == pg::sqlstate::kReadOnly || e.code == pg::sqlstate::kSnapshotTooOld)
             result_.status = AttemptStatus::miss;
         else if (e.code == pg::sqlstate::kTooManyConnections || e.code == pg::sqlstate::kCannotConnectNow)
             result_.status = AttemptStatus::rejected;
         else
             result_.status = AttemptStatus::error;
-        if (passes_on() && result_.status == AttemptStatus::error && e.severity != "FATAL" &&
-            own_error(e.code)) {
-            failed_ = false;
-            own_error_ = true;
-            part_ = Part::ready;
-            return pass_on({'E', body});
+        if (forwards_messages() && result_.status == AttemptStatus::error && e.severity != "FATAL" &&
+            is_statement_error(e.code)) {
+            has_failed_ = false;
+            has_statement_error_ = true;
+            expected_part_ = Part::ready;
+            return forward_message({'E', body});
         }
-        if (e.severity == "FATAL") {  // it answers the job, and the connection ends with it
+        if (e.severity == "FATAL") {  // ends the answer and the connection
             result_.reusable = false;
-            turned_away_ = state_ == State::starting && result_.status == AttemptStatus::rejected;
+            is_rejected_ = state_ == State::starting && result_.status == AttemptStatus::rejected;
         }
-        part_ = Part::ready;
+        expected_part_ = Part::ready;
         return nullptr;
     }
 
-    const char* columns(std::string_view body) {
+    const char* process_columns(std::string_view body) {
         auto columns = pg::read_columns(body);
-        if (passes_on()) {
-            if (!columns) return "columns that do not fit";
-            part_ = Part::rows;
+        if (forwards_messages()) {
+            if (!columns) return "malformed RowDescription";
+            expected_part_ = Part::rows;
             column_count_ = columns->size();
-            return pass_on({'T', body});
+            return forward_message({'T', body});
         }
-        bool page = verb_ == ClientRequest::Verb::page && !probing_;
-        if (!columns || columns->size() != (page ? 2 : 1)) return "columns that do not fit";
-        bool known = !probing_ && verb_ != ClientRequest::Verb::other;
-        if (known && columns->back().name != "content") return "a column that was not asked for";
+        bool is_page = verb_ == ClientRequest::Verb::page && !is_health_check_;
+        if (!columns || columns->size() != (is_page ? 2 : 1))
+            return "malformed RowDescription, or wrong number of columns";
+        bool is_known_form = !is_health_check_ && verb_ != ClientRequest::Verb::other;
+        if (is_known_form && columns->back().name != "content")
+            return "the last column is not named 'content'";
         result_.answer.column = columns->back().name;
         result_.answer.binary = columns->back().binary;
-        part_ = Part::rows;
+        expected_part_ = Part::rows;
         return nullptr;
     }
 
-    const char* row(std::string_view body) {
+    const char* process_row(std::string_view body) {
         auto values = pg::read_values(body);
-        if (passes_on()) {
-            if (!values || values->size() != column_count_) return "a row that does not fit";
-            ++rows_;
-            return pass_on({'D', body});
+        if (forwards_messages()) {
+            if (!values || values->size() != column_count_) return "malformed row, or wrong number of values";
+            ++row_count_;
+            return forward_message({'D', body});
         }
-        bool page = verb_ == ClientRequest::Verb::page && !probing_;
-        if (!values || values->size() != (page ? 2 : 1)) return "a row that does not fit";
+        bool is_page = verb_ == ClientRequest::Verb::page && !is_health_check_;
+        if (!values || values->size() != (is_page ? 2 : 1)) return "malformed row, or wrong number of values";
         if (!std::all_of(values->begin(), values->end(), [](auto& v) { return v.has_value(); }))
-            return "a row without a value";
-        if (rows_++ >= row_limit_) return "more rows than were asked for";
-        bytes_ += body.size();
-        if (page && bytes_ > kPageLimit) return "a page too large";
-        if (probing_) read_load_report(*values->front(), result_);
+            return "row contains a NULL value";
+        if (row_count_++ >= row_limit_) return "more rows than requested";
+        answer_bytes_ += body.size();
+        if (is_page && answer_bytes_ > kMaxAnswerBytes) return "page is larger than the limit";
+        if (is_health_check_) read_load_report(*values->front(), result_);
         result_.answer.rows.push_back(
-            {page ? std::string(*values->front()) : std::string(), std::string(*values->back())});
+            {is_page ? std::string(*values->front()) : std::string(), std::string(*values->back())});
         return nullptr;
     }
 
-    const char* complete(std::string_view body) {
-        std::string_view whole = body;
+    const char* process_completion(std::string_view body) {
+        std::string_view full_body = body;
         auto tag = pg::read_string(body);
-        if (!tag || !body.empty()) return "an end that can't be read";
-        if (passes_on()) {
-            part_ = Part::ready;
-            return pass_on({'C', whole});
+        if (!tag || !body.empty()) return "malformed CommandComplete";
+        if (forwards_messages()) {
+            expected_part_ = Part::ready;
+            return forward_message({'C', full_body});
         }
-        std::string rows = std::to_string(rows_);
-        bool known = !probing_ && verb_ != ClientRequest::Verb::other;
-        if (known && *tag != (verb_ == ClientRequest::Verb::write ? "INSERT 0 " : "SELECT ") + rows)
-            return "an end that does not fit its rows";
+        std::string rows = std::to_string(row_count_);
+        bool is_known_form = !is_health_check_ && verb_ != ClientRequest::Verb::other;
+        if (is_known_form && *tag != (verb_ == ClientRequest::Verb::write ? "INSERT 0 " : "SELECT ") + rows)
+            return "CommandComplete does not match the statement and the number of rows";
         result_.answer.tag = *tag;
-        part_ = Part::ready;
+        expected_part_ = Part::ready;
         return nullptr;
     }
 
-    void at_end(bool nothing_more) {
-        ++waits_;
+    // Handles the end of the startup or of an answer. `nothing_more`: no received bytes follow it.
+    void finish_answer(bool nothing_more) {
+        ++idle_timeout_number_;
         if (state_ == State::starting) {
-            if (failed_ || !nothing_more)
-                end(broken());
+            if (has_failed_ || !nothing_more)
+                end(end_reason_if_lost());
             else
-                came_up();
+                on_established();
             return;
         }
-        bool page = verb_ == ClientRequest::Verb::page && !probing_;
-        if (!std::exchange(failed_, false))
-            result_.status = page || passes_on() || rows_ == 1 ? AttemptStatus::ok : AttemptStatus::error;
-        // A statement that has failed has committed nothing: what stands behind its error is no commit.
-        if (std::exchange(own_error_, false)) result_.position_unix_us.reset();
-        // What stands behind an answer belongs to no request: the answer counts, the connection ends.
+        bool is_page = verb_ == ClientRequest::Verb::page && !is_health_check_;
+        if (!std::exchange(has_failed_, false))
+            result_.status =
+                is_page || forwards_messages() || row_count_ == 1 ? AttemptStatus::ok : AttemptStatus::error;
+        // A failed statement has committed nothing, so a position reported after its error is not that of a
+        // commit.
+        if (std::exchange(has_statement_error_, false)) result_.position_unix_us.reset();
+        // Bytes after an answer belong to no request: the answer is valid, but the connection is not reused.
         result_.reusable = result_.reusable && nothing_more;
-        answer(std::move(result_));
+        complete_task(std::move(result_));
     }
 
     boost::asio::steady_timer timer_;
-    std::uint64_t waits_ = 0;  // a wait that this has passed is over
-    Part part_ = Part::authentication;
+    // Number of the latest idle timeout. The handler of an earlier one does nothing.
+    std::uint64_t idle_timeout_number_ = 0;
+    Part expected_part_ = Part::authentication;
     AttemptResult result_;
     ClientRequest::Verb verb_ = ClientRequest::Verb::other;
-    std::size_t row_limit_ = 1, rows_ = 0, bytes_ = 0;
-    std::size_t left_ = 0;             // of a long value
-    transport::Buffer* in_ = nullptr;  // the connection's
-    std::size_t column_count_ = 0;     // of an open statement's answer
-    bool in_pieces_ = false, paused_ = false, own_error_ = false;
-    bool probing_ = false, begun_ = false, failed_ = false, turned_away_ = false;
+    std::size_t row_limit_ = 1, row_count_ = 0, answer_bytes_ = 0;
+    std::size_t value_bytes_left_ = 0;    // bytes of a long value that are not yet received
+    transport::Buffer* input_ = nullptr;  // owned by the connection, null until the first bytes
+    std::size_t column_count_ = 0;        // of a forwarded answer
+    bool may_stream_value_ = false, is_paused_ = false, has_statement_error_ = false;
+    bool is_health_check_ = false, has_begun_ = false, has_failed_ = false, is_rejected_ = false;
 };
 
 }  // namespace
 
 std::shared_ptr<BackendConnection> PgBackend::open(const std::string& address, Duration timeout,
                                                    BackendConnection::Owner& owner) {
-    auto link = std::make_shared<PgConnection>(io_, owner);
-    link->connect(io_, address, timeout);
-    return link;
+    auto connection = std::make_shared<PgConnection>(io_, owner);
+    connection->connect(io_, address, timeout);
+    return connection;
 }
 
 }  // namespace indigovane::adapters
--- a/src/adapters/pg_backend.hpp
+++ b/src/adapters/pg_backend.hpp
@@ -1,4 +1,4 @@
-// Members that speak PostgreSQL's protocol.
+// Connections to database hosts that speak the PostgreSQL v3 protocol.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/src/adapters/pg_load_report.cpp
+++ b/src/adapters/pg_load_report.cpp
@@ -26,15 +26,15 @@
     routing::AttemptResult reported;
     while (!text.empty()) {
         std::size_t comma = text.find(',');
-        std::string_view part = text.substr(0, comma);
+        std::string_view pair = text.substr(0, comma);
         text = comma == std::string_view::npos ? std::string_view{} : text.substr(comma + 1);
-        while (!part.empty() && part.front() == ' ') part.remove_prefix(1);
-        std::size_t equals = part.find('=');
+        while (!pair.empty() && pair.front() == ' ') pair.remove_prefix(1);
+        std::size_t equals = pair.find('=');
         if (equals == std::string_view::npos) return;
-        std::string_view name = part.substr(0, equals);
-        auto value = to_number(part.substr(equals + 1));
+        std::string_view name = pair.substr(0, equals);
+        auto value = to_number(pair.substr(equals + 1));
         if (!value) return;
-        if (name == "x0") {  // seconds here, unlike all other positions
+        if (name == "x0") {  // in seconds, unlike all other positions
             if (std::fabs(*value) > kMaxPositionSeconds) return;
             reported.report_position_unix_us = std::int64_t(std::floor(*value * kMicrosPerSecond));
         }
--- a/src/adapters/pg_load_report.hpp
+++ b/src/adapters/pg_load_report.hpp
@@ -1,5 +1,5 @@
-// Load reports as hosts give them in the parameter `health` and as the answer of SHOW health:
-// "inflight=7,util=0.61".
+// Load reports of hosts, as the parameter `health` and the answer to SHOW health carry them: comma-separated
+// name=value pairs, for example "inflight=7,util=0.61".
 #pragma once
 
 #include <string_view>
@@ -8,7 +8,8 @@
 
 namespace indigovane::adapters {
 
-// Names that mean nothing here are skipped; a report that can't be read as a whole changes nothing.
+// Sets `report` and `report_position_unix_us` of `result`. Unknown names are skipped. A report with any part
+// that cannot be parsed leaves `result` unchanged.
 void read_load_report(std::string_view text, routing::AttemptResult& result);
 
 }  // namespace indigovane::adapters
--- a/src/adapters/pg_query_text.cpp
+++ b/src/adapters/pg_query_text.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string statement_of(const ClientRequest& request) {
+std::string write_statement(const ClientRequest& request) {
     switch (request.verb) {
         case ClientRequest::Verb::lookup:
             return "SELECT content FROM kv WHERE name = " + pg::quote(request.name);
@@ -26,8 +26,8 @@
     return {};
 }
 
-// The fields of the comment for a request that came in by another wire.
-std::string comment_of(const ClientRequest& request, std::int64_t remaining_ms) {
+// The comment with the fields that a PostgreSQL client would have written in front of its statement.
+std::string write_comment(const ClientRequest& request, std::int64_t remaining_ms) {
     std::string out = "/* id=" + request.id + ",c=" + request.class_name;
     if (!request.tenant.empty()) out += ",t=" + request.tenant;
     out += ",d=" + std::to_string(remaining_ms);
@@ -41,7 +41,7 @@
 }  // namespace
 
 std::string query_text(const ClientRequest& request, std::int64_t remaining_ms) {
-    return comment_of(request, remaining_ms) + statement_of(request);
+    return write_comment(request, remaining_ms) + write_statement(request);
 }
 
 }  // namespace indigovane::adapters
--- a/src/adapters/rest_backend.cpp
+++ b/src/adapters/rest_backend.cpp
@@ -18,23 +18,23 @@
 
 namespace {
 
-constexpr http::Limits kLimits{.head = 16384, .body = 8 << 20};
-constexpr std::int64_t kPositionMost = 9'000'000'000'000;  // milliseconds
+constexpr http::Limits kLimits{.head = 16384, .body = 8 << 20};  // bytes
+constexpr std::int64_t kMaxPositionUnixMs = 9'000'000'000'000;
 
 std::optional<std::int64_t> read_position(std::optional<std::string_view> text) {
     std::int64_t ms = 0;
     if (!text) return std::nullopt;
     auto [end, error] = std::from_chars(text->data(), text->data() + text->size(), ms);
-    if (error != std::errc() || end != text->data() + text->size() || ms <= 0 || ms > kPositionMost)
+    if (error != std::errc() || end != text->data() + text->size() || ms <= 0 || ms > kMaxPositionUnixMs)
         return std::nullopt;
     return ms;
 }
 
-// A long value stands in the statement alone.
-std::string content_of(const ClientRequest& item) {
-    if (item.content || item.statement.empty()) return item.content.value_or("");
+// The content to write. A long value is not copied into `content`: it is read from the statement.
+std::string content_to_write(const ClientRequest& request) {
+    if (request.content || request.statement.empty()) return request.content.value_or("");
     return std::string(
-        protocol::pg::read_verb(protocol::pg::read_statement(item.statement).body).long_content);
+        protocol::pg::read_verb(protocol::pg::read_statement(request.statement).body).long_content);
 }
 
 class RestConnection : public BackendConnectionBase {
@@ -44,88 +44,94 @@
           parser_(kLimits),
           host_(std::move(host)) {}
 
-    void submit(const ClientRequest& item, Duration remaining, std::optional<std::int64_t> needs) override {
-        verb_ = item.verb;
-        probing_ = false;
-        std::string wait = std::to_string(std::max<std::int64_t>(1, remaining.count() / 1000));
-        std::string floor = needs ? std::to_string(*needs) : "";
-        std::vector<http::Field> fields{
-            {"Request-Id", item.id}, {"Request-Class", item.class_name}, {"Request-Timeout-Ms", wait}};
-        if (!item.tenant.empty()) fields.push_back({"Tenant", item.tenant});
-        if (!item.key.empty()) fields.push_back({"Idempotency-Key", item.key});
-        if (needs) fields.push_back({"Min-Position", floor});
-        std::string target = "/v1/clusters/" + std::to_string(std::uint32_t(item.group)) + "/kv";
+    void submit(const ClientRequest& request, Duration remaining,
+                std::optional<std::int64_t> min_position_unix_ms) override {
+        verb_ = request.verb;
+        is_health_check_ = false;
+        std::string remaining_ms = std::to_string(std::max<std::int64_t>(1, remaining.count() / 1000));
+        std::string min_position = min_position_unix_ms ? std::to_string(*min_position_unix_ms) : "";
+        std::vector<http::Field> fields{{"Request-Id", request.id},
+                                        {"Request-Class", request.class_name},
+                                        {"Request-Timeout-Ms", remaining_ms}};
+        if (!request.tenant.empty()) fields.push_back({"Tenant", request.tenant});
+        if (!request.key.empty()) fields.push_back({"Idempotency-Key", request.key});
+        if (min_position_unix_ms) fields.push_back({"Min-Position", min_position});
+        std::string target = "/v1/clusters/" + std::to_string(std::uint32_t(request.group)) + "/kv";
         switch (verb_) {
             case ClientRequest::Verb::lookup:
-                send_request(http::write_request("GET", target + "/" + http::percent_encode(item.name), host_,
-                                                 fields));
+                send_request(http::write_request("GET", target + "/" + http::percent_encode(request.name),
+                                                 host_, fields));
                 return;
             case ClientRequest::Verb::write: {
                 fields.push_back({"Content-Type", "application/octet-stream"});
-                std::string body = rest::raw_content(content_of(item), false);
+                std::string body = rest::raw_content(content_to_write(request), false);
                 if (body.empty()) fields.push_back({"Content-Length", "0"});
-                send_request(http::write_request("PUT", target + "/" + http::percent_encode(item.name), host_,
-                                                 fields, body));
+                send_request(http::write_request("PUT", target + "/" + http::percent_encode(request.name),
+                                                 host_, fields, body));
                 return;
             }
             case ClientRequest::Verb::page:
-                target +=
-                    "?after=" + http::percent_encode(item.name) + "&limit=" + std::to_string(item.limit);
-                if (item.prefix) target += "&prefix=" + http::percent_encode(*item.prefix);
+                target += "?after=" + http::percent_encode(request.name) +
+                          "&limit=" + std::to_string(request.limit);
+                if (request.prefix) target += "&prefix=" + http::percent_encode(*request.prefix);
                 send_request(http::write_request("GET", target, host_, fields));
                 return;
             case ClientRequest::Verb::other:
                 break;
         }
-        // A statement that has no form in this protocol. It never ran, and no other member knows it either.
+        // The statement has no equivalent in this protocol. It never ran, and no other REST host could run it
+        // either.
         state_ = State::awaiting_answer;
         boost::asio::post(connection_->executor(), [weak = weak_from_this()] {
             auto self = std::static_pointer_cast<RestConnection>(weak.lock());
-            if (self && self->owner_ && self->state_ == State::awaiting_answer) self->answer(AttemptResult{});
+            if (self && self->owner_ && self->state_ == State::awaiting_answer)
+                self->complete_task(AttemptResult{});
         });
     }
 
     void probe() override {
-        probing_ = true;
+        is_health_check_ = true;
         send_request(http::write_request("GET", "/health", host_, {}));
     }
 
   private:
-    void on_connected() override { came_up(); }
+    void on_connected() override { on_established(); }
 
     void on_data(transport::Buffer& in) override {
         auto self = shared_from_this();
         while (owner_ && !in.empty())
-            if (!take(in, false)) return;
+            if (!process_response(in, false)) return;
     }
 
     void on_closed(const transport::error_code& ec) override {
         auto self = shared_from_this();
-        // A body may end with its connection.
-        if (state_ == State::awaiting_answer && in_ && !in_->empty() && ec == boost::asio::error::eof &&
-            take(*in_, true) && !owner_)
+        // A response body without a length ends when the connection closes.
+        if (state_ == State::awaiting_answer && input_ && !input_->empty() && ec == boost::asio::error::eof &&
+            process_response(*input_, true) && !owner_)
             return;
-        end(broken());
+        end(end_reason_if_lost());
     }
 
-    bool take(transport::Buffer& in, bool at_end) {
-        in_ = &in;
+    // Processes one response. False: it is incomplete, or was malformed or not requested, which ends the
+    // connection. `at_end`: the host has closed the connection, so that no more bytes follow.
+    bool process_response(transport::Buffer& in, bool at_end) {
+        input_ = &in;
         http::Response response;
         std::size_t length = 0;
         http::Next next = parser_.response(in.view(), at_end, response, length);
         if (next == http::Next::more) return false;
         if (next != http::Next::message || state_ != State::awaiting_answer) {
-            end(broken());
+            end(end_reason_if_lost());
             return false;
         }
         if (response.status < 200) {
             in.consume(length);
             return true;
         }
-        AttemptResult result = probing_ ? read_health(response) : read_answer(response);
+        AttemptResult result = is_health_check_ ? read_health(response) : read_answer(response);
         result.reusable = response.keep_alive && !at_end;
         in.consume(length);
-        answer(std::move(result));
+        complete_task(std::move(result));
         return true;
     }
 
@@ -149,7 +155,7 @@
                 if (verb_ == ClientRequest::Verb::write) result.answer.tag = "INSERT 0 1";
             }
         } else if (r.status == 404 && verb_ == ClientRequest::Verb::lookup) {
-            result.status = AttemptStatus::ok;  // no such row: an answer like any other
+            result.status = AttemptStatus::ok;  // the row does not exist, which is a valid answer
         } else if (r.status == 412 || r.status == 421) {
             result.status = AttemptStatus::miss;
         } else if (r.status == 429 || r.status == 503) {
@@ -169,7 +175,7 @@
             if (!body.contains(name) || !body[name].is_number()) return std::nullopt;
             return body[name].get<double>();
         };
-        if (auto ms = number("position_ms"); ms && *ms > 0 && *ms < double(kPositionMost))
+        if (auto ms = number("position_ms"); ms && *ms > 0 && *ms < double(kMaxPositionUnixMs))
             result.report_position_unix_us = std::int64_t(*ms * 1000);
         if (body.contains("primary") && body["primary"].is_boolean())
             result.report.primary = body["primary"].get<bool>();
@@ -179,18 +185,18 @@
 
     http::Parser parser_;
     std::string host_;
-    transport::Buffer* in_ = nullptr;
+    transport::Buffer* input_ = nullptr;
     ClientRequest::Verb verb_ = ClientRequest::Verb::other;
-    bool probing_ = false;
+    bool is_health_check_ = false;
 };
 
 }  // namespace
 
 std::shared_ptr<BackendConnection> RestBackend::open(const std::string& address, Duration timeout,
                                                      BackendConnection::Owner& owner) {
-    auto link = std::make_shared<RestConnection>(io_, owner, address);
-    link->connect(io_, address, timeout);
-    return link;
+    auto connection = std::make_shared<RestConnection>(io_, owner, address);
+    connection->connect(io_, address, timeout);
+    return connection;
 }
 
 }  // namespace indigovane::adapters
--- a/src/adapters/rest_backend.hpp
+++ b/src/adapters/rest_backend.hpp
@@ -1,4 +1,4 @@
-// Members that speak REST; docs/rest.md describes what they are sent and what they answer.
+// Connections to database hosts that speak REST over HTTP. docs/rest.md describes the requests and responses.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
