--- a/src/adapters/limited_admission.cpp
+++ b/src/adapters/limited_admission.cpp
@@ -8,48 +8,52 @@
 
 using namespace routing;
 
-class LimitedAdmission::Ticket final : public Responder {
+// A request that is queued or in the core. It is the core's responder and passes the answer on to the
+// front's.
+class LimitedAdmission::PendingRequest final : public Responder {
   public:
-    Ticket(LimitedAdmission& owner, RequestId id, ClientRequest request, Responder& responder, Time deadline)
+    PendingRequest(LimitedAdmission& owner, RequestId id, ClientRequest request, Responder& responder,
+                   Time deadline)
         : owner_(owner), id_(id), request_(std::move(request)), responder_(&responder), deadline_(deadline) {}
 
     void on_answer(const Answer& answer) override {
         std::size_t bytes = answer.forwarded_messages.size();
         for (const Row& row : answer.rows) bytes += row.content.size();
-        Responder* to = responder_;
-        owner_.end(id_, limits::Outcome::served, bytes + passed_);  // destroys this
-        to->on_answer(answer);
+        Responder* responder = responder_;
+        owner_.finish(id_, limits::Outcome::served, bytes + streamed_bytes_);  // destroys this object
+        responder->on_answer(answer);
     }
     void on_answer_started(const Answer& answer, std::size_t length) override {
-        passed_ = length;
+        streamed_bytes_ = length;
         responder_->on_answer_started(answer, length);
     }
     bool on_answer_piece(std::string_view bytes) override { return responder_->on_answer_piece(bytes); }
     bool is_client_present() override { return responder_->is_client_present(); }
     void on_answer_aborted() override {
-        Responder* to = responder_;
-        owner_.end(id_, limits::Outcome::failed, 0);
-        to->on_answer_aborted();
+        Responder* responder = responder_;
+        owner_.finish(id_, limits::Outcome::failed, 0);
+        responder->on_answer_aborted();
     }
-    void on_final_error(const FinalError& ending) override {
-        Responder* to = responder_;
-        auto how = ending.deadline                             ? limits::Outcome::timed_out
-                   : ending.kind == FinalError::Kind::rejected ? limits::Outcome::never_ran
-                                                               : limits::Outcome::failed;
-        FinalError copy = ending;
-        owner_.end(id_, how, 0);
-        to->on_final_error(copy);
+    void on_final_error(const FinalError& error) override {
+        Responder* responder = responder_;
+        auto outcome = error.deadline                             ? limits::Outcome::timed_out
+                       : error.kind == FinalError::Kind::rejected ? limits::Outcome::never_ran
+                                                                  : limits::Outcome::failed;
+        FinalError copy = error;
+        owner_.finish(id_, outcome, 0);
+        responder->on_final_error(copy);
     }
 
   private:
     friend class LimitedAdmission;
     LimitedAdmission& owner_;
-    RequestId id_, core_id_{};
+    RequestId id_, core_id_{};  // here; in the core
     ClientRequest request_;
     Responder* responder_;
     Time deadline_;
-    std::size_t bytes_ = 0, passed_ = 0;
-    bool queued_ = false, in_core_ = false;
+    // Counted in queued_bytes_ while the request is queued; length of a streamed value.
+    std::size_t request_bytes_ = 0, streamed_bytes_ = 0;
+    bool is_queued_ = false, is_in_core_ = false;
 };
 
 LimitedAdmission::LimitedAdmission(boost::asio::io_context& io, const Clock& clock,
@@ -63,7 +67,7 @@
 }
 
 RequestId LimitedAdmission::accept(ClientRequest request, Responder& responder) {
-    RequestId id{next_++};
+    RequestId id{next_id_++};
     Time deadline = clock_.now() + request.client_timeout;
     limits::Arrival arrival;
     arrival.id = std::uint64_t(id);
@@ -76,94 +80,97 @@
     arrival.estimate = limits::Duration(request.cost_us > 0 ? request.cost_us : 2000);
     arrival.privileged = request.session.has_value() && !request.is_barred_from_reserve;
     arrival.deadline = limits::Time(deadline.time_since_epoch());
-    auto ticket = std::make_unique<Ticket>(*this, id, std::move(request), responder, deadline);
-    Ticket& t = *ticket;
-    arrival.tenant = t.request_.tenant;
+    auto new_request = std::make_unique<PendingRequest>(*this, id, std::move(request), responder, deadline);
+    PendingRequest& pending = *new_request;
+    arrival.tenant = pending.request_.tenant;
     limits::AdmissionDecision decision = limiter_.arrive(arrival, now());
-    tickets_.emplace(std::uint64_t(id), std::move(ticket));
+    pending_requests_.emplace(std::uint64_t(id), std::move(new_request));
     if (decision.admission == limits::Admission::admit) {
-        forward(t);
+        forward(pending);
     } else {
-        t.queued_ = true;
-        t.bytes_ = t.request_.statement.size() + t.request_.name.size();
-        queued_bytes_ += t.bytes_;
-        queued_ids_.insert(t.request_.id);
-        if (decision.admission == limits::Admission::reject) refused_.push_back(decision);
+        pending.is_queued_ = true;
+        pending.request_bytes_ = pending.request_.statement.size() + pending.request_.name.size();
+        queued_bytes_ += pending.request_bytes_;
+        queued_client_ids_.insert(pending.request_.id);
+        if (decision.admission == limits::Admission::reject) due_rejections_.push_back(decision);
     }
-    wake();
+    schedule_dispatch();
     return id;
 }
 
-void LimitedAdmission::dequeue(Ticket& t) {
-    if (!std::exchange(t.queued_, false)) return;
-    queued_bytes_ -= t.bytes_;
-    queued_ids_.erase(t.request_.id);
+void LimitedAdmission::dequeue(PendingRequest& pending) {
+    if (!std::exchange(pending.is_queued_, false)) return;
+    queued_bytes_ -= pending.request_bytes_;
+    queued_client_ids_.erase(pending.request_.id);
 }
 
-void LimitedAdmission::forward(Ticket& t) {
-    dequeue(t);
-    t.in_core_ = true;
-    // What is left of its time; none left is the core's to say, as ever.
-    t.request_.client_timeout = std::max(Duration::zero(), t.deadline_ - clock_.now());
-    t.core_id_ = core_.accept(std::move(t.request_), t);
+void LimitedAdmission::forward(PendingRequest& pending) {
+    dequeue(pending);
+    pending.is_in_core_ = true;
+    // The client timeout that is left. The core also handles a request that has none left.
+    pending.request_.client_timeout = std::max(Duration::zero(), pending.deadline_ - clock_.now());
+    pending.core_id_ = core_.accept(std::move(pending.request_), pending);
 }
 
-void LimitedAdmission::end(RequestId id, limits::Outcome how, std::size_t bytes) {
-    limiter_.finish(std::uint64_t(id), how, bytes, now());
-    if (auto it = tickets_.find(std::uint64_t(id)); it != tickets_.end()) {
+void LimitedAdmission::finish(RequestId id, limits::Outcome outcome, std::size_t answer_bytes) {
+    limiter_.finish(std::uint64_t(id), outcome, answer_bytes, now());
+    if (auto it = pending_requests_.find(std::uint64_t(id)); it != pending_requests_.end()) {
         dequeue(*it->second);
-        tickets_.erase(it);
+        pending_requests_.erase(it);
     }
-    wake();
+    schedule_dispatch();
 }
 
 void LimitedAdmission::resume(RequestId id) {
-    auto it = tickets_.find(std::uint64_t(id));
-    if (it != tickets_.end() && it->second->in_core_) core_.resume(it->second->core_id_);
+    auto it = pending_requests_.find(std::uint64_t(id));
+    if (it != pending_requests_.end() && it->second->is_in_core_) core_.resume(it->second->core_id_);
 }
 
 void LimitedAdmission::withdraw(RequestId id, Departure departure) {
-    auto it = tickets_.find(std::uint64_t(id));
-    if (it == tickets_.end()) return;
-    if (it->second->in_core_) core_.withdraw(it->second->core_id_, departure);
-    std::erase_if(refused_, [&](const limits::AdmissionDecision& v) { return v.id == std::uint64_t(id); });
-    end(id, limits::Outcome::cancelled, 0);
+    auto it = pending_requests_.find(std::uint64_t(id));
+    if (it == pending_requests_.end()) return;
+    if (it->second->is_in_core_) core_.withdraw(it->second->core_id_, departure);
+    std::erase_if(due_rejections_, [&](const limits::AdmissionDecision& decision) {
+        return decision.id == std::uint64_t(id);
+    });
+    finish(id, limits::Outcome::cancelled, 0);
 }
 
-void LimitedAdmission::refuse(const limits::AdmissionDecision& decision) {
-    auto it = tickets_.find(decision.id);
-    if (it == tickets_.end()) return;
-    Responder* to = it->second->responder_;
+void LimitedAdmission::reject(const limits::AdmissionDecision& decision) {
+    auto it = pending_requests_.find(decision.id);
+    if (it == pending_requests_.end()) return;
+    Responder* responder = it->second->responder_;
     dequeue(*it->second);
-    tickets_.erase(it);
-    to->on_final_error({FinalError::Kind::rejected, false, decision.retry_after});
+    pending_requests_.erase(it);
+    responder->on_final_error({FinalError::Kind::rejected, false, decision.retry_after});
 }
 
-// What its calls bring about may call back in here: those calls only mark that there is more to do.
+// The core and the responders that it calls may call this object again. Those calls only schedule another
+// dispatch.
 void LimitedAdmission::dispatch_queued() {
-    if (std::exchange(dispatching_, true)) return;
-    std::vector<limits::AdmissionDecision> due;
+    if (std::exchange(is_dispatching_, true)) return;
+    std::vector<limits::AdmissionDecision> decisions;
     for (int round = 0; round < 64; ++round) {
-        due.clear();
-        due.swap(refused_);
-        limiter_.release(now(), due);
-        if (due.empty()) break;
-        for (const limits::AdmissionDecision& v : due) {
-            if (v.admission == limits::Admission::reject) {
-                refuse(v);
-            } else if (auto it = tickets_.find(v.id); it != tickets_.end()) {
+        decisions.clear();
+        decisions.swap(due_rejections_);
+        limiter_.release(now(), decisions);
+        if (decisions.empty()) break;
+        for (const limits::AdmissionDecision& decision : decisions) {
+            if (decision.admission == limits::Admission::reject) {
+                reject(decision);
+            } else if (auto it = pending_requests_.find(decision.id); it != pending_requests_.end()) {
                 forward(*it->second);
             } else {
-                limiter_.finish(v.id, limits::Outcome::never_ran, 0,
-                                now());  // its client has left in between
+                limiter_.finish(decision.id, limits::Outcome::never_ran, 0,
+                                now());  // its client left after the decision
             }
         }
     }
-    dispatching_ = false;
+    is_dispatching_ = false;
     auto next = limiter_.next();
-    if (!refused_.empty()) next = limits::Time::min();
-    if (next == armed_) return;
-    armed_ = next;
+    if (!due_rejections_.empty()) next = limits::Time::min();
+    if (next == timer_expiry_) return;
+    timer_expiry_ = next;
     if (!next) {
         timer_.cancel();
         return;
@@ -171,35 +178,35 @@
     timer_.expires_after(std::max(limits::Duration::zero(), std::max(*next, now()) - now()));
     timer_.async_wait([this, alive = std::weak_ptr<bool>(alive_)](const boost::system::error_code& ec) {
         if (ec || alive.expired()) return;
-        armed_.reset();
+        timer_expiry_.reset();
         dispatch_queued();
     });
 }
 
-void LimitedAdmission::wake() {
-    if (std::exchange(woken_, true)) return;
+void LimitedAdmission::schedule_dispatch() {
+    if (std::exchange(is_dispatch_scheduled_, true)) return;
     boost::asio::post(io_, [this, alive = std::weak_ptr<bool>(alive_)] {
         if (alive.expired()) return;
-        woken_ = false;
+        is_dispatch_scheduled_ = false;
         dispatch_queued();
     });
 }
 
-// Guards what waits across a change of the settings: by its old number it would be taken for another class,
-// with another class's effect. What belongs to a class that is gone ends here; it never ran.
+// Under new settings the previous number of a class may belong to another class, with other effects. A queued
+// request whose class no longer exists is rejected; it never ran.
 void LimitedAdmission::renumber(const std::vector<std::optional<ClassId>>& continues) {
-    for (auto& [id, ticket] : tickets_) {
-        if (!ticket->queued_) continue;
-        ticket->request_.request_class = renumbered(ticket->request_.request_class, continues);
-        if (ticket->request_.request_class == kNoClass)
-            refused_.push_back({id, limits::Admission::reject, limits::RejectionCause::none, {}});
+    for (auto& [id, pending] : pending_requests_) {
+        if (!pending->is_queued_) continue;
+        pending->request_.request_class = renumbered(pending->request_.request_class, continues);
+        if (pending->request_.request_class == kNoClass)
+            due_rejections_.push_back({id, limits::Admission::reject, limits::RejectionCause::none, {}});
     }
-    wake();
+    schedule_dispatch();
 }
 
 void LimitedAdmission::set(const limits::Settings& settings) {
     limiter_.set(settings);
-    wake();
+    schedule_dispatch();
 }
 
 }  // namespace indigovane::adapters
--- a/src/adapters/syslog_sink.cpp
+++ b/src/adapters/syslog_sink.cpp
@@ -8,7 +8,7 @@
 
 SyslogSink::SyslogSink(boost::asio::io_context& io, const transport::SocketAddress& collector,
                        std::chrono::milliseconds retry)
-    : io_(io), collector_(collector), retry_(retry), timer_(io) {
+    : io_(io), collector_(collector), retry_delay_(retry), timer_(io) {
     connect();
 }
 
@@ -46,7 +46,7 @@
 }
 
 void SyslogSink::on_closed(const transport::error_code&) {
-    timer_.expires_after(retry_);
+    timer_.expires_after(retry_delay_);
     timer_.async_wait([this](const transport::error_code& ec) {
         if (!ec) connect();
     });
