--- a/src/adapters/classes.hpp
+++ b/src/adapters/classes.hpp
@@ -1,4 +1,4 @@
-// What a front must know of the classes of request to read an item from its wire.
+// What a front needs to know about the request classes to read a client's request.
 #pragma once
 
 #include <map>
@@ -14,37 +14,40 @@
 struct ClassInfo {
     std::string name;
     routing::ClassId id{};
-    routing::Duration deadline{};
+    routing::Duration deadline{};  ///< Timeout of a request whose client names none.
+    /// `write`: its requests write. `session`: its reads see the writes of their own session.
     bool write = false, session = false, needs_idempotency_key = false;
 };
 
 class Classes {
   public:
     Classes() = default;
-    explicit Classes(std::vector<ClassInfo> all) : all_(std::move(all)) {}
+    explicit Classes(std::vector<ClassInfo> classes) : classes_(std::move(classes)) {}
+    /// Returns nullptr if no class has that name.
     const ClassInfo* find(std::string_view name) const {
-        for (const ClassInfo& c : all_)
-            if (c.name == name) return &c;
+        for (const ClassInfo& info : classes_)
+            if (info.name == name) return &info;
         return nullptr;
     }
 
-    const std::vector<ClassInfo>& all() const { return all_; }
+    const std::vector<ClassInfo>& all() const { return classes_; }
 
   private:
-    std::vector<ClassInfo> all_;
+    std::vector<ClassInfo> classes_;
 };
 
-// The number of a session: the key read as hex digits, or a hash of it where it is none.
+/// Returns the number of a session: its key as a hexadecimal number if it consists of 1 to 16 lower-case
+/// digits, otherwise the key's FNV-1a hash.
 inline std::uint64_t session_number(std::string_view key) {
     std::uint64_t value = 0, hash = 14695981039346656037u;
-    bool hex = !key.empty() && key.size() <= 16;
+    bool is_hex = !key.empty() && key.size() <= 16;
     for (char c : key) {
         int digit = c >= '0' && c <= '9' ? c - '0' : c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
-        hex = hex && digit >= 0;
+        is_hex = is_hex && digit >= 0;
         value = value << 4 | std::uint64_t(digit & 15);
         hash = (hash ^ std::uint8_t(c)) * 1099511628211u;
     }
-    return hex ? value : hash;
+    return is_hex ? value : hash;
 }
 
 }  // namespace indigovane::adapters
--- a/src/adapters/client_listener.cpp
+++ b/src/adapters/client_listener.cpp
@@ -9,14 +9,15 @@
 
 namespace indigovane::adapters {
 
-ClientListener::ClientListener(boost::asio::io_context& io, const transport::ListenAt& at, std::size_t most)
+ClientListener::ClientListener(boost::asio::io_context& io, const transport::ListenAt& at,
+                               std::size_t max_connections)
     : io_(io),
-      listener_(io, at, [this](auto socket) { take(std::move(socket)); }),
-      most_(most),
-      sweeper_(io) {}
+      listener_(io, at, [this](auto socket) { accept_socket(std::move(socket)); }),
+      max_connections_(max_connections),
+      retirement_timer_(io) {}
 
 ClientListener::~ClientListener() {
-    for (const auto& [use, session] : sessions_) session->close();
+    for (const auto& [sequence, session] : sessions_) session->close();
 }
 
 void ClientListener::start() {
@@ -33,54 +34,55 @@
 }
 
 void ClientListener::close_idle() {
-    retiring_ = true;
-    sweep();
+    is_retiring_ = true;
+    close_retiring_sessions();
 }
 
 void ClientListener::resume_service() {
-    retiring_ = refusing_ = false;
-    sweeper_.cancel();
+    is_retiring_ = is_failing_checks_ = false;
+    retirement_timer_.cancel();
 }
 
-// A connection whose first request is on its way would be closed in its face otherwise.
-bool ClientListener::retires(const Session& session) const {
+// A new connection gets time for its first request, which may already be on its way when the listener
+// retires.
+bool ClientListener::is_retiring(const Session& session) const {
     constexpr auto kFirstRequestGrace = std::chrono::milliseconds(300);
     auto now = std::chrono::steady_clock::now();
-    return retiring_ && (session.served || now >= session.came + kFirstRequestGrace);
+    return is_retiring_ && (session.has_been_served || now >= session.accepted_at + kFirstRequestGrace);
 }
 
-void ClientListener::sweep() {
+void ClientListener::close_retiring_sessions() {
     constexpr auto kSweepInterval = std::chrono::milliseconds(20);
-    std::vector<std::shared_ptr<Session>> all;
-    for (const auto& [use, session] : sessions_) all.push_back(session);
-    for (const auto& session : all) session->retire();
-    sweeper_.expires_after(kSweepInterval);
-    sweeper_.async_wait([this](const transport::error_code& ec) {
-        if (!ec && retiring_) sweep();
+    std::vector<std::shared_ptr<Session>> sessions;
+    for (const auto& [sequence, session] : sessions_) sessions.push_back(session);
+    for (const auto& session : sessions) session->close_if_retiring();
+    retirement_timer_.expires_after(kSweepInterval);
+    retirement_timer_.async_wait([this](const transport::error_code& ec) {
+        if (!ec && is_retiring_) close_retiring_sessions();
     });
 }
 
-void ClientListener::take(boost::asio::ip::tcp::socket socket) {
-    take_in(open(), std::move(socket), {});
+void ClientListener::accept_socket(boost::asio::ip::tcp::socket socket) {
+    add_session(create_session(), std::move(socket), {});
 }
 
-// Guards clients in an upgrade: a connection goes on in the other process as if nothing had happened, and no
-// request that is under way on it meets a closing.
+// Moves connections to another process during an upgrade. They stay open, so that no request that is on its
+// way meets a closed connection.
 std::size_t ClientListener::hand_over(const std::function<void(routing::ClientHandover)>& to) {
-    std::vector<std::shared_ptr<Session>> all;
-    for (const auto& [use, session] : sessions_) all.push_back(session);
-    std::size_t handed = 0;
-    for (const auto& session : all)
+    std::vector<std::shared_ptr<Session>> sessions;
+    for (const auto& [sequence, session] : sessions_) sessions.push_back(session);
+    std::size_t handed_over = 0;
+    for (const auto& session : sessions)
         if (auto handover = session->release()) {
-            leave(session);
+            remove_session(session);
             to(std::move(*handover));
-            ++handed;
+            ++handed_over;
         }
-    return handed;
+    return handed_over;
 }
 
 void ClientListener::take_over(routing::ClientHandover handover) {
-    auto session = open();
+    auto session = create_session();
     session->restore(handover.state, handover.note);
     transport::error_code ec;
     boost::asio::ip::tcp::socket socket(io_);
@@ -89,93 +91,97 @@
         ::close(handover.socket);
         return;
     }
-    take_in(std::move(session), std::move(socket), handover.read);
+    add_session(std::move(session), std::move(socket), handover.read);
 }
 
-void ClientListener::take_in(std::shared_ptr<Session> session, boost::asio::ip::tcp::socket socket,
-                             std::string_view read) {
-    session->used = ++uses_;
-    session->came = std::chrono::steady_clock::now();
-    sessions_.emplace(session->used, session);
-    session->begin(std::move(socket), read);
-    if (sessions_.size() >= most_) evict_idle_session(*session);
+void ClientListener::add_session(std::shared_ptr<Session> session, boost::asio::ip::tcp::socket socket,
+                                 std::string_view received_bytes) {
+    session->last_use_sequence = ++last_use_sequence_;
+    session->accepted_at = std::chrono::steady_clock::now();
+    sessions_.emplace(session->last_use_sequence, session);
+    session->begin(std::move(socket), received_bytes);
+    if (sessions_.size() >= max_connections_) evict_idle_session(*session);
 }
 
-void ClientListener::touch(Session& session) {
-    auto node = sessions_.extract(session.used);
+void ClientListener::mark_used(Session& session) {
+    auto node = sessions_.extract(session.last_use_sequence);
     if (node.empty()) return;
-    node.key() = session.used = ++uses_;
+    node.key() = session.last_use_sequence = ++last_use_sequence_;
     sessions_.insert(std::move(node));
-    if (!std::exchange(session.served, true)) ++served_;
-    if (served_ <= served_most_) return;
-    for (const auto& [use, other] : sessions_)
-        if (other->served && other.get() != &session && other->between_requests()) {
-            std::shared_ptr(other)->give_way();
+    if (!std::exchange(session.has_been_served, true)) ++served_sessions_;
+    if (served_sessions_ <= max_served_sessions_) return;
+    for (const auto& [sequence, other] : sessions_)
+        if (other->has_been_served && other.get() != &session && other->is_idle()) {
+            std::shared_ptr(other)->evict();
             return;
         }
 }
 
-// A connection that the machine has accepted may carry a request already, so none is left to wait while the
-// descriptors last: at the limit a session between requests gives way. Its client may open another. First one
-// that had time to ask and has not, so that clients which only connect displace each other; a newcomer last,
-// since its first request is on its way. Of its kind the one unused for longest. When every session is busy,
-// what comes waits in the kernel's queue.
+// Closes one idle session at the connection limit. A connection in the kernel's queue may already carry a
+// request, so new ones are accepted as long as an idle session can be closed; its client may connect again.
+// The order: first a session that had time to send a request and has not, so that clients which only connect
+// displace each other; then one that has been served; last a new one, whose first request may be on its way.
+// Among equals it is the session unused for longest. While every session is busy, accepting is paused and new
+// connections wait in the kernel's queue.
 void ClientListener::evict_idle_session(const Session& newcomer) {
     constexpr auto kFirstRequestTime = std::chrono::milliseconds(50);
     auto overdue_since = std::chrono::steady_clock::now() - kFirstRequestTime;
-    auto kind = [&](const Session& s) { return s.served ? 1 : s.came <= overdue_since ? 0 : 2; };
-    std::shared_ptr<Session> first;
-    for (const auto& [use, s] : sessions_)
-        if (s.get() != &newcomer && (!first || kind(*s) < kind(*first)) && s->between_requests()) {
-            first = s;
-            if (kind(*s) == 0) break;
+    auto eviction_rank = [&](const Session& session) {
+        return session.has_been_served ? 1 : session.accepted_at <= overdue_since ? 0 : 2;
+    };
+    std::shared_ptr<Session> candidate;
+    for (const auto& [sequence, session] : sessions_)
+        if (session.get() != &newcomer &&
+            (!candidate || eviction_rank(*session) < eviction_rank(*candidate)) && session->is_idle()) {
+            candidate = session;
+            if (eviction_rank(*session) == 0) break;
         }
-    if (first)
-        first->give_way();
+    if (candidate)
+        candidate->evict();
     else
         listener_.pause();
 }
 
-bool ClientListener::grant(Session& session, std::size_t bytes) {
-    if (long_ + bytes > long_most_) {
-        waiting_[&session] = session.weak_from_this();
+bool ClientListener::grant_capacity(Session& session, std::size_t bytes) {
+    if (granted_long_bytes_ + bytes > max_long_bytes_) {
+        waiting_for_capacity_[&session] = session.weak_from_this();
         return false;
     }
-    waiting_.erase(&session);
-    long_ += session.granted = bytes;
+    waiting_for_capacity_.erase(&session);
+    granted_long_bytes_ += session.granted_bytes = bytes;
     return true;
 }
 
-void ClientListener::take_back(Session& session) {
-    waiting_.erase(&session);
-    if (session.granted == 0) return;
-    long_ -= std::exchange(session.granted, 0);
-    boost::asio::post(io_, [this, waiting = waiting_] {
+void ClientListener::release_capacity(Session& session) {
+    waiting_for_capacity_.erase(&session);
+    if (session.granted_bytes == 0) return;
+    granted_long_bytes_ -= std::exchange(session.granted_bytes, 0);
+    boost::asio::post(io_, [this, waiting = waiting_for_capacity_] {
         for (auto& [key, weak] : waiting)
-            if (auto other = weak.lock(); other && waiting_.count(key)) other->try_again();
+            if (auto other = weak.lock(); other && waiting_for_capacity_.count(key)) other->resume_reading();
     });
 }
 
-void ClientListener::leave(const std::shared_ptr<Session>& session) {
-    take_back(*session);
-    if (sessions_.erase(session->used) > 0) {
-        bytes_ -= session->counted;
-        served_ -= session->served;
+void ClientListener::remove_session(const std::shared_ptr<Session>& session) {
+    release_capacity(*session);
+    if (sessions_.erase(session->last_use_sequence) > 0) {
+        memory_bytes_ -= session->counted_bytes;
+        served_sessions_ -= session->has_been_served;
     }
-    session->counted = 0;
-    if (sessions_.size() < most_) listener_.resume();
+    session->counted_bytes = 0;
+    if (sessions_.size() < max_connections_) listener_.resume();
 }
 
-bool ClientListener::crowded(Session& session) {
+bool ClientListener::is_over_memory_limit(Session& session) {
     constexpr std::size_t kSmallSessionBytes = 16384;
-    std::size_t bytes = session.memory_bytes() - std::min(session.memory_bytes(), session.granted);
-    bytes_ += bytes - session.counted;
-    session.counted = bytes;
-    return bytes_ > bytes_most_ && bytes > kSmallSessionBytes;
+    std::size_t bytes = session.memory_bytes() - std::min(session.memory_bytes(), session.granted_bytes);
+    memory_bytes_ += bytes - session.counted_bytes;
+    session.counted_bytes = bytes;
+    return memory_bytes_ > max_memory_bytes_ && bytes > kSmallSessionBytes;
 }
 
 void ClientListener::linger(const std::shared_ptr<transport::Connection>& connection) {
-    (retiring_ ? retired_ : lingering_).add(connection);
+    (is_retiring_ ? lingering_after_drain_ : lingering_).add(connection);
 }
 
 }  // namespace indigovane::adapters
--- a/src/adapters/client_listener.hpp
+++ b/src/adapters/client_listener.hpp
@@ -1,4 +1,4 @@
-// The part that fronts share: a listener, the sessions that came in by it, and a limit to their number.
+// The part that all fronts share: a listener, the sessions of its connections and their limits.
 #pragma once
 
 #include <map>
@@ -12,18 +12,18 @@
 
 class ClientListener : public routing::Front {
   public:
-    ClientListener(boost::asio::io_context& io, const transport::ListenAt& at, std::size_t most);
-    // So many sessions that have been served may stay open, busy or not. Beyond that the one between requests
-    // for longest is closed: clients may hold only so many connections, too, and those that ask once and stay
-    // would leave the others none.
-    void limit_served(std::size_t most) { served_most_ = most; }
-    // What clients leave unread or send unfinished may take so many bytes, all together.
-    void limit_bytes(std::size_t bytes) { bytes_most_ = bytes; }
+    ClientListener(boost::asio::io_context& io, const transport::ListenAt& at, std::size_t max_connections);
+    /// Limits the number of open sessions that have had a request, idle or not. Beyond it the session that
+    /// has been idle for longest is closed. The number of connections is limited, and without this clients
+    /// that send one request and stay connected would leave none to others.
+    void limit_served(std::size_t max_sessions) { max_served_sessions_ = max_sessions; }
+    /// Limits the sum of bytes in all sessions' buffers: what is unread, incomplete or unwritten.
+    void limit_bytes(std::size_t bytes) { max_memory_bytes_ = bytes; }
     ~ClientListener() override;
     void start() override;
     void stop_accepting() override;
     void close_idle() override;
-    void fail_checks() override { refusing_ = true; }
+    void fail_checks() override { is_failing_checks_ = true; }
     void resume_service() override;
     int listening_socket() override { return listener_.socket(); }
     std::size_t hand_over(const std::function<void(routing::ClientHandover)>& to) override;
@@ -32,47 +32,58 @@
     std::string address() const override;
     transport::SocketAddress local() const { return listener_.local(); }
 
-    void touch(Session& session);                         // it has had a request, or the answer to one
-    void leave(const std::shared_ptr<Session>& session);  // the session is over
-    bool refusing() const { return refusing_; }
-    // Long messages may take so many bytes, all together. What there is no room for waits unread: the time of
-    // a request counts from its last byte.
-    void limit_long(std::size_t bytes) { long_most_ = bytes; }
-    std::size_t long_most() const { return long_most_; }
-    bool grant(Session& session, std::size_t bytes);  // false: it is told when there may be room
-    void take_back(Session& session);
-    // Whether a session is to close between requests: one that has just come has a moment to ask first.
-    bool retires(const Session& session) const;
-    // Whether the sessions hold too much and this one has a large part in it.
-    bool crowded(Session& session);
-    static constexpr std::size_t kLingering = 16;  // connections that outlast their session
+    /// Records that the session has had a request or its answer; may close another session.
+    void mark_used(Session& session);
+    /// Removes a closed session.
+    void remove_session(const std::shared_ptr<Session>& session);
+    /// Whether health checks are to fail, so that load balancers send clients elsewhere.
+    bool is_failing_checks() const { return is_failing_checks_; }
+    /// Limits the sum of bytes reserved for long messages. A message beyond it waits unread; its request's
+    /// time counts from its last byte.
+    void limit_long(std::size_t bytes) { max_long_bytes_ = bytes; }
+    std::size_t max_long_bytes() const { return max_long_bytes_; }
+    /// Reserves bytes for a long message. Returns false if they exceed the limit; the session's
+    /// resume_reading() is called when there may be capacity.
+    bool grant_capacity(Session& session, std::size_t bytes);
+    /// Returns the bytes that were reserved for the session's long message.
+    void release_capacity(Session& session);
+    /// Whether the session is to close when it is idle. A new one first has some time to send a request.
+    bool is_retiring(const Session& session) const;
+    /// Updates the sum of the sessions' bytes. Returns whether the sum is over its limit and this session has
+    /// a large part in it.
+    bool is_over_memory_limit(Session& session);
+    /// Number of half-closed connections that are kept after the end of their session, unless the listener
+    /// is retiring.
+    static constexpr std::size_t kLingering = 16;
+    /// Keeps a half-closed connection until the client closes it too.
     void linger(const std::shared_ptr<transport::Connection>& connection);
-    std::size_t lingering() const override { return lingering_.count() + retired_.count(); }
+    std::size_t lingering() const override { return lingering_.count() + lingering_after_drain_.count(); }
 
   protected:
-    virtual std::shared_ptr<Session> open() = 0;
+    virtual std::shared_ptr<Session> create_session() = 0;
 
   private:
-    void take(boost::asio::ip::tcp::socket socket);
-    void take_in(std::shared_ptr<Session> session, boost::asio::ip::tcp::socket socket,
-                 std::string_view read);
+    void accept_socket(boost::asio::ip::tcp::socket socket);
+    void add_session(std::shared_ptr<Session> session, boost::asio::ip::tcp::socket socket,
+                     std::string_view received_bytes);
     void evict_idle_session(const Session& newcomer);
 
     boost::asio::io_context& io_;
     transport::Listener listener_;
-    std::size_t most_;
+    std::size_t max_connections_;
     std::map<std::uint64_t, std::shared_ptr<Session>> sessions_;  // by their last use, the oldest first
-    std::uint64_t uses_ = 0;
-    std::size_t served_most_ = std::size_t(-1), served_ = 0;
-    std::size_t bytes_most_ = 16 << 20, bytes_ = 0;
+    std::uint64_t last_use_sequence_ = 0;
+    std::size_t max_served_sessions_ = std::size_t(-1), served_sessions_ = 0;
+    std::size_t max_memory_bytes_ = 16 << 20, memory_bytes_ = 0;
     transport::Lingering lingering_{kLingering};
-    transport::Lingering retired_{std::size_t(-1)};  // nobody new wants their descriptors
-    void sweep();
+    // Not limited: a retiring listener needs no descriptors for new clients.
+    transport::Lingering lingering_after_drain_{std::size_t(-1)};
+    void close_retiring_sessions();
 
-    std::size_t long_most_ = 32 << 20, long_ = 0;
-    std::map<Session*, std::weak_ptr<Session>> waiting_;  // for room
-    bool retiring_ = false, refusing_ = false;
-    boost::asio::steady_timer sweeper_;
+    std::size_t max_long_bytes_ = 32 << 20, granted_long_bytes_ = 0;
+    std::map<Session*, std::weak_ptr<Session>> waiting_for_capacity_;  // each for a long message
+    bool is_retiring_ = false, is_failing_checks_ = false;
+    boost::asio::steady_timer retirement_timer_;
 };
 
 }  // namespace indigovane::adapters
--- a/src/adapters/control_front.cpp
+++ b/src/adapters/control_front.cpp
@@ -22,11 +22,11 @@
         timer_.expires_after(front_.limits_.client_timeout);
         timer_.async_wait([weak = weak_from_this()](const transport::error_code& ec) {
             auto self = weak.lock();
-            if (self && !ec) self->finish("-ERR no whole call has come");
+            if (self && !ec) self->finish("-ERR the call was not completed in time");
         });
     }
     void on_data(transport::Buffer& in) override {
-        if (call_received_) return;  // its answer is on its way
+        if (has_received_call_) return;  // the call is being answered
         std::string_view text = in.view();
         std::size_t end = text.find('\n');
         if (std::min(end, text.size()) > front_.limits_.line) return finish("-ERR the line is too long");
@@ -36,26 +36,26 @@
         Operations::Reply reply = front_.answer(line);
         std::string head = reply.ok ? "+OK " : "-ERR ";
         if (!reply.later) return finish(head + reply.text);
-        call_received_ = true;
+        has_received_call_ = true;
         reply.later([weak = weak_from_this(), head](std::string text) {
             if (auto self = weak.lock()) self->finish(head + text);
         });
     }
     void on_closed(const transport::error_code&) override { finish({}); }
-    // An empty answer: there is nobody to read one.
+    // Sends the answer and closes the connection. An empty answer closes it at once.
     void finish(std::string answer) {
         auto self = shared_from_this();
-        if (std::exchange(over_, true)) return;
+        if (std::exchange(is_finished_, true)) return;
         timer_.cancel();
         if (answer.empty()) {
             connection_->close();
         } else {
             connection_->write(std::move(answer) + "\n");
-            // What is unread yet would reset the connection before the answer is read: it lingers.
+            // Closing with unread bytes would reset the connection before the caller reads the answer.
             connection_->close_after_writing(transport::Connection::Crossing::discard);
             front_.lingering_.add(connection_);
         }
-        front_.leave(number_);
+        front_.remove_caller(number_);
     }
 
   private:
@@ -63,7 +63,7 @@
     std::uint64_t number_;
     std::shared_ptr<transport::Connection> connection_;
     boost::asio::steady_timer timer_;
-    bool over_ = false, call_received_ = false;
+    bool is_finished_ = false, has_received_call_ = false;
 };
 
 ControlFront::ControlFront(boost::asio::io_context& io, const transport::SocketAddress& at,
@@ -73,7 +73,7 @@
       lingering_(limits.lingering),
       operations_(operations),
       logger_(logger),
-      listener_(io, at, [this](auto socket) { take(std::move(socket)); }) {}
+      listener_(io, at, [this](auto socket) { accept_socket(std::move(socket)); }) {}
 
 ControlFront::~ControlFront() {
     close();
@@ -84,29 +84,29 @@
     while (!callers_.empty()) callers_.begin()->second->finish({});
 }
 
-// Guards calls against callers that hold a connection and say nothing: no number of them leaves a whole call
-// waiting.
-void ControlFront::take(boost::asio::ip::tcp::socket socket) {
+// At the limit the oldest unanswered caller is closed, so that callers which connect and send nothing can't
+// keep complete calls waiting.
+void ControlFront::accept_socket(boost::asio::ip::tcp::socket socket) {
     if (callers_.size() >= limits_.callers)
-        callers_.begin()->second->finish("-ERR too many calls are unfinished");
-    auto caller = std::make_shared<Caller>(*this, ++came_);
-    callers_.emplace(came_, caller);
+        callers_.begin()->second->finish("-ERR too many callers; this oldest one is closed");
+    auto caller = std::make_shared<Caller>(*this, ++last_caller_number_);
+    callers_.emplace(last_caller_number_, caller);
     caller->begin(std::move(socket));
 }
 
-void ControlFront::leave(std::uint64_t number) {
+void ControlFront::remove_caller(std::uint64_t number) {
     callers_.erase(number);
 }
 
-Operations::Reply ControlFront::site(const std::string& argument) {
+Operations::Reply ControlFront::answer_site_call(const std::string& argument) {
     std::size_t space = argument.find(' ');
-    std::string what = argument.substr(0, space);
+    std::string action = argument.substr(0, space);
     std::string zone = space == std::string::npos ? "" : argument.substr(space + 1);
-    if (what == "status" && zone.empty()) return operations_.site_status();
-    if (what == "plan" && !zone.empty()) return operations_.site_plan(zone);
-    if ((what == "drain" || what == "return") && !zone.empty())
-        return operations_.site_drain(zone, what == "drain");
-    return {false, "site status, site plan ZONE, site drain ZONE or site return ZONE", {}};
+    if (action == "status" && zone.empty()) return operations_.site_status();
+    if (action == "plan" && !zone.empty()) return operations_.site_plan(zone);
+    if ((action == "drain" || action == "return") && !zone.empty())
+        return operations_.site_drain(zone, action == "drain");
+    return {false, "unknown site call; site status, site plan ZONE, site drain ZONE, site return ZONE", {}};
 }
 
 Operations::Reply ControlFront::answer(std::string_view line) {
@@ -122,7 +122,7 @@
              argument.size() <= 3)
         reply = operations_.shapes(argument.empty() ? 10 : std::size_t(std::stoul(argument)));
     else if (call == "site")
-        reply = site(argument);
+        reply = answer_site_call(argument);
     else if (call == "set-down" && !argument.empty())
         reply = operations_.set_down(argument);
     else if (call == "set-up" && !argument.empty())
--- a/src/adapters/control_front.hpp
+++ b/src/adapters/control_front.hpp
@@ -1,4 +1,5 @@
-// The operators' address: one line a connection, answered by one line that begins with +OK or -ERR.
+// The operators' control address. A connection carries one call, a line, and its answer, a line that begins
+// with +OK or -ERR.
 #pragma once
 
 #include <functional>
@@ -12,36 +13,45 @@
 
 namespace indigovane::adapters {
 
-// What operators may call. Each call may be made again: it then changes nothing more.
+/// The calls that operators may make. Each is idempotent: repeating it changes nothing.
 class Operations {
   public:
     struct Reply {
         bool ok = false;
         std::string text;
-        // Set: the call is answered once this calls back, with what it then says.
+        /// If set, `text` is not sent: the function is called with a callback, whose text is the answer.
         std::function<void(std::function<void(std::string text)>)> later = {};
     };
     virtual Reply check() = 0;
     virtual Reply set_down(const std::string& uid) = 0;
     virtual Reply set_up(const std::string& uid) = 0;
     virtual Reply drain(bool on) = 0;
-    // The shapes that cost most lately, so many at most: a JSON array in one line.
-    virtual Reply shapes(std::size_t most) = 0;
-    // What a site is held to be, with the evidence: JSON in one line; of its plan, likewise.
-    virtual Reply site_status() { return {false, "sites are not watched"}; }
-    virtual Reply site_plan(const std::string&) { return {false, "sites are not watched"}; }
-    virtual Reply site_drain(const std::string&, bool) { return {false, "sites are not watched"}; }
+    /// The shapes with the highest recent cost, at most `max_shapes`: a JSON array in one line.
+    virtual Reply shapes(std::size_t max_shapes) = 0;
+    /// The health of the sites with its evidence, and a site's failover plan: JSON in one line each.
+    virtual Reply site_status() { return {false, "sites are not watched: no sites file is configured"}; }
+    virtual Reply site_plan(const std::string&) {
+        return {false, "sites are not watched: no sites file is configured"};
+    }
+    virtual Reply site_drain(const std::string&, bool) {
+        return {false, "sites are not watched: no sites file is configured"};
+    }
 
   protected:
     ~Operations() = default;
 };
 
 struct ControlLimits {
-    std::size_t callers = 32;    // at once; beyond that the one waited for longest gives way
-    std::size_t lingering = 16;  // connections that have their answer and are not closed by the caller yet
-    std::size_t line = 256;      // bytes
-    std::chrono::milliseconds client_timeout{5000};  // with a caller that has not sent its whole line
+    /// Connections whose call is unanswered. At this number a new one closes the oldest.
+    std::size_t callers = 32;
+    /// Connections that have been answered and that the caller has not closed yet.
+    std::size_t lingering = 16;
+    /// Length of a call in bytes.
+    std::size_t line = 256;
+    /// Time from the connection's start to the answer.
+    std::chrono::milliseconds client_timeout{5000};
 
+    /// Descriptors needed: all connections, and one more.
     std::size_t sockets() const { return callers + lingering + 1; }
 };
 
@@ -57,18 +67,18 @@
 
   private:
     class Caller;
-    void take(boost::asio::ip::tcp::socket socket);
-    void leave(std::uint64_t number);
+    void accept_socket(boost::asio::ip::tcp::socket socket);
+    void remove_caller(std::uint64_t number);
     Operations::Reply answer(std::string_view line);
-    Operations::Reply site(const std::string& argument);
+    Operations::Reply answer_site_call(const std::string& argument);
 
     boost::asio::io_context& io_;
     ControlLimits limits_;
     transport::Lingering lingering_;
     Operations& operations_;
     routing::Logger& logger_;
-    std::map<std::uint64_t, std::shared_ptr<Caller>> callers_;  // by their coming
-    std::uint64_t came_ = 0;
+    std::map<std::uint64_t, std::shared_ptr<Caller>> callers_;  // by their number, the oldest first
+    std::uint64_t last_caller_number_ = 0;
     transport::Listener listener_;
 };
 
--- a/src/adapters/pg_front.cpp
+++ b/src/adapters/pg_front.cpp
@@ -13,68 +13,77 @@
 
 namespace {
 
-constexpr std::size_t kStartupLimit = 10000;       // as PostgreSQL has it
-constexpr std::size_t kUsualMessage = 160 * 1024;  // 64 KiB in bytea's text form, and what stands round it
-constexpr std::size_t kMessageLimit = 2 * PgRequestReader::kMaxValueBytes + 16 * 1024;
+constexpr std::size_t kMaxStartupBytes = 10000;  // PostgreSQL's own limit
+constexpr std::size_t kUsualMessageBytes =
+    160 * 1024;  // a value of 64 KiB in bytea's text form, with its statement
+constexpr std::size_t kMaxMessageBytes = 2 * PgRequestReader::kMaxValueBytes + 16 * 1024;
 constexpr std::uint32_t kByteaType = 17, kTextType = 25;
 
 class PgSession : public Session {
   public:
-    PgSession(boost::asio::io_context& io, PgFront& client_listener, const Classes& classes,
-              PgOptions options, RequestAdmission& admission, Logger& logger, Statements* statements)
-        : Session(io, client_listener, admission,
-                  {.unread = kUsualMessage + 8192,
+    PgSession(boost::asio::io_context& io, PgFront& front, const Classes& classes, PgOptions options,
+              RequestAdmission& admission, Logger& logger, Statements* statements)
+        : Session(io, front, admission,
+                  {.unread_bytes = kUsualMessageBytes + 8192,
                    .client_timeout = options.client_timeout,
-                   .reading = options.reading}),
-          front_(client_listener),
+                   .read_timeout = options.read_timeout}),
+          front_(front),
           classes_(classes),
           logger_(logger),
           statements_(statements),
-          longest_(std::min(kMessageLimit, std::max(kUsualMessage, client_listener.long_most() / 2))) {}
+          max_message_bytes_(
+              std::min(kMaxMessageBytes, std::max(kUsualMessageBytes, front.max_long_bytes() / 2))) {}
 
   private:
+    // `sync`: messages are skipped up to the next Sync.
     enum class Expects { startup, command, sync };
 
-    bool step(transport::Buffer& in) override {
-        in_ = &in;
-        return expects_ == Expects::startup ? startup() : command();
+    bool process_next_message(transport::Buffer& in) override {
+        input_ = &in;
+        return expects_ == Expects::startup ? read_startup() : read_command();
     }
 
-    bool unfinished() const override { return expects_ == Expects::startup; }
+    bool is_awaiting_first_message() const override { return expects_ == Expects::startup; }
     char wire_state() const override { return char(expects_); }
     std::string wire_note() const override { return user_; }
     void restore(char state, std::string_view note) override {
         user_ = note;
         if (state >= char(Expects::startup) && state <= char(Expects::sync)) expects_ = Expects(state);
     }
-    void on_impatient() override {
-        fatal(pg::sqlstate::kProtocolViolation, unfinished() ? "no startup packet" : "half a message");
+    void on_client_timeout() override {
+        close_with_error(pg::sqlstate::kProtocolViolation,
+                         is_awaiting_first_message() ? "no startup packet in time" : "incomplete message");
+    }
+    void on_memory_limit() override {
+        close_with_error(pg::sqlstate::kOutOfMemory,
+                         "the clients' unread and incomplete messages use too much memory");
     }
-    void on_no_memory() override { fatal(pg::sqlstate::kOutOfMemory, "too much is unread or unfinished"); }
 
-    bool startup() {
-        pg::Message m;
+    bool read_startup() {
+        pg::Message message;
         std::size_t length = 0;
-        pg::Next next = pg::next_startup(in_->view(), kStartupLimit, m, length);
+        pg::Next next = pg::next_startup(input_->view(), kMaxStartupBytes, message, length);
         if (next == pg::Next::more) return false;
         if (next != pg::Next::message)
-            return fatal(pg::sqlstate::kProtocolViolation, "malformed startup packet");
-        std::uint32_t code = pg::read_u32(m.body);
-        std::string m_copy(m.body);
-        in_->consume(length);
+            return close_with_error(pg::sqlstate::kProtocolViolation, "malformed startup packet");
+        std::uint32_t code = pg::read_u32(message.body);
+        std::string startup_body(message.body);
+        input_->consume(length);
         if (code == pg::kSslCode || code == pg::kGssCode) {
-            // Plain TCP only. Asking again and again would be a way to stay without ever starting.
-            if (++declined_ > 2) return fatal(pg::sqlstate::kProtocolViolation, "no startup packet");
+            // Only plain TCP is served. Repeated requests are limited: each one restarts the timeout.
+            if (++declined_encryption_requests_ > 2)
+                return close_with_error(pg::sqlstate::kProtocolViolation, "no startup packet");
             write("N");
             return true;
         }
-        if (code == pg::kCancelCode) {  // no keys are handed out that it could name
-            leave();
+        if (code == pg::kCancelCode) {  // no session can be cancelled: backend_key(1, 0) is sent to all
+            close_gracefully();
             return false;
         }
         if (code >> 16 != 3)
-            return fatal(pg::sqlstate::kFeatureNotSupported, "only protocol 3 is spoken here");
-        read_user(m_copy.substr(4));
+            return close_with_error(pg::sqlstate::kFeatureNotSupported,
+                                    "only protocol version 3 is supported");
+        read_user(startup_body.substr(4));
         write(pg::Writer()
                   .authentication_ok()
                   .parameter("server_version", "15.0 (indigovane)")
@@ -90,147 +99,159 @@
         return true;
     }
 
-    bool command() {
-        pg::Message m;
+    bool read_command() {
+        pg::Message message;
         std::size_t length = 0;
-        pg::Next next = pg::next_message(in_->view(), longest_, m, length);
+        pg::Next next = pg::next_message(input_->view(), max_message_bytes_, message, length);
         if (next == pg::Next::more) {
-            if (length > kUsualMessage) expect(length);
+            if (length > kUsualMessageBytes) reserve_long_message(length);
             return false;
         }
-        if (next == pg::Next::malformed) return fatal(pg::sqlstate::kProtocolViolation, "malformed message");
-        // Nothing so long can be of use, and reading past it would cost all others: the header is enough.
-        if (next == pg::Next::too_long) return fatal(pg::sqlstate::kProgramLimit, "the message is too long");
-        if (expects_ == Expects::sync && m.type != 'S' && m.type != 'X') {
-            in_->consume(length);
+        if (next == pg::Next::malformed)
+            return close_with_error(pg::sqlstate::kProtocolViolation, "malformed message");
+        // The header is enough to reject it: no statement of this length can be served, and reading it would
+        // take time from the other clients.
+        if (next == pg::Next::too_long)
+            return close_with_error(pg::sqlstate::kProgramLimit, "the message is too long");
+        if (expects_ == Expects::sync && message.type != 'S' && message.type != 'X') {
+            input_->consume(length);
             return true;
         }
-        switch (m.type) {
+        switch (message.type) {
             case 'Q':
-                length_ = length;
-                query(m.body);
+                query_message_bytes_ = length;
+                handle_query(message.body);
                 break;
             case 'X':
-                leave();
+                close_gracefully();
                 return false;
-            case 'S':  // after what the extended protocol began; by itself it is answered likewise
+            case 'S':  // answered with ReadyForQuery, also without an extended query before it
                 expects_ = Expects::command;
                 write(pg::Writer().ready().take());
                 break;
             case 'H':
-                break;  // nothing is ever held back
+                break;  // Flush: answers are never buffered
             case 'P':
             case 'B':
             case 'D':
             case 'E':
             case 'C':
-                // Its errors are followed by silence up to the next Sync.
-                reject({pg::sqlstate::kFeatureNotSupported, "only simple queries are served"}, false);
+                // After an error in an extended query, messages up to the next Sync are skipped without an
+                // answer.
+                reject({pg::sqlstate::kFeatureNotSupported,
+                        "the extended query protocol is not supported; use simple queries"},
+                       false);
                 expects_ = Expects::sync;
                 break;
             case 'F':
-                reject({pg::sqlstate::kFeatureNotSupported, "function calls are not served"});
+                reject({pg::sqlstate::kFeatureNotSupported, "function calls are not supported"});
                 break;
             case 'd':
             case 'c':
             case 'f':
-                break;  // copy data outside a copy is passed over
+                break;  // copy data outside a COPY is ignored
             default:
-                return fatal(pg::sqlstate::kProtocolViolation, "unknown message type");
+                return close_with_error(pg::sqlstate::kProtocolViolation, "unknown message type");
         }
-        if (!over()) in_->consume(length);
+        if (!is_closed()) input_->consume(length);
         return true;
     }
 
-    void query(std::string_view body) {
+    void handle_query(std::string_view body) {
         std::string_view sql = body.substr(0, body.find('\0'));
         if (body.find('\0') != body.size() - 1 || body.empty())
-            return reject({pg::sqlstate::kProtocolViolation, "a query ends with its only zero byte"});
-        if (!pg::valid_text(sql)) return reject({pg::sqlstate::kBadText, "a query is plain UTF-8"});
+            return reject({pg::sqlstate::kProtocolViolation, "a query must end with its only zero byte"});
+        if (!pg::valid_text(sql))
+            return reject({pg::sqlstate::kBadText, "a query must be valid UTF-8 without control characters"});
         pg::Statement statement = pg::read_statement(sql);
         if (statements_ && statements_->open() && PgRequestReader::is_open_form(statement))
-            return open_query(sql, statement);
+            return handle_open_query(sql, statement);
         if (statement.malformed)
-            return reject({pg::sqlstate::kSyntaxError, "the comment or a literal is malformed"});
-        if (statement.several) return reject({pg::sqlstate::kSyntaxError, "a query holds one statement"});
-        if (statement.body.empty()) return empty();
-        if (statement.fields.empty() && local(statement.body)) return;
+            return reject({pg::sqlstate::kSyntaxError, "the leading comment or a literal is malformed"});
+        if (statement.several) return reject({pg::sqlstate::kSyntaxError, "a query must hold one statement"});
+        if (statement.body.empty()) return answer_empty_query();
+        if (statement.fields.empty() && answer_locally(statement.body)) return;
         ClientRequest request;
         if (auto rejection = PgRequestReader(classes_).read_known(sql, statement, request))
             return reject(*rejection);
         if (is_open(request.id))
-            return reject({pg::sqlstate::kInvalidParameter, "a request of this id is in hand"});
-        // The request keeps the statement and what was read from it.
-        if (!has_capacity(sql.size() + std::min(sql.size(), kUsualMessage))) return too_much();
-        submit(std::move(request), length_);
+            return reject({pg::sqlstate::kInvalidParameter, "a request with this id is in flight"});
+        // The request keeps the statement and the values that were read from it.
+        if (!has_capacity(sql.size() + std::min(sql.size(), kUsualMessageBytes)))
+            return reject_over_capacity();
+        submit(std::move(request), query_message_bytes_);
     }
 
-    void too_much() {
+    void reject_over_capacity() {
         write(pg::Writer()
-                  .error("ERROR", pg::sqlstate::kTooManyConnections, "too much is in hand", "250")
+                  .error("ERROR", pg::sqlstate::kTooManyConnections,
+                         "the pooler has no memory for another request", "250")
                   .ready()
                   .take());
     }
 
-    void empty() {
-        if (refusing())
+    void answer_empty_query() {
+        if (is_failing_checks())
             return write(pg::Writer()
-                             .error("ERROR", pg::sqlstate::kCannotConnectNow, "clients are sent away")
+                             .error("ERROR", pg::sqlstate::kCannotConnectNow,
+                                    "this pooler is sending its clients away")
                              .ready()
                              .take());
         write(pg::Writer().empty_query().ready().take());
     }
 
-    // Any single statement. It is passed on as it is; what it does, not what its client says, decides whether
-    // a replica may have it.
-    void open_query(std::string_view sql, pg::Statement& statement) {
+    // Handles any single statement. Its text is forwarded unchanged. Its analysis, not its comment, decides
+    // whether a replica may execute it.
+    void handle_open_query(std::string_view sql, pg::Statement& statement) {
         PgRequestReader::drop_foreign_comment(statement);
         const statement::StatementProfile& profile = statements_->analyze(sql, now());
-        if (statements_->analyzer().scanner().flaw() == statement::Flaw::empty) return empty();
+        if (statements_->analyzer().scanner().flaw() == statement::Flaw::empty) return answer_empty_query();
         if (profile.route == statement::Route::refuse) {
             using statement::Kind;
-            bool known = profile.kind == Kind::session || profile.kind == Kind::transaction;
+            bool is_known = profile.kind == Kind::session || profile.kind == Kind::transaction;
             return reject(
-                {known ? pg::sqlstate::kFeatureNotSupported : pg::sqlstate::kSyntaxError, profile.reason});
+                {is_known ? pg::sqlstate::kFeatureNotSupported : pg::sqlstate::kSyntaxError, profile.reason});
         }
         ClientRequest request;
         if (auto rejection = read_open(sql, statement, profile, request)) return reject(*rejection);
         if (is_open(request.id))
-            return reject({pg::sqlstate::kInvalidParameter, "a request of this id is in hand"});
-        if (!has_capacity(2 * sql.size())) return too_much();
-        submit(std::move(request), length_);
+            return reject({pg::sqlstate::kInvalidParameter, "a request with this id is in flight"});
+        if (!has_capacity(2 * sql.size())) return reject_over_capacity();
+        submit(std::move(request), query_message_bytes_);
     }
 
     std::optional<PgRejection> read_open(std::string_view sql, const pg::Statement& statement,
                                          const statement::StatementProfile& profile, ClientRequest& request) {
         if (!statement.field("id")) {
-            do request.id = front_.next_id();
+            do request.id = front_.next_request_id();
             while (is_open(request.id));
         }
         PgRequestReader reader(classes_);
-        return reader.read_open(sql, statement, profile, {*statements_, user_, peer_name()}, request);
+        return reader.read_open(sql, statement, profile, {*statements_, user_, cached_peer_address()},
+                                request);
     }
 
-    const std::string& peer_name() {
-        if (peer_name_.empty()) peer_name_ = peer();
-        return peer_name_;
+    const std::string& cached_peer_address() {
+        if (cached_peer_address_.empty()) cached_peer_address_ = peer_address();
+        return cached_peer_address_;
     }
     static Time now() {
         return Time(
             std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch()));
     }
 
-    // Whoever has no tenant in its statements has its user's name for one.
+    // Reads the user name: it is the tenant of statements whose comment names none.
     void read_user(std::string_view parameters) {
         while (!parameters.empty()) {
             auto name = pg::read_string(parameters), value = pg::read_string(parameters);
             if (!name || !value || name->empty()) return;
-            if (*name == "user" && plain(*value) && value->size() <= 64) user_ = *value;
+            if (*name == "user" && is_plain_token(*value) && value->size() <= 64) user_ = *value;
         }
     }
 
-    // What drivers send of themselves when they connect or hand a connection back. It changes nothing here.
-    bool local(std::string_view body) {
+    // Answers the commands that drivers send when they connect or return a connection to their pool. They
+    // have no effect.
+    bool answer_locally(std::string_view body) {
         for (auto [text, tag] : {std::pair{"set", "SET"}, {"reset", "RESET"}, {"discard", "DISCARD ALL"}})
             if (PgRequestReader::begins_with_word(body, text)) {
                 write(pg::Writer().complete(tag).ready().take());
@@ -239,70 +260,75 @@
         return false;
     }
 
-    // The head of a message tells its length, so that a value which breaks off can't be taken for a whole
-    // one.
+    // The DataRow message begins with its length, so that a client recognizes a value that is cut off.
     void on_answer_started(const Answer& answer, std::size_t length) override {
-        auto u32 = [](std::size_t v) {
-            return std::string{char(v >> 24), char(v >> 16), char(v >> 8), char(v)};
+        auto big_endian = [](std::size_t value) {
+            return std::string{char(value >> 24), char(value >> 16), char(value >> 8), char(value)};
         };
-        begun_ = true;
+        is_streaming_value_ = true;
         std::string bytes =
             pg::Writer()
                 .row_description({{answer.column.empty() ? "content" : std::string_view(answer.column),
                                    kByteaType, answer.binary}})
                 .take();
-        pass_on(bytes + 'D' + u32(length + 10) + std::string("\0\1", 2) + u32(length));
+        stream_response(bytes + 'D' + big_endian(length + 10) + std::string("\0\1", 2) + big_endian(length));
     }
-    bool on_answer_piece(std::string_view bytes) override { return pass_on(std::string(bytes)); }
+    bool on_answer_piece(std::string_view bytes) override { return stream_response(std::string(bytes)); }
     void on_answer_aborted() override {
         logger_.log(Level::warning, "response_aborted",
-                    "a value broke off after its beginning had been passed on");
-        break_off();
+                    "a host's value broke off after a part of it had been sent to the client");
+        abort_response();
     }
 
     void on_answer(const Answer& answer) override {
-        pg::Writer w;
-        if (std::exchange(begun_, false)) return answered(w.complete(answer.tag).ready().take());
-        if (!answer.forwarded_messages.empty()) return answered(answer.forwarded_messages + w.ready().take());
+        pg::Writer writer;
+        if (std::exchange(is_streaming_value_, false))
+            return finish_response(writer.complete(answer.tag).ready().take());
+        if (!answer.forwarded_messages.empty())
+            return finish_response(answer.forwarded_messages + writer.ready().take());
         if (answer.rows.size() == 1 && answer.rows[0].name.empty()) {
-            w.row_description({{answer.column.empty() ? "content" : std::string_view(answer.column),
-                                kByteaType, answer.binary}});
-            w.data_row({answer.rows[0].content});
+            writer.row_description({{answer.column.empty() ? "content" : std::string_view(answer.column),
+                                     kByteaType, answer.binary}});
+            writer.data_row({answer.rows[0].content});
         } else {
-            w.row_description({{"name", kTextType, false}, {"content", kByteaType, answer.binary}});
-            for (const Row& row : answer.rows) w.data_row({row.name, row.content});
+            writer.row_description({{"name", kTextType, false}, {"content", kByteaType, answer.binary}});
+            for (const Row& row : answer.rows) writer.data_row({row.name, row.content});
         }
-        w.complete(answer.tag.empty() ? "SELECT " + std::to_string(answer.rows.size()) : answer.tag).ready();
-        answered(w.take());
+        writer.complete(answer.tag.empty() ? "SELECT " + std::to_string(answer.rows.size()) : answer.tag)
+            .ready();
+        finish_response(writer.take());
     }
 
-    void on_final_error(const FinalError& ending) override {
-        pg::Writer w;
-        if (ending.kind == FinalError::Kind::rejected) {
-            std::string after;
-            if (ending.retry_after) after = std::to_string(ending.retry_after->count() / 1000);
-            w.error("ERROR", pg::sqlstate::kTooManyConnections, "no database host can take this now", after);
-        } else if (ending.deadline) {
-            w.error("ERROR", pg::sqlstate::kQueryCanceled, "no answer in time; the statement may have run");
+    void on_final_error(const FinalError& final_error) override {
+        pg::Writer writer;
+        if (final_error.kind == FinalError::Kind::rejected) {
+            std::string retry_after_ms;
+            if (final_error.retry_after)
+                retry_after_ms = std::to_string(final_error.retry_after->count() / 1000);
+            writer.error("ERROR", pg::sqlstate::kTooManyConnections,
+                         "no database host can take this statement now", retry_after_ms);
+        } else if (final_error.deadline) {
+            writer.error("ERROR", pg::sqlstate::kQueryCanceled,
+                         "no answer in time; the statement may have run");
         } else {
-            w.error("ERROR", pg::sqlstate::kConnectionFailure, "no answer; the statement may have run");
+            writer.error("ERROR", pg::sqlstate::kConnectionFailure, "no answer; the statement may have run");
         }
-        answered(w.ready().take());
+        finish_response(writer.ready().take());
     }
 
-    void reject(const PgRejection& rejection, bool ready = true) {
-        pg::Writer w;
-        w.error("ERROR", rejection.sqlstate, rejection.text);
-        if (ready) w.ready();
-        write(w.take());
+    void reject(const PgRejection& rejection, bool sends_ready = true) {
+        pg::Writer writer;
+        writer.error("ERROR", rejection.sqlstate, rejection.text);
+        if (sends_ready) writer.ready();
+        write(writer.take());
         logger_.log(Level::warning, "rejected", rejection.text,
                     {{"sqlstate", std::string(rejection.sqlstate)}});
     }
 
-    bool fatal(std::string_view code, std::string_view text) {
+    bool close_with_error(std::string_view code, std::string_view text) {
         write(pg::Writer().error("FATAL", code, text).take());
         logger_.log(Level::warning, "fatal", std::string(text), {{"sqlstate", std::string(code)}});
-        leave(transport::Connection::Crossing::discard);
+        close_gracefully(transport::Connection::Crossing::discard);
         return false;
     }
 
@@ -310,23 +336,23 @@
     const Classes& classes_;
     Logger& logger_;
     Statements* statements_;
-    std::string user_, peer_name_;
-    std::size_t longest_;              // message
-    std::size_t length_ = 0;           // of the query at hand
-    transport::Buffer* in_ = nullptr;  // the connection's
+    std::string user_, cached_peer_address_;
+    std::size_t max_message_bytes_;
+    std::size_t query_message_bytes_ = 0;  // of the query that is read
+    transport::Buffer* input_ = nullptr;   // owned by the connection
     Expects expects_ = Expects::startup;
-    int declined_ = 0;
-    bool begun_ = false;  // a long value, whose pieces are passed on as they come
+    int declined_encryption_requests_ = 0;
+    bool is_streaming_value_ = false;  // a long value is being sent in pieces
 };
 
 }  // namespace
 
-std::shared_ptr<Session> PgFront::open() {
+std::shared_ptr<Session> PgFront::create_session() {
     return std::make_shared<PgSession>(io_, *this, classes_, options_, admission_, logger_, statements_);
 }
 
-std::string PgFront::next_id() {
-    return "o" + std::to_string(++ids_);
+std::string PgFront::next_request_id() {
+    return "o" + std::to_string(++last_request_number_);
 }
 
 }  // namespace indigovane::adapters
--- a/src/adapters/pg_front.hpp
+++ b/src/adapters/pg_front.hpp
@@ -1,4 +1,4 @@
-// Clients that speak PostgreSQL's protocol.
+// The front for clients that speak PostgreSQL's protocol, version 3.
 #pragma once
 
 #include "adapters/classes.hpp"
@@ -8,16 +8,18 @@
 namespace indigovane::adapters {
 
 struct PgOptions {
-    std::chrono::milliseconds client_timeout{2500};  // with a startup or a message that does not end
-    std::chrono::milliseconds reading{5000};         // with a long value that is not read
+    /// Time without progress for a startup packet or a message to be completed.
+    std::chrono::milliseconds client_timeout{2500};
+    /// Time without progress for a client that reads a long value.
+    std::chrono::milliseconds read_timeout{5000};
 };
 
 class PgFront : public ClientListener {
   public:
-    PgFront(boost::asio::io_context& io, const transport::ListenAt& at, std::size_t most,
+    PgFront(boost::asio::io_context& io, const transport::ListenAt& at, std::size_t max_connections,
             const Classes& classes, PgOptions options, routing::RequestAdmission& admission,
             routing::Logger& logger, Statements* statements = nullptr)
-        : ClientListener(io, at, most),
+        : ClientListener(io, at, max_connections),
           io_(io),
           classes_(classes),
           options_(options),
@@ -26,10 +28,11 @@
           statements_(statements) {}
 
     std::string name() const override { return "pg"; }
-    std::string next_id();  // of a request that names none
+    /// Returns an id for a request whose client gives none.
+    std::string next_request_id();
 
   protected:
-    std::shared_ptr<Session> open() override;
+    std::shared_ptr<Session> create_session() override;
 
   private:
     boost::asio::io_context& io_;
@@ -37,8 +40,8 @@
     PgOptions options_;
     routing::RequestAdmission& admission_;
     routing::Logger& logger_;
-    Statements* statements_;  // none: only the known forms are served
-    std::uint64_t ids_ = 0;
+    Statements* statements_;  // nullptr: only statements of the known forms are served
+    std::uint64_t last_request_number_ = 0;
 };
 
 }  // namespace indigovane::adapters
--- a/src/adapters/pg_request.cpp
+++ b/src/adapters/pg_request.cpp
@@ -13,34 +13,35 @@
 
 constexpr std::size_t kMaxNameBytes = 1024;
 constexpr std::size_t kMaxIdBytes = 64;
-constexpr std::uint32_t kMaxRows = 10000;                       // of a page
-constexpr auto kMaxClientTimeout = std::chrono::seconds(60);    // all state of a request ends by then
-constexpr std::int64_t kMaxWaitMs = 3'600'000;                  // that a client may name
-constexpr std::int64_t kMaxPositionUnixMs = 9'000'000'000'000;  // of a carried session token
+constexpr std::uint32_t kMaxRows = 10000;                     // in a page
+constexpr auto kMaxClientTimeout = std::chrono::seconds(60);  // no state of a request is kept for longer
+constexpr std::int64_t kMaxWaitMs = 3'600'000;                // largest accepted field `d`
+// Largest accepted field `after`, the position in a session token.
+constexpr std::int64_t kMaxPositionUnixMs = 9'000'000'000'000;
 
 PgRejection invalid(std::string text) {
     return {pg::sqlstate::kInvalidParameter, std::move(text)};
 }
 
 bool is_valid_id(std::string_view id) {
-    return !id.empty() && id.size() <= kMaxIdBytes && plain(id);
+    return !id.empty() && id.size() <= kMaxIdBytes && is_plain_token(id);
 }
 
-std::optional<PgRejection> read_times(const pg::Statement& statement, const ClassInfo& request_class,
-                                      ClientRequest& request) {
+std::optional<PgRejection> read_timeout_and_position(const pg::Statement& statement,
+                                                     const ClassInfo& request_class, ClientRequest& request) {
     request.client_timeout = request_class.deadline;
     if (auto wait = statement.field("d")) {
-        auto milliseconds = whole<std::int64_t>(*wait);
-        // None left is no mistake: the request is refused like any that comes too late.
+        auto milliseconds = parse_number<std::int64_t>(*wait);
+        // Zero is valid: a client without time left is rejected like any request that arrives too late.
         if (!milliseconds || *milliseconds < 0 || *milliseconds > kMaxWaitMs)
-            return invalid("the wait (d) is out of range");
+            return invalid("the client timeout (d) is not a number between 0 and 3600000");
         request.client_timeout =
             std::min<Duration>(std::chrono::milliseconds(*milliseconds), kMaxClientTimeout);
     }
     if (auto after = statement.field("after")) {
-        auto position = whole<std::int64_t>(*after);
+        auto position = parse_number<std::int64_t>(*after);
         if (!position || *position < 0 || *position > kMaxPositionUnixMs)
-            return invalid("the position (after) is out of range");
+            return invalid("the position (after) is not a number between 0 and 9000000000000");
         if (*position > 0) request.after_unix_ms = *position;
     }
     return std::nullopt;
@@ -56,9 +57,10 @@
     return std::nullopt;
 }
 
-// A value as a literal: bytea's hex form, or bytes without escapes.
+// Returns what is wrong with a literal's value, or nullptr. It is valid in bytea's hex form, and as bytes
+// without escapes.
 const char* value_error(std::string_view text) {
-    constexpr const char* kNoBytea = "the value is no bytea";
+    constexpr const char* kNoBytea = "the value is not a valid bytea literal";
     std::size_t bytes = text.size();
     if (text.substr(0, 2) == "\\x") {
         if (!pg::is_hex(text)) return kNoBytea;
@@ -69,17 +71,18 @@
     return bytes > PgRequestReader::kMaxValueBytes ? "the value is too long" : nullptr;
 }
 
-// What no endpoint could read, or would reject, never reaches one: it may close on it, whatever else waits
-// there, and its errors would count against it.
+// Returns why the statement is rejected, or nullptr. A statement that an endpoint can't read or would reject
+// is not sent to one: the endpoint may close the connection although other requests wait on it, and its
+// errors would count as faults of the endpoint.
 const char* verb_error(const pg::Verb& verb, const ClassInfo& request_class) {
-    if (verb.kind == pg::Verb::Kind::other) return "no statement of this form is served";
+    if (verb.kind == pg::Verb::Kind::other) return "statements of this form are not supported";
     if (request_class.write != (verb.kind == pg::Verb::Kind::write))
         return "the statement does not fit its class";
     if (verb.name.size() > kMaxNameBytes) return "the name is too long";
-    bool page = verb.kind == pg::Verb::Kind::page;
-    if (!page && verb.name.empty()) return "the name is empty";
-    if (page && (verb.limit == 0 || verb.limit > kMaxRows))
-        return "a page has a row at least, and not so many";
+    bool is_page = verb.kind == pg::Verb::Kind::page;
+    if (!is_page && verb.name.empty()) return "the name is empty";
+    if (is_page && (verb.limit == 0 || verb.limit > kMaxRows))
+        return "a page's LIMIT must lie between 1 and 10000";
     if (!verb.long_content.empty()) return value_error(verb.long_content);
     return verb.content ? value_error(*verb.content) : nullptr;
 }
@@ -133,19 +136,20 @@
     auto id = statement.field("id");
     auto class_name = statement.field("c");
     auto cluster = statement.field("cluster");
-    if (!id || !is_valid_id(*id)) return invalid("the comment names no request (id)");
+    if (!id || !is_valid_id(*id)) return invalid("the comment names no valid request id (id)");
     if (!class_name) return invalid("the comment names no class (c)");
     const ClassInfo* request_class = classes_.find(*class_name);
-    if (!request_class) return invalid("class '" + std::string(class_name->substr(0, 64)) + "' is unknown");
+    if (!request_class)
+        return invalid("class '" + std::string(class_name->substr(0, 64)) + "' does not exist");
     if (!cluster) return invalid("the comment names no group (cluster)");
-    auto group = whole<std::uint32_t>(*cluster);
-    if (!group) return invalid("the group (cluster) is no number");
-    if (auto rejection = read_times(statement, *request_class, request)) return rejection;
+    auto group = parse_number<std::uint32_t>(*cluster);
+    if (!group) return invalid("the group (cluster) is not a number");
+    if (auto rejection = read_timeout_and_position(statement, *request_class, request)) return rejection;
     pg::Verb verb = pg::read_verb(statement.body);
     if (const char* error = verb_error(verb, *request_class))
         return PgRejection{pg::sqlstate::kSyntaxError, error};
     if (request_class->needs_idempotency_key && statement.field("k").value_or("").empty())
-        return invalid("the comment names no key (k), which this class needs");
+        return invalid("the comment names no idempotency key (k), which this class needs");
     request.verb = verb_of(verb.kind);
     request.name = std::move(verb.name);
     request.content = std::move(verb.content);
@@ -167,32 +171,34 @@
                                                       const OpenDefaults& defaults,
                                                       ClientRequest& request) const {
     if (auto id = statement.field("id")) {
-        if (!is_valid_id(*id)) return invalid("the comment names no request (id)");
+        if (!is_valid_id(*id)) return invalid("the comment names no valid request id (id)");
         request.id = *id;
     }
-    std::string why;
-    const ClassInfo* request_class = defaults.statements.choose(classes_, statement.field("c"), profile, why);
-    if (!request_class) return invalid(why);
+    std::string reason;
+    const ClassInfo* request_class =
+        defaults.statements.choose(classes_, statement.field("c"), profile, reason);
+    if (!request_class) return invalid(reason);
     request.key = statement.field("k").value_or("");
-    bool read = profile.kind == statement::Kind::read;
-    if (request_class->needs_idempotency_key && request.key.empty() && !read)
+    bool is_read = profile.kind == statement::Kind::read;
+    if (request_class->needs_idempotency_key && request.key.empty() && !is_read)
         return invalid("class '" + request_class->name +
-                       "' needs a key (k): its statements may be sent again");
+                       "' needs an idempotency key (k): its statements may be retried");
     auto cluster = statement.field("cluster");
-    auto group = cluster ? whole<std::uint32_t>(*cluster) : defaults.statements.options().group;
+    auto group = cluster ? parse_number<std::uint32_t>(*cluster) : defaults.statements.options().group;
     if (!group)
-        return invalid(cluster ? "the group (cluster) is no number"
-                               : "no group is named (cluster) or set (group)");
-    if (auto rejection = read_times(statement, *request_class, request)) return rejection;
+        return invalid(cluster
+                           ? "the group (cluster) is not a number"
+                           : "the comment names no group (cluster), and no default (group) is configured");
+    if (auto rejection = read_timeout_and_position(statement, *request_class, request)) return rejection;
     request.verb = ClientRequest::Verb::other;
     set_class(*request_class, *group, request);
     request.tenant = statement.field("t").value_or(defaults.user);
     request.is_retry = statement.field("r") == "1";
-    // Whoever names no session is one by its connection: its reads see its own writes.
+    // Without a session field the connection is the session: its reads see its own writes.
     if (request_class->write || request_class->session)
         request.session = session_number(statement.field("s").value_or(defaults.peer_address));
     request.may_write = request_class->write;
-    request.is_barred_from_reserve = read && !request_class->session;
+    request.is_barred_from_reserve = is_read && !request_class->session;
     request.has_no_comment_fields = statement.fields.empty();
     request.shape_high = profile.shape.high;
     request.shape_low = profile.shape.low;
--- a/src/adapters/rest.cpp
+++ b/src/adapters/rest.cpp
@@ -14,27 +14,28 @@
 namespace {
 
 constexpr char kCursorVersion = 1;
-constexpr std::size_t kCheckBytes = 8;
+constexpr std::size_t kChecksumBytes = 8;
 
-// FNV-1a over the parts, each with its length, so that none can run into the next.
-std::uint64_t check(const Query& q, std::string_view after) {
+// FNV-1a over the query's parts and `after`. Each part is preceded by its length, so that no two different
+// lists of parts give the same bytes.
+std::uint64_t checksum(const Query& query, std::string_view after) {
     std::uint64_t hash = 14695981039346656037u;
     auto add = [&](std::string_view text) {
         for (char c : text) hash = (hash ^ std::uint8_t(c)) * 1099511628211u;
     };
-    std::string group = std::to_string(q.group);
+    std::string group = std::to_string(query.group);
     for (std::string_view part :
-         {std::string_view(q.class_name), std::string_view(q.session), std::string_view(q.tenant),
-          std::string_view(q.prefix), std::string_view(group), after}) {
+         {std::string_view(query.class_name), std::string_view(query.session), std::string_view(query.tenant),
+          std::string_view(query.prefix), std::string_view(group), after}) {
         add(std::to_string(part.size()) + ":");
         add(part);
     }
     return hash;
 }
 
-std::string bytes_of(std::uint64_t value) {
+std::string little_endian(std::uint64_t value) {
     std::string out;
-    for (std::size_t i = 0; i < kCheckBytes; ++i) out += char(value >> (8 * i));
+    for (std::size_t i = 0; i < kChecksumBytes; ++i) out += char(value >> (8 * i));
     return out;
 }
 
@@ -42,20 +43,20 @@
 
 std::string write_cursor(const Query& query, std::string_view after) {
     std::string bytes(1, kCursorVersion);
-    bytes += bytes_of(check(query, after));
+    bytes += little_endian(checksum(query, after));
     bytes += after;
     return http::base64url(bytes);
 }
 
 std::optional<std::string> read_cursor(const Query& query, std::string_view cursor) {
     auto bytes = http::unbase64url(cursor);
-    if (!bytes || bytes->size() <= 1 + kCheckBytes || (*bytes)[0] != kCursorVersion) return std::nullopt;
-    std::string after = bytes->substr(1 + kCheckBytes);
-    if (bytes->substr(1, kCheckBytes) != bytes_of(check(query, after))) return std::nullopt;
+    if (!bytes || bytes->size() <= 1 + kChecksumBytes || (*bytes)[0] != kCursorVersion) return std::nullopt;
+    std::string after = bytes->substr(1 + kChecksumBytes);
+    if (bytes->substr(1, kChecksumBytes) != little_endian(checksum(query, after))) return std::nullopt;
     return after;
 }
 
-// RFC 4648's two alphabets differ in two letters and the padding.
+// RFC 4648: base64 and base64url differ in two characters and in the padding.
 std::string base64(std::string_view bytes) {
     std::string out = http::base64url(bytes);
     std::replace(out.begin(), out.end(), '-', '+');
@@ -67,11 +68,11 @@
 std::optional<std::string> unbase64(std::string_view text) {
     if (text.size() % 4) return std::nullopt;
     for (int i = 0; i < 2 && !text.empty() && text.back() == '='; ++i) text.remove_suffix(1);
-    std::string plain(text);
-    if (plain.find_first_of("-_") != std::string::npos) return std::nullopt;
-    std::replace(plain.begin(), plain.end(), '+', '-');
-    std::replace(plain.begin(), plain.end(), '/', '_');
-    return http::unbase64url(plain);
+    std::string url_safe(text);
+    if (url_safe.find_first_of("-_") != std::string::npos) return std::nullopt;
+    std::replace(url_safe.begin(), url_safe.end(), '+', '-');
+    std::replace(url_safe.begin(), url_safe.end(), '/', '_');
+    return http::unbase64url(url_safe);
 }
 
 nlohmann::json write_rows(const std::vector<Row>& rows) {
--- a/src/adapters/rest_front.cpp
+++ b/src/adapters/rest_front.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr http::Limits kLimits{.head = 8192, .body = 16384};
-constexpr std::size_t kNameMost = 1024;  // of names, prefixes and sessions, in bytes
+constexpr std::size_t kMaxNameBytes = 1024;  // of a name, a prefix, a session or a tenant
 
 struct Problem {
     int status;
@@ -26,14 +26,14 @@
 class RestSession : public Session {
   public:
     RestSession(boost::asio::io_context& io, RestFront& front, RequestAdmission& admission)
-        : Session(
-              io, front, admission,
-              {.unread = kLimits.head + kLimits.body + 4096, .client_timeout = front.options().half_request}),
+        : Session(io, front, admission,
+                  {.unread_bytes = kLimits.head + kLimits.body + 4096,
+                   .client_timeout = front.options().request_timeout}),
           front_(front),
           parser_(kLimits) {}
 
   private:
-    bool step(transport::Buffer& in) override {
+    bool process_next_message(transport::Buffer& in) override {
         http::Request request;
         std::size_t length = 0;
         switch (parser_.request(in.view(), request, length)) {
@@ -42,128 +42,140 @@
             case http::Next::message:
                 break;
             case http::Next::head_too_large:
-                return hang_up({431, "head-too-large", "The request's head is too large", ""});
+                return close_with_problem({431, "head-too-large", "The request's head is too large", ""});
             case http::Next::body_too_large:
-                return hang_up({413, "body-too-large", "The request's body is too large", ""});
+                return close_with_problem({413, "body-too-large", "The request's body is too large", ""});
             case http::Next::not_implemented:
-                return hang_up({501, "transfer-coding", "This transfer coding is not known", ""});
+                return close_with_problem(
+                    {501, "transfer-coding", "This transfer coding is not supported", ""});
             case http::Next::bad_version:
-                return hang_up({505, "http-version", "This version of HTTP is not spoken", ""});
+                return close_with_problem({505, "http-version", "This version of HTTP is not supported", ""});
             case http::Next::bad:
-                return hang_up({400, "malformed", "The request is malformed", ""});
+                return close_with_problem({400, "malformed", "The request is malformed", ""});
         }
-        keep_alive_ = request.keep_alive;
-        head_only_ = request.method == "HEAD";
-        page_ = false;
-        ClientRequest item;
-        auto problem = read(request, item);
+        keeps_alive_ = request.keep_alive;
+        is_head_request_ = request.method == "HEAD";
+        is_page_ = false;
+        ClientRequest client_request;
+        auto problem = read_request(request, client_request);
         in.consume(length);
         if (problem) {
-            std::vector<http::Field> more;
-            if (problem->status == 405) more.push_back({"Allow", "GET, HEAD"});
-            reply(*problem, more);
-        } else if (health_ && refusing()) {
-            reply({503, "sent-away", "Clients are sent away", ""}, {});
-        } else if (health_) {
+            std::vector<http::Field> fields;
+            if (problem->status == 405) fields.push_back({"Allow", "GET, HEAD"});
+            respond(*problem, fields);
+        } else if (is_health_check_ && is_failing_checks()) {
+            respond({503, "sent-away", "This pooler is sending its clients away", ""}, {});
+        } else if (is_health_check_) {
             respond(200, {{"Content-Type", "application/json"}}, json{{"status", "serving"}}.dump());
-        } else if (is_open(item.id)) {
-            reply({409, "id", "A request of this id is in hand", ""}, {});
-        } else if (!has_capacity(item.name.size())) {
-            reply({503, "refused", "Too much is in hand", "trying again is harmless"},
-                  {{"Retry-After", "1"}});
+        } else if (is_open(client_request.id)) {
+            respond({409, "id", "A request with this id is in flight", ""}, {});
+        } else if (!has_capacity(client_request.name.size())) {
+            respond({503, "refused", "The pooler has no memory for another request",
+                     "the request can safely be retried"},
+                    {{"Retry-After", "1"}});
         } else {
-            submit(std::move(item));
+            submit(std::move(client_request));
         }
-        return !over();
+        return !is_closed();
     }
 
-    void on_impatient() override { hang_up({408, "half-request", "The request did not end in time", ""}); }
-    void on_no_memory() override { hang_up({503, "memory", "Too much is unread or unfinished", ""}); }
+    void on_client_timeout() override {
+        close_with_problem({408, "half-request", "The request was not complete in time", ""});
+    }
+    void on_memory_limit() override {
+        close_with_problem(
+            {503, "memory", "The clients' unread and incomplete requests use too much memory", ""});
+    }
 
-    std::optional<Problem> read(const http::Request& request, ClientRequest& item) {
-        health_ = false;
+    std::optional<Problem> read_request(const http::Request& request, ClientRequest& client_request) {
+        is_health_check_ = false;
         auto target = http::read_target(request.target);
         if (!target) return Problem{400, "malformed", "The target is malformed", ""};
         const auto& path = target->segments;
-        health_ = path.size() == 1 && path[0] == "health";
-        bool rows = (path.size() == 4 || path.size() == 5) && path[0] == "v1" && path[1] == "clusters" &&
-                    path[3] == "kv";
-        if (!health_ && !rows) return Problem{404, "not-found", "There is nothing here", ""};
+        is_health_check_ = path.size() == 1 && path[0] == "health";
+        bool is_rows_path = (path.size() == 4 || path.size() == 5) && path[0] == "v1" &&
+                            path[1] == "clusters" && path[3] == "kv";
+        if (!is_health_check_ && !is_rows_path)
+            return Problem{404, "not-found", "There is no resource at this path", ""};
         if (request.method != "GET" && request.method != "HEAD")
-            return Problem{405, "method", "Only queries are served here", ""};
-        if (health_) return std::nullopt;
-        return read_query(request, *target, item);
+            return Problem{405, "method", "Only GET and HEAD are supported", ""};
+        if (is_health_check_) return std::nullopt;
+        return read_query(request, *target, client_request);
     }
 
     std::optional<Problem> read_query(const http::Request& request, const http::Target& target,
-                                      ClientRequest& item) {
+                                      ClientRequest& client_request) {
         auto invalid = [](std::string detail) {
             return Problem{400, "parameter", "A parameter is invalid", std::move(detail)};
         };
-        page_ = target.segments.size() == 4;
+        is_page_ = target.segments.size() == 4;
         static constexpr std::string_view kParameters[] = {"class",  "session", "tenant", "wait_ms",
                                                            "prefix", "limit",   "cursor"};
         for (std::size_t i = 0; i < target.parameters.size(); ++i) {
             const std::string& name = target.parameters[i].first;
-            auto at = std::find(std::begin(kParameters), std::end(kParameters), name);
-            if (at == std::end(kParameters) || (!page_ && at - std::begin(kParameters) >= 4))
-                return invalid("'" + name.substr(0, 64) + "' is not known");
+            auto known = std::find(std::begin(kParameters), std::end(kParameters), name);
+            if (known == std::end(kParameters) || (!is_page_ && known - std::begin(kParameters) >= 4))
+                return invalid("'" + name.substr(0, 64) + "' is not a parameter of this resource");
             for (std::size_t j = 0; j < i; ++j)
                 if (target.parameters[j].first == name) return invalid("'" + name + "' is given twice");
-            if (name != "cursor" && target.parameters[i].second.size() > kNameMost)
+            if (name != "cursor" && target.parameters[i].second.size() > kMaxNameBytes)
                 return invalid("'" + name + "' is too long");
         }
         auto parameter = [&](std::string_view name) { return target.parameter(name).value_or(""); };
-        auto group = whole<std::uint32_t>(target.segments[2]);
-        if (!group) return Problem{404, "not-found", "There is no such cluster", ""};
+        auto group = parse_number<std::uint32_t>(target.segments[2]);
+        if (!group) return Problem{404, "not-found", "The cluster is not a number", ""};
         const ClassInfo* request_class = front_.classes().find(parameter("class"));
-        if (!request_class) return invalid("'class' names no class of request");
-        if (request_class->write) return invalid("'class' names a class of writes");
+        if (!request_class) return invalid("'class' is missing or names no request class");
+        if (request_class->write) return invalid("'class' names a class of writes; only reads are supported");
         query_ = rest::Query{request_class->name, std::string(parameter("session")),
                              std::string(parameter("tenant")), std::string(parameter("prefix")), *group};
         if (request_class->session && query_.session.empty())
-            return invalid("this class of request needs a 'session'");
-        if (!plain(query_.tenant)) return invalid("'tenant' is no name");
-        item.client_timeout = request_class->deadline;
+            return invalid("'session' is missing; this request class needs it");
+        if (!is_plain_token(query_.tenant))
+            return invalid("'tenant' may hold only letters, digits and - _ . :");
+        client_request.client_timeout = request_class->deadline;
         if (auto wait = target.parameter("wait_ms")) {
-            auto ms = whole<std::int64_t>(*wait);
-            if (!ms || *ms <= 0 || *ms > 3'600'000) return invalid("'wait_ms' is out of range");
-            item.client_timeout = std::min<Duration>(item.client_timeout, std::chrono::milliseconds(*ms));
+            auto wait_ms = parse_number<std::int64_t>(*wait);
+            if (!wait_ms || *wait_ms <= 0 || *wait_ms > 3'600'000)
+                return invalid("'wait_ms' is out of range");
+            client_request.client_timeout =
+                std::min<Duration>(client_request.client_timeout, std::chrono::milliseconds(*wait_ms));
         }
-        item.request_class = request_class->id;
-        item.class_name = request_class->name;
-        item.group = GroupId{*group};
-        item.tenant = query_.tenant;
-        if (request_class->session) item.session = session_number(query_.session);
+        client_request.request_class = request_class->id;
+        client_request.class_name = request_class->name;
+        client_request.group = GroupId{*group};
+        client_request.tenant = query_.tenant;
+        if (request_class->session) client_request.session = session_number(query_.session);
         auto id = request.field("request-id");
-        if (id && (id->empty() || id->size() > 64 || !plain(*id)))
-            return invalid("Request-Id must be 1 to 64 letters, digits or marks");
-        item.id = id ? std::string(*id) : front_.next_id();
-        while (!id && is_open(item.id)) item.id = front_.next_id();
-        if (!page_) {
-            item.verb = ClientRequest::Verb::lookup;
-            item.name = target.segments[4];
-            if (item.name.empty() || item.name.size() > kNameMost ||
-                item.name.find('\0') != std::string::npos)
+        if (id && (id->empty() || id->size() > 64 || !is_plain_token(*id)))
+            return invalid("Request-Id must be 1 to 64 letters, digits or - _ . :");
+        client_request.id = id ? std::string(*id) : front_.next_request_id();
+        while (!id && is_open(client_request.id)) client_request.id = front_.next_request_id();
+        if (!is_page_) {
+            client_request.verb = ClientRequest::Verb::lookup;
+            client_request.name = target.segments[4];
+            if (client_request.name.empty() || client_request.name.size() > kMaxNameBytes ||
+                client_request.name.find('\0') != std::string::npos)
                 return invalid("the row's name is empty, too long or malformed");
             return std::nullopt;
         }
-        size_ = front_.options().page_size;
+        page_size_ = front_.options().page_size;
         if (auto limit = target.parameter("limit")) {
-            auto size = whole<std::uint32_t>(*limit);
+            auto size = parse_number<std::uint32_t>(*limit);
             if (!size || *size == 0 || *size > front_.options().page_size_most)
                 return invalid("'limit' must lie between 1 and " +
                                std::to_string(front_.options().page_size_most));
-            size_ = *size;
+            page_size_ = *size;
         }
-        item.verb = ClientRequest::Verb::page;
-        item.limit = size_ + 1;  // one more tells whether a next page exists
+        client_request.verb = ClientRequest::Verb::page;
+        client_request.limit = page_size_ + 1;  // the row beyond the page tells whether a next page exists
         if (query_.prefix.find('\0') != std::string::npos) return invalid("'prefix' is malformed");
-        if (!query_.prefix.empty()) item.prefix = query_.prefix;
+        if (!query_.prefix.empty()) client_request.prefix = query_.prefix;
         if (auto cursor = target.parameter("cursor")) {
             auto after = rest::read_cursor(query_, *cursor);
-            if (!after) return Problem{400, "cursor", "The cursor is not one of this query", ""};
-            item.name = *after;
+            if (!after)
+                return Problem{400, "cursor", "The cursor is damaged or belongs to another query", ""};
+            client_request.name = *after;
         }
         return std::nullopt;
     }
@@ -172,14 +184,16 @@
         std::string position = answer.position_unix_ms ? std::to_string(*answer.position_unix_ms) : "";
         std::vector<http::Field> fields{{"Cache-Control", "no-store"}};
         if (!position.empty()) fields.push_back({"Data-Position", position});
-        if (!page_) {
+        if (!is_page_) {
             if (answer.rows.empty())
-                return finish({404, "no-row", "There is no row of this name", ""}, fields);
+                return respond_to_submitted({404, "no-row", "There is no row with this name", ""}, fields);
             fields.push_back({"Content-Type", "application/octet-stream"});
-            return finish(200, fields, rest::raw_content(answer.rows[0].content, answer.binary));
+            return respond_to_submitted(200, fields,
+                                        rest::raw_content(answer.rows[0].content, answer.binary));
         }
-        std::vector<Row> rows(answer.rows.begin(), answer.rows.begin() + std::ptrdiff_t(std::min<std::size_t>(
-                                                                             answer.rows.size(), size_)));
+        std::vector<Row> rows(
+            answer.rows.begin(),
+            answer.rows.begin() + std::ptrdiff_t(std::min<std::size_t>(answer.rows.size(), page_size_)));
         for (Row& row : rows) row.content = rest::raw_content(row.content, answer.binary);
         json body{{"items", rest::write_rows(rows)}, {"next", nullptr}};
         std::string link;
@@ -190,8 +204,9 @@
             fields.push_back({"Link", link});
         }
         fields.push_back({"Content-Type", "application/json"});
-        // Names are bytes to the hosts; JSON wants UTF-8, so what is none is replaced, not thrown at us.
-        finish(200, fields, body.dump(-1, ' ', false, json::error_handler_t::replace));
+        // Hosts treat names as bytes, but JSON needs UTF-8. Invalid sequences are replaced; by default dump()
+        // would throw.
+        respond_to_submitted(200, fields, body.dump(-1, ' ', false, json::error_handler_t::replace));
     }
 
     std::string next_target(const std::string& cursor) const {
@@ -200,59 +215,66 @@
         for (auto [name, value] :
              {std::pair{"session", &query_.session}, {"tenant", &query_.tenant}, {"prefix", &query_.prefix}})
             if (!value->empty()) out += "&" + std::string(name) + "=" + http::percent_encode(*value);
-        return out + "&limit=" + std::to_string(size_) + "&cursor=" + cursor;
+        return out + "&limit=" + std::to_string(page_size_) + "&cursor=" + cursor;
     }
 
-    void on_final_error(const FinalError& ending) override {
+    void on_final_error(const FinalError& final_error) override {
         std::string seconds;
         std::vector<http::Field> fields;
-        if (ending.retry_after) {
-            // Whole seconds, rounded up: what the field can say.
-            seconds = std::to_string((ending.retry_after->count() + 999'999) / 1'000'000);
+        if (final_error.retry_after) {
+            // Retry-After takes whole seconds; the time is rounded up.
+            seconds = std::to_string((final_error.retry_after->count() + 999'999) / 1'000'000);
             fields.push_back({"Retry-After", seconds});
         }
-        if (ending.deadline)
-            finish({504, "deadline", "No host answered in time", ""}, fields);
-        else if (ending.kind == FinalError::Kind::rejected)
-            finish({503, "refused", "No host can take this now", "trying again is harmless"}, fields);
+        if (final_error.deadline)
+            respond_to_submitted({504, "deadline", "No database host answered in time", ""}, fields);
+        else if (final_error.kind == FinalError::Kind::rejected)
+            respond_to_submitted({503, "refused", "No database host can take this request now",
+                                  "the request can safely be retried"},
+                                 fields);
         else
-            finish({502, "failed", "The host failed", ""}, fields);
+            respond_to_submitted({502, "failed", "The database host failed", ""}, fields);
     }
 
     // ---- answers -------------------------------------------------------------------------------
 
-    std::string message(int status, std::vector<http::Field> fields, const std::string& body) {
+    std::string format_response(int status, std::vector<http::Field> fields, const std::string& body) {
         log(status);
-        return http::write_response(status, fields, body, keep_alive_ && !retiring(), head_only_);
+        return http::write_response(status, fields, body, keeps_alive_ && !is_retiring(), is_head_request_);
     }
-    std::string message(const Problem& p, std::vector<http::Field> fields) {
-        json body{{"type", "urn:indigovane:problem:" + p.type}, {"title", p.title}, {"status", p.status}};
-        if (!p.detail.empty()) body["detail"] = p.detail;
+    std::string format_response(const Problem& problem, std::vector<http::Field> fields) {
+        json body{{"type", "urn:indigovane:problem:" + problem.type},
+                  {"title", problem.title},
+                  {"status", problem.status}};
+        if (!problem.detail.empty()) body["detail"] = problem.detail;
         fields.push_back({"Content-Type", "application/problem+json"});
-        return message(p.status, fields, body.dump(-1, ' ', false, json::error_handler_t::replace));
+        return format_response(problem.status, fields,
+                               body.dump(-1, ' ', false, json::error_handler_t::replace));
     }
     void respond(int status, std::vector<http::Field> fields, const std::string& body) {
-        write(message(status, std::move(fields), body));
-        if (!keep_alive_ || retiring()) leave();
+        write(format_response(status, std::move(fields), body));
+        if (!keeps_alive_ || is_retiring()) close_gracefully();
+    }
+    void respond(const Problem& problem, std::vector<http::Field> fields) {
+        write(format_response(problem, std::move(fields)));
+        if (!keeps_alive_ || is_retiring()) close_gracefully();
     }
-    void reply(const Problem& p, std::vector<http::Field> fields) {
-        write(message(p, std::move(fields)));
-        if (!keep_alive_ || retiring()) leave();
+    void respond_to_submitted(int status, std::vector<http::Field> fields, const std::string& body) {
+        send_last_bytes(format_response(status, std::move(fields), body));
     }
-    void finish(int status, std::vector<http::Field> fields, const std::string& body) {
-        last(message(status, std::move(fields), body));
+    void respond_to_submitted(const Problem& problem, std::vector<http::Field> fields) {
+        send_last_bytes(format_response(problem, std::move(fields)));
     }
-    void finish(const Problem& p, std::vector<http::Field> fields) { last(message(p, std::move(fields))); }
-    void last(std::string bytes) {
-        if (keep_alive_ && !retiring()) return answered(std::move(bytes));
+    void send_last_bytes(std::string bytes) {
+        if (keeps_alive_ && !is_retiring()) return finish_response(std::move(bytes));
         write(std::move(bytes));
-        leave();
+        close_gracefully();
     }
-    // Where the next request begins is not known after this.
-    bool hang_up(const Problem& p) {
-        keep_alive_ = head_only_ = false;
-        write(message(p, {}));
-        leave(transport::Connection::Crossing::discard);
+    // Answers and closes the connection: where the next request begins is unknown.
+    bool close_with_problem(const Problem& problem) {
+        keeps_alive_ = is_head_request_ = false;
+        write(format_response(problem, {}));
+        close_gracefully(transport::Connection::Crossing::discard);
         return false;
     }
 
@@ -266,19 +288,19 @@
     RestFront& front_;
     http::Parser parser_;
     rest::Query query_;
-    std::uint32_t size_ = 0;
-    bool keep_alive_ = true, head_only_ = false, page_ = false, health_ = false;
+    std::uint32_t page_size_ = 0;
+    bool keeps_alive_ = true, is_head_request_ = false, is_page_ = false, is_health_check_ = false;
 };
 
 }  // namespace
 
-std::string RestFront::next_id() {
+std::string RestFront::next_request_id() {
     char text[17];
-    std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(++ids_));
+    std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(++last_request_number_));
     return text;
 }
 
-std::shared_ptr<Session> RestFront::open() {
+std::shared_ptr<Session> RestFront::create_session() {
     return std::make_shared<RestSession>(io_, *this, admission_);
 }
 
--- a/src/adapters/session.cpp
+++ b/src/adapters/session.cpp
@@ -11,7 +11,7 @@
       limits_(limits),
       connection_(std::make_shared<transport::Connection>(io)),
       timer_(io) {
-    connection_->limit_unread(limits.unread);
+    connection_->limit_unread(limits.unread_bytes);
     connection_->watch_for_hangup();
 }
 
@@ -19,194 +19,198 @@
     connection_->detach();
 }
 
-void Session::begin(boost::asio::ip::tcp::socket socket, std::string_view read) {
-    connection_->adopt(std::move(socket), *this, read);
-    watch();
+void Session::begin(boost::asio::ip::tcp::socket socket, std::string_view received_bytes) {
+    connection_->adopt(std::move(socket), *this, received_bytes);
+    update_timeout();
 }
 
 std::size_t Session::memory_bytes() const {
-    return connection_->unwritten() + (in_ ? in_->capacity() : 0);
+    return connection_->unwritten() + (input_ ? input_->capacity() : 0);
 }
 
-bool Session::between_requests() {
-    return state_ == State::between && !connection_->readable() && connection_->delivered();
+bool Session::is_idle() {
+    return state_ == State::idle && !connection_->readable() && connection_->delivered();
 }
 
-std::string Session::peer() const {
+std::string Session::peer_address() const {
     transport::SocketAddress at = connection_->remote();
     return at.address().to_string() + ":" + std::to_string(at.port());
 }
 
-void Session::retire() {
-    if (retiring() && state_ == State::between && !connection_->readable()) leave();
+void Session::close_if_retiring() {
+    if (is_retiring() && state_ == State::idle && !connection_->readable()) close_gracefully();
 }
 
-bool Session::retiring() const {
-    return client_listener_.retires(*this);
+bool Session::is_retiring() const {
+    return client_listener_.is_retiring(*this);
 }
 
-bool Session::refusing() const {
-    return client_listener_.refusing();
+bool Session::is_failing_checks() const {
+    return client_listener_.is_failing_checks();
 }
 
 void Session::end_with(routing::RequestAdmission::Departure departure) {
-    if (state_ == State::serving) admission_.withdraw(request_, departure);
-    state_ = State::over;
+    if (state_ == State::serving) admission_.withdraw(request_id_, departure);
+    state_ = State::closed;
     timer_.cancel();
     connection_->close();
 }
 
 std::optional<routing::ClientHandover> Session::release() {
-    constexpr std::size_t kMaxUnreadHandedOver = 16384;  // bytes; a longer request is read to its end here
-    if (state_ != State::between || connection_->unread().size() > kMaxUnreadHandedOver) return std::nullopt;
+    constexpr std::size_t kMaxUnreadHandedOver = 16384;  // bytes; a longer request is read and served here
+    if (state_ != State::idle || connection_->unread().size() > kMaxUnreadHandedOver) return std::nullopt;
     routing::ClientHandover handover{-1, wire_state(), std::string(connection_->unread()), wire_note()};
     handover.socket = connection_->release();
     if (handover.socket < 0) return std::nullopt;
-    state_ = State::over;
+    state_ = State::closed;
     timer_.cancel();
     return handover;
 }
 
 void Session::on_data(transport::Buffer& in) {
     auto self = shared_from_this();
-    in_ = &in;
+    input_ = &in;
     arrivals_.came(in.consumed() + in.size(), in.consumed(), std::chrono::steady_clock::now());
-    work();
+    process_input();
 }
 
 void Session::on_written() {
     auto self = shared_from_this();
-    progress_ = true;
-    if (passing_on_) {
-        watch();
-        return admission_.resume(request_);
+    has_progressed_ = true;
+    if (is_streaming_) {
+        update_timeout();
+        return admission_.resume(request_id_);
     }
-    work();
+    process_input();
 }
 
 void Session::on_closed(const transport::error_code&) {
     auto self = shared_from_this();
     end_with(routing::RequestAdmission::Departure::client_left);
-    client_listener_.leave(self);
-}
-
-void Session::work() {
-    if (working_) return;
-    working_ = true;
-    while (in_ && !in_->empty() && state_ == State::between &&
-           connection_->unwritten() <= limits_.unwritten && step(*in_))
-        progress_ = has_begun_ = true;
-    working_ = false;
-    // Not while an answer is owed: what is unread behind its request is bounded, and looked at again after
-    // it.
-    bool crowded = state_ != State::over && client_listener_.crowded(*this);
-    if (crowded && state_ == State::between && connection_->unwritten() == 0) on_no_memory();
-    if (state_ == State::over) return;
-    watch();
-    retire();
-    if (state_ != State::over) connection_->resume();
-}
-
-void Session::try_again() {
+    client_listener_.remove_session(self);
+}
+
+void Session::process_input() {
+    if (is_processing_) return;
+    is_processing_ = true;
+    while (input_ && !input_->empty() && state_ == State::idle &&
+           connection_->unwritten() <= limits_.unwritten_bytes && process_next_message(*input_))
+        has_progressed_ = has_received_message_ = true;
+    is_processing_ = false;
+    // A session that serves a request is not closed: what is unread behind the request is bounded, and it is
+    // checked again after the answer.
+    bool is_over_limit = state_ != State::closed && client_listener_.is_over_memory_limit(*this);
+    if (is_over_limit && state_ == State::idle && connection_->unwritten() == 0) on_memory_limit();
+    if (state_ == State::closed) return;
+    update_timeout();
+    close_if_retiring();
+    if (state_ != State::closed) connection_->resume();
+}
+
+void Session::resume_reading() {
     auto self = shared_from_this();
-    work();
+    process_input();
 }
 
-bool Session::expect(std::size_t length) {
-    if (granted > 0) return true;
-    // Once as it is read, once as it waits to be sent on.
-    if (!client_listener_.grant(*this, 2 * length)) return false;
-    expected_since_ = std::chrono::steady_clock::now();
-    progress_ = true;
-    in_->reserve(length + 4096);  // and what is read beyond it
+bool Session::reserve_long_message(std::size_t length) {
+    if (granted_bytes > 0) return true;
+    // Memory for two copies: the message in the read buffer, and the statement that waits to be sent.
+    if (!client_listener_.grant_capacity(*this, 2 * length)) return false;
+    long_message_since_ = std::chrono::steady_clock::now();
+    has_progressed_ = true;
+    input_->reserve(length + 4096);  // one read may go beyond the message's end
     connection_->limit_unread(length);
     return true;
 }
 
-// Guards against answering a request that waited behind others when its client has given it up: its time
-// counts from its last byte, whenever its turn comes.
-void Session::submit(routing::ClientRequest item, std::size_t unread) {
+// The client's timeout counts from the arrival of the request's last byte. Otherwise a request that waited
+// unread behind others could be answered after its client has given up.
+void Session::submit(routing::ClientRequest client_request, std::size_t unread) {
     auto now = std::chrono::steady_clock::now();
     auto waited =
-        std::chrono::duration_cast<routing::Duration>(now - arrivals_.at(in_->consumed() + unread, now));
-    item.client_timeout = std::max(routing::Duration::zero(), item.client_timeout - waited);
-    client_listener_.touch(*this);
-    has_begun_ = progress_ = true;
+        std::chrono::duration_cast<routing::Duration>(now - arrivals_.at(input_->consumed() + unread, now));
+    client_request.client_timeout =
+        std::max(routing::Duration::zero(), client_request.client_timeout - waited);
+    client_listener_.mark_used(*this);
+    has_received_message_ = has_progressed_ = true;
     state_ = State::serving;
-    request_ = admission_.accept(std::move(item), *this);
+    request_id_ = admission_.accept(std::move(client_request), *this);
 }
 
-bool Session::pass_on(std::string bytes) {
-    passing_on_ = true;
+bool Session::stream_response(std::string bytes) {
+    is_streaming_ = true;
     connection_->write(std::move(bytes));
     if (state_ != State::serving) return false;
-    watch();
-    return connection_->unwritten() < limits_.pieces;
+    update_timeout();
+    return connection_->unwritten() < limits_.streamed_bytes;
 }
 
-void Session::break_off() {
+void Session::abort_response() {
     auto self = shared_from_this();
-    state_ = State::over;
+    state_ = State::closed;
     timer_.cancel();
     connection_->close();
-    client_listener_.leave(self);
+    client_listener_.remove_session(self);
 }
 
-void Session::answered(std::string bytes) {
+void Session::finish_response(std::string bytes) {
     auto self = shared_from_this();
-    passing_on_ = false;
-    if (granted > 0) {
-        connection_->limit_unread(limits_.unread);
-        client_listener_.take_back(*this);
+    is_streaming_ = false;
+    if (granted_bytes > 0) {
+        connection_->limit_unread(limits_.unread_bytes);
+        client_listener_.release_capacity(*this);
     }
-    state_ = State::between;
+    state_ = State::idle;
     connection_->write(std::move(bytes));
-    work();
-    if (state_ == State::between) client_listener_.touch(*this);
+    process_input();
+    if (state_ == State::idle) client_listener_.mark_used(*this);
 }
 
-void Session::leave(transport::Connection::Crossing crossing) {
-    if (state_ == State::over) return;
+void Session::close_gracefully(transport::Connection::Crossing crossing) {
+    if (state_ == State::closed) return;
     auto self = shared_from_this();
     if (state_ == State::serving)
-        admission_.withdraw(request_, routing::RequestAdmission::Departure::closed_here);
-    state_ = State::over;
+        admission_.withdraw(request_id_, routing::RequestAdmission::Departure::closed_here);
+    state_ = State::closed;
     timer_.cancel();
     connection_->close_after_writing(crossing);
     client_listener_.linger(connection_);
-    client_listener_.leave(self);
-}
-
-// Guards against clients that hold a connection and its memory without ever being served: silent ones, those
-// that begin and don't end, and those that don't read. Each whole message, and all being read, is progress.
-void Session::watch() {
-    bool waits = (state_ == State::between &&
-                  (unfinished() || (in_ && !in_->empty()) || connection_->unwritten() > 0)) ||
-                 (passing_on_ && connection_->unwritten() > 0);
-    if (waits && watching_ && !std::exchange(progress_, false)) return;
-    if (watching_) timer_.cancel();
-    ++watches_;
-    watching_ = waits;
+    client_listener_.remove_session(self);
+}
+
+// Closes clients that occupy a connection and its memory without being served: those that send nothing, those
+// that send an incomplete message, and those that don't read their answers. A complete message received, or
+// everything written, counts as progress.
+void Session::update_timeout() {
+    bool waits = (state_ == State::idle && (is_awaiting_first_message() || (input_ && !input_->empty()) ||
+                                            connection_->unwritten() > 0)) ||
+                 (is_streaming_ && connection_->unwritten() > 0);
+    if (waits && is_timer_running_ && !std::exchange(has_progressed_, false)) return;
+    if (is_timer_running_) timer_.cancel();
+    ++timer_generation_;
+    is_timer_running_ = waits;
     if (!waits) return;
-    sent_ = connection_->sent();
-    seen_ = in_ ? in_->size() : 0;
-    timer_.expires_after(passing_on_ ? limits_.reading : limits_.client_timeout);
-    timer_.async_wait([weak = weak_from_this(), number = watches_](const transport::error_code& ec) {
+    sent_at_timer_start_ = connection_->sent();
+    unread_at_timer_start_ = input_ ? input_->size() : 0;
+    timer_.expires_after(is_streaming_ ? limits_.read_timeout : limits_.client_timeout);
+    timer_.async_wait([weak = weak_from_this(), number = timer_generation_](const transport::error_code& ec) {
         auto self = weak.lock();
-        if (!self || ec || number != self->watches_ || (self->state_ != State::between && !self->passing_on_))
+        if (!self || ec || number != self->timer_generation_ ||
+            (self->state_ != State::idle && !self->is_streaming_))
             return;
-        if (self->granted > 0 && self->in_->size() > self->seen_ &&
-            std::chrono::steady_clock::now() < self->expected_since_ + kLongest) {  // it writes, if slowly
-            self->progress_ = true;
-            return self->watch();
+        if (self->granted_bytes > 0 && self->input_->size() > self->unread_at_timer_start_ &&
+            std::chrono::steady_clock::now() <
+                self->long_message_since_ + kLongMessageTimeout) {  // it sends slowly
+            self->has_progressed_ = true;
+            return self->update_timeout();
         }
-        if (self->connection_->unwritten() == 0) return self->on_impatient();
-        if (self->connection_->sent() > self->sent_) {  // it reads, if slowly
-            self->progress_ = true;
-            return self->watch();
+        if (self->connection_->unwritten() == 0) return self->on_client_timeout();
+        if (self->connection_->sent() > self->sent_at_timer_start_) {  // it reads slowly
+            self->has_progressed_ = true;
+            return self->update_timeout();
         }
         self->close();
-        self->client_listener_.leave(self);
+        self->client_listener_.remove_session(self);
     });
 }
 
--- a/src/adapters/session.hpp
+++ b/src/adapters/session.hpp
@@ -1,4 +1,4 @@
-// A client's connection at any front: bytes in, one request at a time, answers out in the same order.
+// A client's connection to any front. Requests are read and answered one at a time, in their order.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -17,95 +17,128 @@
                 protected routing::Responder {
   public:
     struct Limits {
-        std::size_t unread = 1 << 16;     // bytes kept while an earlier request is served
-        std::size_t unwritten = 1 << 18;  // a client that reads nothing is asked nothing more beyond this
-        // Patience with a client that is in the middle of something: a first request that does not come, one
-        // that does not end, an answer that is not read.
+        /// Received bytes that are kept unread while an earlier request is served.
+        std::size_t unread_bytes = 1 << 16;
+        /// No further request is read while more than this is unwritten: the client does not read its
+        /// answers.
+        std::size_t unwritten_bytes = 1 << 18;
+        /// Time without progress for a first request to arrive, for a request to be completed, and for an
+        /// answer to be read.
         std::chrono::milliseconds client_timeout{2500};
-        // With one that reads a long value: so long without reading anything of it.
-        std::chrono::milliseconds reading{5000};
-        std::size_t pieces = 32768;  // of a long value, unwritten: at this no more is taken in
+        /// Time without progress for a client that reads a long value.
+        std::chrono::milliseconds read_timeout{5000};
+        /// Unwritten bytes of a long value at which no further piece of it is accepted.
+        std::size_t streamed_bytes = 32768;
     };
 
     Session(boost::asio::io_context& io, ClientListener& client_listener,
             routing::RequestAdmission& admission, Limits limits);
     virtual ~Session();
 
-    void begin(boost::asio::ip::tcp::socket socket, std::string_view read = {});
-    std::optional<routing::ClientHandover> release();  // the session is over then; nothing: not now
-    // Before begin().
-    virtual void restore(char, std::string_view) { has_begun_ = true; }
-    bool between_requests();      // nothing is owed to this client, and nothing of it is unread
-    void retire();                // closes if that is so and the listener wants it
-    void give_way() { leave(); }  // between requests
-    void close() { end_with(routing::RequestAdmission::Departure::closed_here); }  // at once
-    // What its listener notes of it.
-    std::uint64_t used = 0;                      // when it last had a request, or came, as a count
-    std::chrono::steady_clock::time_point came;  // and the time that it came
-    bool served = false;                         // it has had a request
-    std::size_t granted = 0;                     // bytes that its listener lets it keep beyond the usual
-    void try_again();                            // the listener may have capacity for what it waits for
-    std::size_t memory_bytes() const;            // bytes that it keeps in memory, unread and unwritten
-    std::size_t counted = 0;                     // and those that the listener knows of
+    /// Starts to serve the connected socket. `received_bytes` were read from it by its previous owner.
+    void begin(boost::asio::ip::tcp::socket socket, std::string_view received_bytes = {});
+    /// Closes this session and returns its socket and state for another process. Returns std::nullopt, and
+    /// changes nothing, while a request is served or too much is unread; returns it also when the socket
+    /// can't be released because an answer is unwritten.
+    std::optional<routing::ClientHandover> release();
+    /// Restores what `wire_state()` and `wire_note()` gave in the previous process. Called before begin().
+    virtual void restore(char, std::string_view) { has_received_message_ = true; }
+    /// Whether no request is served, nothing received is unread and the client has all answers.
+    bool is_idle();
+    /// Closes the connection if the listener retires it and no request is served or unread.
+    void close_if_retiring();
+    /// Closes an idle session to make room for another one.
+    void evict() { close_gracefully(); }
+    /// Closes at once and withdraws a request in flight.
+    void close() { end_with(routing::RequestAdmission::Departure::closed_here); }
+
+    // The listener's record of this session.
+
+    /// Position in the order of use: set when the session is accepted and whenever it is used.
+    std::uint64_t last_use_sequence = 0;
+    std::chrono::steady_clock::time_point accepted_at;
+    /// Whether the session has had a request.
+    bool has_been_served = false;
+    /// Bytes that the listener has granted for a long message, beyond `Limits::unread_bytes`.
+    std::size_t granted_bytes = 0;
+    /// Continues to read when the listener may have capacity for a long message.
+    void resume_reading();
+    /// Bytes in memory, unread and unwritten.
+    std::size_t memory_bytes() const;
+    /// Bytes of this session that are part of the listener's sum.
+    std::size_t counted_bytes = 0;
 
   protected:
-    // Takes one message from the buffer; false: more must come, or the session is asked() or over.
-    virtual bool step(transport::Buffer& in) = 0;
-    // More is owed by the client before it may stay for as long as it likes.
-    virtual bool unfinished() const { return !has_begun_; }
+    /// Consumes one message of the buffer. Returns false if the message is incomplete, or if the session is
+    /// serving a request or closed.
+    virtual bool process_next_message(transport::Buffer& in) = 0;
+    /// Whether the client has yet to send its first message. An idle client has no timeout after that.
+    virtual bool is_awaiting_first_message() const { return !has_received_message_; }
+    /// State of the wire protocol, for a handover.
     virtual char wire_state() const { return 0; }
-    virtual std::string wire_note() const { return {}; }  // 256 bytes at most
-    virtual void on_impatient() = 0;  // a request does not end, or no first one has come: leave()
-    virtual void on_no_memory() = 0;  // what the clients hold together is too much: leave()
+    /// What a handover has to carry beside the state: at most 256 bytes.
+    virtual std::string wire_note() const { return {}; }
+    /// Called when the first request or the rest of a request is late: reports it and closes the connection.
+    virtual void on_client_timeout() = 0;
+    /// Called when all clients together use too much memory: reports it and closes the connection.
+    virtual void on_memory_limit() = 0;
 
-    // A message of that length is under way. False: there is no room for it yet, and no more is read until
-    // there is.
-    bool expect(std::size_t length);
-    static constexpr auto kLongest = std::chrono::seconds(30);  // for one that is under way all the time
-    // One request; on_answer() or on_final_error() follows. `unread`: of its message, bytes that are in the
-    // buffer yet.
-    void submit(routing::ClientRequest item, std::size_t unread = 0);
+    /// Reserves memory for an incomplete message of `length` bytes. Returns false if there is no capacity
+    /// yet; nothing more is read until there is.
+    bool reserve_long_message(std::size_t length);
+    /// Time limit for a long message whose bytes keep arriving.
+    static constexpr auto kLongMessageTimeout = std::chrono::seconds(30);
+    /// Passes one request on; on_answer() or on_final_error() follows. `unread` is the number of bytes of its
+    /// message that are still in the buffer.
+    void submit(routing::ClientRequest client_request, std::size_t unread = 0);
+    /// Whether the admission has capacity for a request of that many bytes.
     bool has_capacity(std::size_t bytes) const { return admission_.has_capacity(bytes); }
-    void answered(std::string bytes);
-    bool pass_on(std::string bytes);  // part of the answer; false: resume() follows, when there is room
-    void break_off();                 // the answer can't be finished: the client is to see that
+    /// Writes the answer, or its end, and reads the next request.
+    void finish_response(std::string bytes);
+    /// Writes a part of the answer. Returns false if no more is to be given until the admission's resume().
+    bool stream_response(std::string bytes);
+    /// Closes the connection at once because the answer can't be completed: the client sees it cut off.
+    void abort_response();
     void write(std::string bytes) { connection_->write(std::move(bytes)); }
     bool is_open(const std::string& id) const { return admission_.is_open(id); }
-    // What is written still goes out, and the connection is half-closed.
-    void leave(transport::Connection::Crossing crossing = transport::Connection::Crossing::unread);
-    // Of this client's connection: the same in the process that it is handed over to.
-    std::string peer() const;
-    bool serving() const { return state_ == State::serving; }
-    bool over() const { return state_ == State::over; }
-    bool retiring() const;  // to be closed after this request
-    bool refusing() const;  // whoever asks whether to send clients here is to be told no
+    /// Withdraws a request in flight, sends what is already written and half-closes the connection.
+    void close_gracefully(transport::Connection::Crossing crossing = transport::Connection::Crossing::unread);
+    /// The client's address and port. It stays the same after a handover to another process.
+    std::string peer_address() const;
+    bool is_serving() const { return state_ == State::serving; }
+    bool is_closed() const { return state_ == State::closed; }
+    /// Whether the connection is to be closed after this request.
+    bool is_retiring() const;
+    /// Whether health checks are to fail, so that load balancers send clients elsewhere.
+    bool is_failing_checks() const;
 
   private:
-    enum class State { between, serving, over };
+    enum class State { idle, serving, closed };
 
     void on_data(transport::Buffer& in) override;
     void on_written() override;
     void on_closed(const transport::error_code& ec) override;
     bool is_client_present() override { return !connection_->hung_up(); }
     void end_with(routing::RequestAdmission::Departure departure);
-    void work();
-    void watch();
+    void process_input();
+    void update_timeout();
 
     ClientListener& client_listener_;
     routing::RequestAdmission& admission_;
     Limits limits_;
     std::shared_ptr<transport::Connection> connection_;
     boost::asio::steady_timer timer_;
-    transport::Buffer* in_ = nullptr;  // the connection's
-    transport::Arrivals arrivals_;     // of what is in it
-    State state_ = State::between;
-    routing::RequestId request_{};
-    std::size_t seen_ = 0;  // of a long message when the watch began
-    std::chrono::steady_clock::time_point expected_since_;
-    std::uint64_t sent_ = 0;     // by the connection when the watch began
-    std::uint64_t watches_ = 0;  // begun so far: a ring of an earlier one says nothing
-    bool passing_on_ = false;    // a long value has begun
-    bool working_ = false, watching_ = false, progress_ = false, has_begun_ = false;
+    transport::Buffer* input_ = nullptr;  // owned by the connection
+    transport::Arrivals arrivals_;        // arrival times of the bytes in `input_`
+    State state_ = State::idle;
+    routing::RequestId request_id_{};
+    std::size_t unread_at_timer_start_ = 0;  // bytes in `input_` when the timer was started
+    std::chrono::steady_clock::time_point long_message_since_;
+    std::uint64_t sent_at_timer_start_ = 0;  // bytes that the connection had sent when the timer was started
+    std::uint64_t timer_generation_ = 0;     // an expiry of an earlier generation is ignored
+    bool is_streaming_ = false;              // a part of a long value has been written
+    bool is_processing_ = false, is_timer_running_ = false, has_progressed_ = false,
+         has_received_message_ = false;
 };
 
 }  // namespace indigovane::adapters
--- a/tests/adapters/pg_front_long_values_test.cpp
+++ b/tests/adapters/pg_front_long_values_test.cpp
@@ -65,7 +65,7 @@
     NullLogger logger;
     ScriptedAdmission admission{loop};
     adapters::Classes known = classes();
-    adapters::PgFront front(loop.io, loopback(), 8, known, {.client_timeout = 10s, .reading = 20ms},
+    adapters::PgFront front(loop.io, loopback(), 8, known, {.client_timeout = 10s, .read_timeout = 20ms},
                             admission, logger);
     front.start();
     boost::asio::ip::tcp::socket unread(loop.io);  // reads nothing
--- a/tests/adapters/pg_request_test.cpp
+++ b/tests/adapters/pg_request_test.cpp
@@ -1,4 +1,4 @@
-// Statements of clients into requests, without a socket.
+// Reading of clients' statements into requests, without a socket.
 #include "adapters/pg_request.hpp"
 
 #include <doctest/doctest.h>
@@ -12,9 +12,10 @@
 namespace pg = protocol::pg;
 
 const Classes& classes() {
-    static const Classes all({{"basket", routing::ClassId{0}, std::chrono::seconds(1), false, true, false},
-                              {"order", routing::ClassId{1}, std::chrono::seconds(2), true, false, true}});
-    return all;
+    static const Classes known_classes(
+        {{"basket", routing::ClassId{0}, std::chrono::seconds(1), false, true, false},
+         {"order", routing::ClassId{1}, std::chrono::seconds(2), true, false, true}});
+    return known_classes;
 }
 
 std::string rejection_of(std::string_view sql) {
@@ -23,7 +24,9 @@
     return rejection ? rejection->text : "";
 }
 
-TEST_CASE("a known statement: the comment gives id, class, group and times, the statement the row") {
+TEST_CASE(
+    "a known statement: id, class, group, timeout and position come from its comment, the row name from its "
+    "text") {
     std::string_view sql =
         "/* id=a1,c=basket,t=acme,d=480,cluster=2,after=1767225600123 */ SELECT content FROM kv WHERE name = "
         "'x'";
@@ -38,20 +41,23 @@
     CHECK(request.session.has_value());
 }
 
-TEST_CASE("a known statement that lacks what its class needs is rejected with the reason") {
+TEST_CASE(
+    "a known statement with a missing, repeated or unfit field is rejected, and the message names the "
+    "field") {
     CHECK(rejection_of("/* c=basket,cluster=2 */ SELECT content FROM kv WHERE name = 'x'") ==
-          "the comment names no request (id)");
+          "the comment names no valid request id (id)");
     CHECK(rejection_of("/* id=a,c=basket,cluster=two */ SELECT content FROM kv WHERE name = 'x'") ==
-          "the group (cluster) is no number");
+          "the group (cluster) is not a number");
     CHECK(rejection_of("/* id=a,id=b,c=basket,cluster=2 */ SELECT content FROM kv WHERE name = 'x'") ==
           "the comment names 'id' twice");
     CHECK(rejection_of("/* id=a,c=order,cluster=2 */ INSERT INTO kv (name, content) VALUES ('x', 'y') "
-                       "RETURNING content") == "the comment names no key (k), which this class needs");
+                       "RETURNING content") ==
+          "the comment names no idempotency key (k), which this class needs");
     CHECK(rejection_of("/* id=a,c=order,cluster=2,k=1 */ SELECT content FROM kv WHERE name = 'x'") ==
           "the statement does not fit its class");
 }
 
-TEST_CASE("a request of the other protocol is written as the statement that it stands for") {
+TEST_CASE("a page request of the REST front is sent to a PostgreSQL host as the equivalent statement") {
     routing::ClientRequest request;
     request.verb = routing::ClientRequest::Verb::page;
     request.id = "p1";
@@ -64,7 +70,7 @@
           "name > 'a''b' ORDER BY name LIMIT 5");
 }
 
-TEST_CASE("a load report that can't be read as a whole changes nothing") {
+TEST_CASE("a malformed load report is ignored as a whole") {
     routing::AttemptResult result;
     read_load_report("inflight=7, util=0.61,other=1", result);
     CHECK(result.report.in_flight == 7);
--- a/tests/adapters/rest_front_test.cpp
+++ b/tests/adapters/rest_front_test.cpp
@@ -113,7 +113,7 @@
           {std::string("GET / HTTP/3.0\r\nHost: h\r\n\r\n"), 505},
           {std::string("GET /health HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"), 200},
           {std::string("GET / HTTP/1.1\r\nHos"), 408}}) {
-        RestRig rig(8, adapters::RestOptions{.half_request = 30ms});
+        RestRig rig(8, adapters::RestOptions{.request_timeout = 30ms});
         Client client(rig.loop, rig.front.local());
         client.send(bytes);
         CHECK(client.response().status == status);
