--- a/src/adapters/pg_front.cpp
+++ b/src/adapters/pg_front.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr std::size_t kMaxStartupBytes = 10000;  // PostgreSQL's own limit
-constexpr std::size_t kUsualMessageBytes =
-    160 * 1024;  // a value of 64 KiB in bytea's text form, with its statement
+// A value of 64 KiB in bytea's text form, with its statement. Longer messages reserve memory first.
+constexpr std::size_t kUsualMessageBytes = 160 * 1024;
 constexpr std::size_t kMaxMessageBytes = 2 * PgRequestReader::kMaxValueBytes + 16 * 1024;
 constexpr std::uint32_t kByteaType = 17, kTextType = 25;
 
@@ -51,8 +51,9 @@
         if (state >= char(Expects::startup) && state <= char(Expects::sync)) expects_ = Expects(state);
     }
     void on_client_timeout() override {
-        close_with_error(pg::sqlstate::kProtocolViolation,
-                         is_awaiting_first_message() ? "no startup packet in time" : "incomplete message");
+        close_with_error(pg::sqlstate::kProtocolViolation, is_awaiting_first_message()
+                                                               ? "no startup packet in time"
+                                                               : "the message was not completed in time");
     }
     void on_memory_limit() override {
         close_with_error(pg::sqlstate::kOutOfMemory,
@@ -72,7 +73,8 @@
         if (code == pg::kSslCode || code == pg::kGssCode) {
             // Only plain TCP is served. Repeated requests are limited: each one restarts the timeout.
             if (++declined_encryption_requests_ > 2)
-                return close_with_error(pg::sqlstate::kProtocolViolation, "no startup packet");
+                return close_with_error(pg::sqlstate::kProtocolViolation,
+                                        "too many encryption requests without a startup packet");
             write("N");
             return true;
         }
@@ -167,7 +169,7 @@
         if (statements_ && statements_->open() && PgRequestReader::is_open_form(statement))
             return handle_open_query(sql, statement);
         if (statement.malformed)
-            return reject({pg::sqlstate::kSyntaxError, "the leading comment or a literal is malformed"});
+            return reject({pg::sqlstate::kSyntaxError, "the statement's comment or a literal is malformed"});
         if (statement.several) return reject({pg::sqlstate::kSyntaxError, "a query must hold one statement"});
         if (statement.body.empty()) return answer_empty_query();
         if (statement.fields.empty() && answer_locally(statement.body)) return;
@@ -208,9 +210,10 @@
         if (statements_->analyzer().scanner().flaw() == statement::Flaw::empty) return answer_empty_query();
         if (profile.route == statement::Route::refuse) {
             using statement::Kind;
-            bool is_known = profile.kind == Kind::session || profile.kind == Kind::transaction;
+            bool is_unsupported_command = profile.kind == Kind::session || profile.kind == Kind::transaction;
             return reject(
-                {is_known ? pg::sqlstate::kFeatureNotSupported : pg::sqlstate::kSyntaxError, profile.reason});
+                {is_unsupported_command ? pg::sqlstate::kFeatureNotSupported : pg::sqlstate::kSyntaxError,
+                 profile.reason});
         }
         ClientRequest request;
         if (auto rejection = read_open(sql, statement, profile, request)) return reject(*rejection);
--- a/tests/adapters/client_departure_test.cpp
+++ b/tests/adapters/client_departure_test.cpp
@@ -1,4 +1,5 @@
-// Clients that leave at narrow moments (docs/acceptance.md): what they requested is withdrawn and not sent.
+// Requests of clients that leave: they must be withdrawn and not be sent to a host, whatever state they are
+// in.
 #include <boost/asio/write.hpp>
 
 #include "adapters/pending_admission.hpp"
@@ -10,35 +11,37 @@
 
 using PgDeployment = Deployment<adapters::PgBackend, PgHost>;
 
-TEST_CASE("a client that closes while it is not read from is noticed: its request is withdrawn") {
+TEST_CASE("a client that closes while its session reads nothing is detected, and its request is withdrawn") {
     for (bool reset : {false, true}) {
-        FrontRig rig;
-        RawClient client(rig.loop, rig.pg.local());
+        PendingFronts fixture;
+        RawClient client(fixture.loop, fixture.pg.local());
         client.send(startup() + query("1"));
-        REQUIRE(rig.wait_for_requests(1));
-        // More than a session keeps unread, in the kernel's buffers on both sides.
+        REQUIRE(fixture.wait_for_requests(1));
+        // More bytes than a session keeps unread, so that it stops reading and the rest fills the kernel's
+        // buffers.
         std::string more;
         while (more.size() < 400000) more += query("n");
         boost::system::error_code ec;
         std::size_t sent = 0;
-        REQUIRE(rig.loop.until([&] {
+        REQUIRE(fixture.loop.until([&] {
             sent += client.socket.write_some(boost::asio::buffer(&more[sent], more.size() - sent), ec);
             return ec || sent == more.size();
         }));
-        rig.loop.settle();
-        CHECK(rig.admission.withdrawn.empty());
+        fixture.loop.settle();
+        CHECK(fixture.admission.withdrawn.empty());
         if (reset) client.socket.set_option(boost::asio::socket_base::linger(true, 0));
         client.socket.close();
-        CHECK(rig.loop.until([&] { return rig.admission.withdrawn.size() == 1; }));
-        CHECK(rig.admission.requests.size() == 1);
-        CHECK(rig.pg.connections() == 0);
+        CHECK(fixture.loop.until([&] { return fixture.admission.withdrawn.size() == 1; }));
+        CHECK(fixture.admission.requests.size() == 1);
+        CHECK(fixture.pg.connections() == 0);
     }
 }
 
 TEST_CASE(
-    "a departed client's request is not sent: unread behind another, in the limiter, between two attempts") {
-    enum class Where { unread, limiter, between };
-    for (Where where : {Where::unread, Where::limiter, Where::between}) {
+    "a request whose client has left is not sent: while unread, queued in the limiter or between two "
+    "attempts") {
+    enum class Where { unread, limiter, between_attempts };
+    for (Where where : {Where::unread, Where::limiter, Where::between_attempts}) {
         auto by_cost = limits::Settings{};
         by_cost.work = 1us;
         by_cost.wait = 20s;
@@ -54,10 +57,10 @@
         RawClient& gone = where == Where::unread ? first : second;
         gone.send(where == Where::unread ? query("2") : startup() + query("2"));
         if (where != Where::unread) REQUIRE(pooler.loop.until([&] { return second.unread_bytes() > 0; }));
-        if (where == Where::between) REQUIRE(pooler.loop.until([&] { return received() == 2; }));
+        if (where == Where::between_attempts) REQUIRE(pooler.loop.until([&] { return received() == 2; }));
         pooler.loop.settle();
         const int before = received();
-        // The attempts fail and the client leaves: the pooler sees both before it decides on anything.
+        // The attempts fail and the client leaves before the pooler handles either event.
         auto batch = std::exchange(pooler.loop.batch, [] {});
         gone.socket.close();
         if (where != Where::unread) first.socket.close();
@@ -73,7 +76,7 @@
     }
 }
 
-TEST_CASE("a connection to a host that is established after its request's client has gone carries nothing") {
+TEST_CASE("a host connection that is established after the client has left does not carry its request") {
     PgDeployment pooler;
     // Accepts connections, and answers only when the test does.
     boost::asio::ip::tcp::acceptor late(pooler.loop.io, loopback());
@@ -114,9 +117,9 @@
     for (auto& link : links) {
         boost::system::error_code ec;
         link.non_blocking(true);
-        std::string all(4096, '\0');
-        all.resize(link.read_some(boost::asio::buffer(all), ec));
-        CHECK(all.find("INSERT") == std::string::npos);
+        std::string received(4096, '\0');
+        received.resize(link.read_some(boost::asio::buffer(received), ec));
+        CHECK(received.find("INSERT") == std::string::npos);
     }
 }
 
--- a/tests/adapters/connection_close_test.cpp
+++ b/tests/adapters/connection_close_test.cpp
@@ -1,5 +1,5 @@
-// What crosses a close, a shutdown or the end of a drain (docs/acceptance.md, narrow moments), with real
-// connections in an order that the test brings about.
+// Requests and answers that cross a connection's close, a shutdown or the end of a drain. Connections are
+// real; the test controls the order of events.
 #include "adapters/pending_admission.hpp"
 #include "adapters/raw_client.hpp"
 #include "support/deployment.hpp"
@@ -9,7 +9,7 @@
 
 using PgDeployment = Deployment<adapters::PgBackend, PgHost>;
 
-TEST_CASE("received bytes keep their arrival time until they are read, also those that arrive one by one") {
+TEST_CASE("received bytes keep their arrival time until they are read, even if they arrive one by one") {
     transport::Arrivals arrivals;
     const transport::Arrivals::Time start{};
     for (int i = 1; i <= 1000; ++i)
@@ -29,17 +29,17 @@
 TEST_CASE("a pipelined request's timeout counts from its own last byte") {
     std::string get = http::write_request("GET", "/v1/clusters/1/kv/a?class=stock-view&wait_ms=900", "h", {});
     for (bool rest : {false, true}) {
-        FrontRig rig;
-        RawClient client(rig.loop, rest ? rig.rest.local() : rig.pg.local());
+        PendingFronts fixture;
+        RawClient client(fixture.loop, rest ? fixture.rest.local() : fixture.pg.local());
         client.send(rest ? get + get : startup() + query("1", 900) + query("2", 900));
-        REQUIRE(rig.wait_for_requests(1));  // both came in one piece
+        REQUIRE(fixture.wait_for_requests(1));  // both arrived in one read
         auto received = std::chrono::steady_clock::now();
-        rig.loop.settle();
+        fixture.loop.settle();
         auto waited = std::chrono::steady_clock::now() - received;
-        rig.serve(0);
-        REQUIRE(rig.wait_for_requests(2));
-        CHECK(rig.admission.requests[1].client_timeout <= 900ms - waited);
-        CHECK(rig.admission.requests[1].client_timeout >= 0ms);
+        fixture.serve(0);
+        REQUIRE(fixture.wait_for_requests(2));
+        CHECK(fixture.admission.requests[1].client_timeout <= 900ms - waited);
+        CHECK(fixture.admission.requests[1].client_timeout >= 0ms);
     }
 }
 
@@ -51,60 +51,62 @@
 }
 
 TEST_CASE(
-    "a request that crosses its connection's close is left unread, and the answer before it is complete") {
+    "a request that arrives while its connection is being closed stays unread, and the answer before it is "
+    "complete") {
     enum class Why { shutdown, served_limit, connection_limit };
     for (Why why : {Why::shutdown, Why::served_limit, Why::connection_limit}) {
-        FrontRig rig(why == Why::connection_limit ? 2 : 8);
-        RawClient client(rig.loop, rig.pg.local());
+        PendingFronts fixture(why == Why::connection_limit ? 2 : 8);
+        RawClient client(fixture.loop, fixture.pg.local());
         client.send(startup() + query("1"));
-        REQUIRE(rig.wait_for_requests(1));
-        rig.serve(0);
-        rig.loop.settle();
+        REQUIRE(fixture.wait_for_requests(1));
+        fixture.serve(0);
+        fixture.loop.settle();
         const std::size_t before = client.unread_bytes();
         REQUIRE(before > 0);
         std::vector<std::unique_ptr<RawClient>> others;
-        if (why == Why::served_limit) rig.pg.limit_served(1);
+        if (why == Why::served_limit) fixture.pg.limit_served(1);
         if (why == Why::shutdown) {
-            rig.pg.close_idle();
+            fixture.pg.close_idle();
         } else {
             for (int i = 0; i < 2; ++i) {
-                others.push_back(std::make_unique<RawClient>(rig.loop, rig.pg.local()));
+                others.push_back(std::make_unique<RawClient>(fixture.loop, fixture.pg.local()));
                 others.back()->send(startup() + query("o" + std::to_string(i)));
-                REQUIRE(rig.wait_for_requests(std::size_t(i + 2)));
+                REQUIRE(fixture.wait_for_requests(std::size_t(i + 2)));
             }
         }
-        REQUIRE(rig.loop.until([&] { return rig.pg.lingering() == 1; }));
-        client.send(query("2"));  // the close is on its way already
-        rig.loop.settle();
+        REQUIRE(fixture.loop.until([&] { return fixture.pg.lingering() == 1; }));
+        client.send(query("2"));  // after the pooler has half-closed the connection
+        fixture.loop.settle();
         boost::system::error_code ec;
         CHECK(client.read(ec).size() == before);
-        CHECK(ec == boost::asio::error::eof);  // no reset: its client retries elsewhere
-        CHECK(rig.admission.requests.size() == (why == Why::shutdown ? 1 : 3));
+        CHECK(ec == boost::asio::error::eof);  // no reset: the client can retry elsewhere
+        CHECK(fixture.admission.requests.size() == (why == Why::shutdown ? 1 : 3));
         if (why == Why::shutdown) client.socket.close();
-        CHECK(rig.loop.until([&] { return rig.pg.lingering() == 0; }));
+        CHECK(fixture.loop.until([&] { return fixture.pg.lingering() == 0; }));
         if (why == Why::shutdown) continue;
-        // Lingering timed out with the request unread: had it been read and dropped, there would be no reset.
+        // The lingering connection was closed with the request unread, which causes a reset. If the request
+        // had been read and dropped, there would be none.
         check_reset(client.socket);
     }
 }
 
-TEST_CASE(
-    "lingering connections are bounded: the oldest is closed first, and one whose client stays is closed") {
-    FrontRig rig(400);
+TEST_CASE("lingering connections are limited: the oldest is closed first, and each one after a time limit") {
+    PendingFronts fixture(400);
     std::vector<std::unique_ptr<RawClient>> clients;
     for (std::size_t i = 0; i < adapters::ClientListener::kLingering + 5; ++i) {
-        clients.push_back(std::make_unique<RawClient>(rig.loop, rig.pg.local()));
+        clients.push_back(std::make_unique<RawClient>(fixture.loop, fixture.pg.local()));
         clients.back()->send(startup() + pg::Writer().plain('X', "").take());
-        REQUIRE(
-            rig.loop.until([&] { return clients.back()->unread_bytes() > 0 && rig.pg.connections() == 0; }));
-        CHECK(rig.pg.lingering() <= adapters::ClientListener::kLingering);
+        REQUIRE(fixture.loop.until(
+            [&] { return clients.back()->unread_bytes() > 0 && fixture.pg.connections() == 0; }));
+        CHECK(fixture.pg.lingering() <= adapters::ClientListener::kLingering);
     }
-    // No client closes, and none is waited for.
-    CHECK(rig.loop.until([&] { return rig.pg.lingering() == 0; }));
+    // No client closes its side; the time limit ends all of them.
+    CHECK(fixture.loop.until([&] { return fixture.pg.lingering() == 0; }));
 }
 
 TEST_CASE(
-    "requests in flight at the end of a drain are answered: rejected if never executed, failed if maybe") {
+    "requests in flight at the end of a drain are answered: rejected if a retry is harmless, otherwise "
+    "failed") {
     PgDeployment pooler;
     for (Host& host : pooler.hosts) host.silent = true;
     Client read(pooler.loop, pooler.pg.local());
@@ -123,7 +125,7 @@
     REQUIRE(pooler.loop.until([&] { return pooler.replica_queries() == 1 && pooler.hosts[0].queries == 1; }));
     pooler.core.finish_by(pooler.clock.now());
     late.send(query("3"));
-    CHECK(late.reply() == "EZ");  // at once: it would have no time
+    CHECK(late.reply() == "EZ");  // rejected on arrival: no time is left for it
     CHECK(late.code == "53300");
     CHECK(pooler.replica_queries() == 1);
     pooler.core.finish_all();
--- a/tests/adapters/front_connections_test.cpp
+++ b/tests/adapters/front_connections_test.cpp
@@ -1,4 +1,4 @@
-// Limits of the fronts' connections: which are closed, which stay, and what is rejected.
+// Limits of the fronts' connections and memory: which connections are closed and which requests rejected.
 #include <memory>
 #include <string>
 #include <type_traits>
@@ -10,161 +10,166 @@
 namespace indigovane::testing {
 namespace {
 
-// Closing it before its answer would leave the admission with a pointer to a destroyed session.
+// A session that is closed before its answer would leave the admission with a pointer to a destroyed object.
 TEST_CASE("a client that pipelines more than the byte limit still gets its answer") {
-    PgRig rig(100);
-    rig.front.limit_bytes(1000);
-    Client client(rig.loop, rig.front.local());
+    ScriptedPgFront fixture(100);
+    fixture.front.limit_bytes(1000);
+    Client client(fixture.loop, fixture.front.local());
     client.send(pg::Writer().startup("u", "d").query(sql("h1")).take());
     CHECK(client.reply() == "RZ");
-    REQUIRE(rig.loop.until([&] { return rig.admission.open.size() == 1; }));
+    REQUIRE(fixture.loop.until([&] { return fixture.admission.open.size() == 1; }));
     for (int i = 0; i < 4; ++i) {
         client.send(pg::Writer().query(std::string(15000, 'x')).take());
-        rig.loop.settle();
+        fixture.loop.settle();
     }
-    CHECK(rig.admission.withdrawn == 0);
-    REQUIRE(rig.admission.open.size() == 1);
+    CHECK(fixture.admission.withdrawn == 0);
+    REQUIRE(fixture.admission.open.size() == 1);
     routing::Answer answer;
     answer.rows.push_back({"", "v"});
-    std::exchange(rig.admission.open, {}).begin()->second->on_answer(answer);
+    std::exchange(fixture.admission.open, {}).begin()->second->on_answer(answer);
     CHECK(client.reply() == "TDCZ");
 }
 
-TEST_CASE("pg: a client that reads nothing is closed, and so are incomplete messages beyond the byte limit") {
+TEST_CASE(
+    "pg: a client that reads no answers is closed, and incomplete messages beyond the byte limit are "
+    "rejected") {
     Dice dice(51);
-    PgRig rig(8, adapters::PgOptions{.client_timeout = 300ms});
+    ScriptedPgFront fixture(8, adapters::PgOptions{.client_timeout = 300ms});
     {
-        Client unreading(rig.loop, rig.front.local());
+        Client unreading(fixture.loop, fixture.front.local());
         unreading.connection->limit_unread(0);
         std::string many;
         for (int i = 0; i < 300000; ++i) many += "Q\0\0\0\5";
         unreading.send(pg::Writer().startup("u", "d").take());
         for (int i = 0; i < 40; ++i) unreading.send(pg::Writer().query("x").take() + many);
-        REQUIRE(rig.loop.until([&] { return rig.front.connections() == 0; }));
+        REQUIRE(fixture.loop.until([&] { return fixture.front.connections() == 0; }));
     }
     {
-        // One that reads slowly is waited for: its answer arrives complete.
-        Client slow(rig.loop, rig.front.local());
+        // A client that reads slowly is not closed: its answer arrives complete.
+        Client slow(fixture.loop, fixture.front.local());
         slow.connection->limit_unread(1);
-        rig.admission.value = std::string(4 << 20, 'v');
+        fixture.admission.value = std::string(4 << 20, 'v');
         slow.send(pg::Writer().startup("u", "d").query(sql("s1")).take());
         std::size_t got = 0;
-        while (got < rig.admission.value.size() && !slow.closed) {
+        while (got < fixture.admission.value.size() && !slow.closed) {
             std::size_t before = slow.in.size();
-            REQUIRE(rig.loop.until([&] { return slow.in.size() > before || slow.closed; }));
-            if (dice.below(60) == 0) rig.loop.settle();
+            REQUIRE(fixture.loop.until([&] { return slow.in.size() > before || slow.closed; }));
+            if (dice.below(60) == 0) fixture.loop.settle();
             got = slow.in.size();
         }
         CHECK(slow.reply() == "RZ");
         CHECK(slow.reply() == "TDCZ");
-        rig.admission.value = "v";
+        fixture.admission.value = "v";
     }
-    rig.front.limit_bytes(100000);
+    fixture.front.limit_bytes(100000);
     std::vector<std::unique_ptr<Client>> clients;
     const std::string half =
         pg::Writer().startup("u", "d").query(std::string(150000, 'x')).take().substr(0, 70000);
     for (int i = 0; i < 3; ++i) {
-        clients.push_back(std::make_unique<Client>(rig.loop, rig.front.local()));
+        clients.push_back(std::make_unique<Client>(fixture.loop, fixture.front.local()));
         clients.back()->send(half);
     }
-    REQUIRE(rig.loop.until([&] { return clients[0]->closed && clients[1]->closed && clients[2]->closed; }));
+    REQUIRE(
+        fixture.loop.until([&] { return clients[0]->closed && clients[1]->closed && clients[2]->closed; }));
     int no_memory = 0;
     for (auto& client : clients) no_memory += client->in.find("53200") != std::string::npos;
     CHECK(no_memory > 0);
 }
 
-TEST_CASE("idle clients that were served are closed at the served limit, long before the connection limit") {
-    PgRig rig(100);
-    rig.front.limit_served(3);
-    Client busy(rig.loop, rig.front.local());
+TEST_CASE(
+    "served clients that are idle are closed at the limit of served sessions, below the connection limit") {
+    ScriptedPgFront fixture(100);
+    fixture.front.limit_served(3);
+    Client busy(fixture.loop, fixture.front.local());
     busy.send(pg::Writer().startup("u", "d").query(sql("h1")).take());
     std::vector<std::unique_ptr<Client>> clients;
     for (int i = 0; i < 8; ++i) {
-        clients.push_back(std::make_unique<Client>(rig.loop, rig.front.local()));
+        clients.push_back(std::make_unique<Client>(fixture.loop, fixture.front.local()));
         clients.back()->send(pg::Writer().startup("u", "d").query(sql("s1")).take());
         clients.back()->reply();
-        CHECK(clients.back()->reply() == "TDCZ");  // the answer comes before any close
+        CHECK(clients.back()->reply() == "TDCZ");  // the answer arrives before any close
     }
-    REQUIRE(rig.loop.until([&] { return rig.front.connections() == 3; }));
-    rig.loop.settle();
+    REQUIRE(fixture.loop.until([&] { return fixture.front.connections() == 3; }));
+    fixture.loop.settle();
     CHECK(!busy.closed);
     for (int i = 0; i < 8; ++i) CHECK(clients[i]->closed == (i < 6));
 }
 
-TEST_CASE("at the limit connections without a request displace each other, not served ones") {
-    PgRig rig(4);
-    Client served(rig.loop, rig.front.local());
+TEST_CASE("at the connection limit, connections without a request displace each other, not served ones") {
+    ScriptedPgFront fixture(4);
+    Client served(fixture.loop, fixture.front.local());
     served.send(pg::Writer().startup("u", "d").query(sql("s1")).take());
     served.reply();
     CHECK(served.reply() == "TDCZ");
     std::vector<std::unique_ptr<Client>> idle;
     for (int i = 0; i < 12; ++i) {
-        idle.push_back(std::make_unique<Client>(rig.loop, rig.front.local()));
-        for (int wait = 0; wait < 3; ++wait) rig.loop.settle();  // past the time for a first request
+        idle.push_back(std::make_unique<Client>(fixture.loop, fixture.front.local()));
+        for (int wait = 0; wait < 3; ++wait) fixture.loop.settle();  // past the time for a first request
     }
     CHECK(!served.closed);
     CHECK(idle.front()->closed);
-    CHECK(rig.front.connections() <= 4);
+    CHECK(fixture.front.connections() <= 4);
 }
 
-TEST_CASE_TEMPLATE("a client that closes withdraws its request", R, PgRig, RestRig) {
-    auto rig = [] {
-        if constexpr (std::is_same_v<R, PgRig>)
-            return std::make_unique<R>(8);
+TEST_CASE_TEMPLATE("the request of a client that closes is withdrawn", Fixture, ScriptedPgFront,
+                   ScriptedRestFront) {
+    auto fixture = [] {
+        if constexpr (std::is_same_v<Fixture, ScriptedPgFront>)
+            return std::make_unique<Fixture>(8);
         else
-            return std::make_unique<R>(8, adapters::RestOptions{});
+            return std::make_unique<Fixture>(8, adapters::RestOptions{});
     }();
     {
-        Client client(rig->loop, rig->front.local());
-        client.send(std::is_same_v<R, PgRig>
+        Client client(fixture->loop, fixture->front.local());
+        client.send(std::is_same_v<Fixture, ScriptedPgFront>
                         ? pg::Writer().startup("u", "d").query(sql("h1")).take()
                         : http::write_request("GET", "/v1/clusters/1/kv?class=stock-view", "h",
                                               {{"Request-Id", "h"}}));
-        REQUIRE(rig->loop.until([&] { return rig->admission.open.size() == 1; }));
+        REQUIRE(fixture->loop.until([&] { return fixture->admission.open.size() == 1; }));
     }
-    CHECK(rig->loop.until([&] { return rig->admission.withdrawn == 1; }));
-    CHECK(rig->front.connections() == 0);
+    CHECK(fixture->loop.until([&] { return fixture->admission.withdrawn == 1; }));
+    CHECK(fixture->front.connections() == 0);
 }
 
-TEST_CASE("at the limit the session that was idle longest is closed, and a busy one never") {
-    PgRig rig(3);
+TEST_CASE("at the connection limit the session that was idle longest is closed, and a busy one never") {
+    ScriptedPgFront fixture(3);
     std::vector<std::unique_ptr<Client>> clients;
     for (int i = 0; i < 6; ++i) {
-        clients.push_back(std::make_unique<Client>(rig.loop, rig.front.local()));
+        clients.push_back(std::make_unique<Client>(fixture.loop, fixture.front.local()));
         clients.back()->send(pg::Writer().startup("u", "d").query(sql(i == 0 ? "h1" : "s1")).take());
         CHECK(clients.back()->reply() == "RZ");
         if (i > 0) CHECK(clients.back()->reply() == "TDCZ");
     }
-    rig.loop.settle();
+    fixture.loop.settle();
     CHECK(!clients[0]->closed);
     CHECK(clients[1]->closed);
     CHECK(!clients[5]->closed);
-    CHECK(rig.front.connections() <= 3);
-    rig.front.stop_accepting();
-    rig.front.close_idle();  // as at shutdown: requests in flight are still answered
-    rig.loop.settle();
+    CHECK(fixture.front.connections() <= 3);
+    fixture.front.stop_accepting();
+    fixture.front.close_idle();  // as at shutdown: requests in flight are still answered
+    fixture.loop.settle();
     CHECK(clients[5]->closed);
     CHECK(!clients[0]->closed);
     routing::ClientRequest request;
     request.id = "s";
-    rig.admission.answer(rig.admission.open.begin()->first, request);
+    fixture.admission.answer(fixture.admission.open.begin()->first, request);
     CHECK(clients[0]->reply() == "TDCZ");
-    CHECK(rig.loop.until([&] { return clients[0]->closed; }));
+    CHECK(fixture.loop.until([&] { return clients[0]->closed; }));
 }
 
 TEST_CASE("a request beyond the memory limit is rejected, and its connection stays open") {
-    PgRig rig(8);
-    Client client(rig.loop, rig.front.local());
-    rig.admission.capacity = 10;
+    ScriptedPgFront fixture(8);
+    Client client(fixture.loop, fixture.front.local());
+    fixture.admission.capacity = 10;
     client.send(pg::Writer().startup("u", "d").query(sql("s1")).take());
     client.reply();
     CHECK(client.reply() == "EZ");
     CHECK(client.code == "53300");
-    CHECK(rig.admission.count == 0);
-    rig.admission.capacity = 1000;
+    CHECK(fixture.admission.count == 0);
+    fixture.admission.capacity = 1000;
     client.send(pg::Writer().query(sql("s1")).take());
     CHECK(client.reply() == "TDCZ");
-    RestRig rest(8, adapters::RestOptions{});
+    ScriptedRestFront rest(8, adapters::RestOptions{});
     Client reader(rest.loop, rest.front.local());
     rest.admission.capacity = 0;
     CHECK(reader.get("/v1/clusters/1/kv/n?class=stock-view").status == 503);
--- a/tests/adapters/pending_admission.hpp
+++ b/tests/adapters/pending_admission.hpp
@@ -1,4 +1,4 @@
-// An admission that leaves requests pending until the test answers them, and both fronts before it.
+// Both fronts with an admission that leaves requests pending until the test answers them.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace indigovane::testing {
 
-// Accepts every request and answers none: the test does.
+// Accepts every request. The test answers them.
 struct PendingAdmission : routing::RequestAdmission {
     routing::RequestId accept(routing::ClientRequest request, routing::Responder& responder) override {
         requests.push_back(request);
@@ -26,15 +26,15 @@
     std::vector<std::uint64_t> withdrawn;
 };
 
-// Both fronts before a PendingAdmission.
-struct FrontRig {
+// Both fronts with a PendingAdmission.
+struct PendingFronts {
     Loop loop;
     NullLogger logger;
     PendingAdmission admission;
     adapters::Classes known = classes();
     adapters::PgFront pg;
     adapters::RestFront rest;
-    explicit FrontRig(std::size_t max_connections = 8)
+    explicit PendingFronts(std::size_t max_connections = 8)
         : pg(loop.io, loopback(), max_connections, known, {}, admission, logger),
           rest(loop.io, loopback(), max_connections, known, {}, admission, logger) {
         pg.start();
--- a/tests/adapters/pg_front_long_values_test.cpp
+++ b/tests/adapters/pg_front_long_values_test.cpp
@@ -1,4 +1,4 @@
-// The PostgreSQL front with values and statements longer than a buffer.
+// The PostgreSQL front with values and statements that are longer than a connection's buffer.
 #include <boost/asio/write.hpp>
 #include <memory>
 #include <string>
@@ -9,44 +9,46 @@
 namespace indigovane::testing {
 namespace {
 
-// The model of a long answer: no more is accepted than the client has capacity for.
+// Sends random pieces as a host would, and pauses whenever the front has no capacity for another one.
 TEST_CASE(
-    "pg: a long value is forwarded in pieces, at its client's pace, and a broken one closes the connection") {
+    "pg: a long value is forwarded in pieces as its client reads them, and a truncated one closes "
+    "the connection") {
     Dice dice(23);
     for (int round = 0; round < 12; ++round) {
-        PgRig rig(8);
-        Client client(rig.loop, rig.front.local());
+        ScriptedPgFront fixture(8);
+        Client client(fixture.loop, fixture.front.local());
         client.send(pg::Writer().startup("u", "d").take());
         client.reply();
         client.send(pg::Writer().query(sql("h1")).take());
-        REQUIRE(rig.loop.until([&] { return rig.admission.open.size() == 1; }));
-        CHECK(rig.admission.last.may_stream_answer);
-        routing::RequestId id = rig.admission.open.begin()->first;
-        routing::Responder* responder = rig.admission.open.begin()->second;
+        REQUIRE(fixture.loop.until([&] { return fixture.admission.open.size() == 1; }));
+        CHECK(fixture.admission.last.may_stream_answer);
+        routing::RequestId id = fixture.admission.open.begin()->first;
+        routing::Responder* responder = fixture.admission.open.begin()->second;
         std::string value(100000 + dice.below(1000000), 'v');
-        bool breaks = dice.below(3) == 0;
+        bool is_truncated = dice.below(3) == 0;
         responder->on_answer_started({}, value.size());
         std::size_t sent = 0;
         std::size_t pauses = 0;
-        const std::size_t stop = breaks ? dice.below(value.size()) : value.size();
+        const std::size_t stop = is_truncated ? dice.below(value.size()) : value.size();
         bool has_capacity = true;
         while (sent < stop) {
             std::size_t count = std::min(stop - sent, dice.below(40000) + 1);
             if (!has_capacity) {
-                int before = rig.admission.resumed;
-                REQUIRE(rig.loop.until([&] { return rig.admission.resumed > before; }));
+                int before = fixture.admission.resumed;
+                REQUIRE(fixture.loop.until([&] { return fixture.admission.resumed > before; }));
                 ++pauses;
             }
             has_capacity = responder->on_answer_piece(std::string_view(value).substr(sent, count));
             sent += count;
         }
         CHECK((pauses > 0 || stop < 100000));
-        rig.admission.open.erase(id);
-        if (breaks) {
+        fixture.admission.open.erase(id);
+        if (is_truncated) {
             responder->on_answer_aborted();
-            REQUIRE(rig.loop.until([&] { return client.closed; }));
-            CHECK(client.in.find("SELECT 1") == std::string::npos);  // no end: the client can see it
-            CHECK(rig.front.connections() == 0);
+            REQUIRE(fixture.loop.until([&] { return client.closed; }));
+            // Without a CommandComplete the client recognizes that the value is truncated.
+            CHECK(client.in.find("SELECT 1") == std::string::npos);
+            CHECK(fixture.front.connections() == 0);
         } else {
             routing::Answer end;
             end.tag = "SELECT 1";
@@ -83,10 +85,10 @@
     CHECK(front.connections() == 0);
 }
 
-TEST_CASE("pg: long statements are read while there is capacity for them, one after the other") {
-    PgRig rig(8);
-    rig.admission.capacity = 64 << 20;
-    rig.front.limit_long(5 << 20);
+TEST_CASE("pg: long statements are read while there is capacity for them, and wait in line otherwise") {
+    ScriptedPgFront fixture(8);
+    fixture.admission.capacity = 64 << 20;
+    fixture.front.limit_long(5 << 20);
     auto statement = [](std::string id, std::size_t size) {
         return pg::Writer()
             .query("/* id=" + id +
@@ -98,22 +100,23 @@
     const std::string one = statement("s1", 1 << 20);
     const std::string two = statement("s2", 1 << 20);
     for (int i = 0; i < 2; ++i) {
-        clients.push_back(std::make_unique<Client>(rig.loop, rig.front.local()));
+        clients.push_back(std::make_unique<Client>(fixture.loop, fixture.front.local()));
         clients.back()->send(pg::Writer().startup("u", "d").take());
         clients.back()->reply();
     }
-    clients[0]->send(one.substr(0, 1 << 20));  // it has the capacity, and is not complete yet
-    rig.loop.settle();
+    clients[0]->send(one.substr(0, 1 << 20));  // it holds the capacity and is incomplete
+    fixture.loop.settle();
     clients[1]->send(two);
-    rig.loop.settle();
-    CHECK(rig.admission.count == 0);
+    fixture.loop.settle();
+    CHECK(fixture.admission.count == 0);
     clients[0]->send(one.substr(1 << 20));
     CHECK(clients[0]->reply() == "TDCZ");
     CHECK(clients[1]->reply() == "TDCZ");  // next in line
-    CHECK(rig.admission.last.statement.size() + 6 == two.size());
-    CHECK(!rig.admission.last.content);
-    // One that exceeds the capacity is rejected by its header, and an abandoned one releases its capacity.
-    Client large(rig.loop, rig.front.local());
+    CHECK(fixture.admission.last.statement.size() + 6 == two.size());
+    CHECK(!fixture.admission.last.content);
+    // A statement that exceeds the capacity is rejected by its header. A rejected or abandoned one releases
+    // its capacity.
+    Client large(fixture.loop, fixture.front.local());
     large.send(pg::Writer().startup("u", "d").take());
     large.reply();
     large.send(statement("s3", 2 << 20).substr(0, 100));
@@ -124,7 +127,7 @@
     clients[0]->send(bad);
     CHECK(clients[0]->reply() == "EZ");
     clients[0]->send(one.substr(0, 500000));
-    rig.loop.settle();
+    fixture.loop.settle();
     clients[0]->connection->close();
     clients[1]->send(two);
     CHECK(clients[1]->reply() == "TDCZ");
--- a/tests/adapters/pg_front_test.cpp
+++ b/tests/adapters/pg_front_test.cpp
@@ -1,4 +1,5 @@
-// The PostgreSQL front against a model of a connection's states, and what it answers itself.
+// The PostgreSQL front: random commands checked against a model of a connection, and statements that it
+// answers without a host.
 #include <string>
 #include <utility>
 #include <vector>
@@ -8,12 +9,12 @@
 namespace indigovane::testing {
 namespace {
 
-// What a connection is to answer, by the model of its states: startup, ready, or skipping up to Sync.
+// Predicts a connection's answers from its state: startup, ready, or skipping messages up to Sync.
 class ConnectionModel {
   public:
     explicit ConnectionModel(Dice& dice) : dice_(dice) {}
 
-    // Random commands, ended by Sync.
+    // Generates random commands, followed by Sync.
     void next_burst() {
         bytes.clear();
         expected.clear();
@@ -27,9 +28,9 @@
         command(pg::Writer().plain('S', "").take(), "Z");
     }
 
-    std::string bytes;               // of the commands
-    std::string expected;            // types of the messages that answer them
-    std::vector<std::string> codes;  // SQLSTATEs among these, in order
+    std::string bytes;               // the commands as sent
+    std::string expected;            // types of the messages of their answers
+    std::vector<std::string> codes;  // SQLSTATEs of the answers, in order
 
   private:
     enum class State { startup, ready, skipping };
@@ -98,37 +99,37 @@
     while (received.size() < model.expected.size()) {
         received += client.reply();
         if (client.code.empty()) continue;
-        // The codes come in their order; several may precede one ReadyForQuery only after a Parse.
+        // The codes arrive in order. Only after a Parse can several precede one ReadyForQuery.
         while (at < model.codes.size() && model.codes[at] != client.code) ++at;
         CHECK(at < model.codes.size());
     }
     REQUIRE(received == model.expected);
 }
 
-TEST_CASE("pg: random commands are answered as the model of a connection has it") {
+TEST_CASE("pg: random commands are answered as the model of a connection predicts") {
     Dice dice(11);
     for (int round = 0; round < 25; ++round) {
-        PgRig rig(8);
-        Client client(rig.loop, rig.front.local());
+        ScriptedPgFront fixture(8);
+        Client client(fixture.loop, fixture.front.local());
         ConnectionModel model(dice);
         for (int burst = 0; burst < 8; ++burst) {
             model.next_burst();
-            rig.send(client, model.bytes, dice);
+            fixture.send(client, model.bytes, dice);
             check_answers(client, model);
             CHECK(!client.closed);
         }
-        CHECK(rig.admission.open.empty());
+        CHECK(fixture.admission.open.empty());
     }
 }
 
-TEST_CASE("pg: what breaks the protocol ends the connection with an error, no more") {
+TEST_CASE("pg: a protocol violation is answered with an error and closes the connection") {
     for (auto [bytes, code] :
          {std::pair{std::string("\0\0\0\3", 4), "08P01"},
           {std::string("\0\0\0\x8\0\2\0\0", 8), "0A000"},
           {pg::Writer().startup("u", "d").plain('y', "").take(), "08P01"},
           {pg::Writer().startup("u", "d").take() + std::string("Q\0\0\0\1", 5), "08P01"},
           {pg::Writer().startup("u", "d").take() + "Q\x3f\xff\xff\xff", "54000"},
-          // incomplete or absent, until the timeout
+          // incomplete or absent until the client timeout
           {std::string(), "08P01"},
           {pg::Writer().startup("u", "d").take().substr(0, 11), "08P01"},
           {pg::Writer().startup("u", "d").query("SELECT 1").take().substr(0, 40), "08P01"},
@@ -137,22 +138,22 @@
                        "\0\0\0\x8\x04\xd2\x16\x2f",
                        24),
            "08P01"},
-          // the header is enough, and the error is delivered though more bytes follow
+          // too long by its header: the error is delivered although more bytes follow
           {pg::Writer().startup("u", "d").query(std::string(9 << 20, 'x')).take(), "54000"}}) {
-        PgRig rig(8, adapters::PgOptions{.client_timeout = 300ms});
-        Client client(rig.loop, rig.front.local());
+        ScriptedPgFront fixture(8, adapters::PgOptions{.client_timeout = 300ms});
+        Client client(fixture.loop, fixture.front.local());
         client.send(bytes);
-        REQUIRE(rig.loop.until([&] { return client.closed; }));
+        REQUIRE(fixture.loop.until([&] { return client.closed; }));
         CHECK(client.in.find(code) != std::string::npos);
-        CHECK(rig.front.connections() == 0);
+        CHECK(fixture.front.connections() == 0);
     }
 }
 
-TEST_CASE("pg: what a host could not read or would reject is answered by the pooler") {
-    PgRig rig(8);
-    rig.admission.open_ids = {"taken"};
-    rig.admission.capacity = 64 << 20;
-    Client client(rig.loop, rig.front.local());
+TEST_CASE("pg: a statement that a host could not read or would reject is answered by the pooler") {
+    ScriptedPgFront fixture(8);
+    fixture.admission.open_ids = {"taken"};
+    fixture.admission.capacity = 64 << 20;
+    Client client(fixture.loop, fixture.front.local());
     client.send(pg::Writer().startup("u", "d").take());
     client.reply();
     const std::string read = "/* id=s1,c=stock-view,t=a,d=9,cluster=1 */ ";
@@ -183,16 +184,16 @@
         CHECK(client.reply() == "EZ");
         CHECK_MESSAGE(client.code == code, sql);
     }
-    CHECK(rig.admission.count == 0);
+    CHECK(fixture.admission.count == 0);
     client.send(pg::Writer().query(write(",k=1", "\\x" + std::string(2 * (4 << 20), '0'))).take());
     CHECK(client.reply() == "TDCZ");
 }
 
-TEST_CASE("pg: SSL is declined, a session key is read, a rejection says when to retry") {
-    PgRig rig(8);
-    Client client(rig.loop, rig.front.local());
+TEST_CASE("pg: SSL is declined, a session key is read, and a rejection carries the time until a retry") {
+    ScriptedPgFront fixture(8);
+    Client client(fixture.loop, fixture.front.local());
     client.send(std::string("\0\0\0\x8\x04\xd2\x16\x2f", 8));
-    REQUIRE(rig.loop.until([&] { return client.in == "N"; }));
+    REQUIRE(fixture.loop.until([&] { return client.in == "N"; }));
     client.in.clear();
     client.send(pg::Writer().startup("u", "d").query(sql("r1")).take());
     client.reply();
@@ -203,9 +204,9 @@
             .query("/* id=s1,c=own-order,r=1,d=0,cluster=7 */ SELECT content FROM kv WHERE name = '00ff'")
             .take());
     CHECK(client.reply() == "TDCZ");
-    CHECK(rig.admission.last.session == 255u);
-    CHECK(rig.admission.last.is_retry);
-    CHECK(rig.admission.last.client_timeout.count() == 0);
+    CHECK(fixture.admission.last.session == 255u);
+    CHECK(fixture.admission.last.is_retry);
+    CHECK(fixture.admission.last.client_timeout.count() == 0);
 }
 
 }  // namespace
--- a/tests/adapters/pg_request_test.cpp
+++ b/tests/adapters/pg_request_test.cpp
@@ -42,8 +42,8 @@
 }
 
 TEST_CASE(
-    "a known statement with a missing, repeated or unfit field is rejected, and the message names the "
-    "field") {
+    "a known statement with a missing or repeated field, or one unfit for its class, is rejected with the "
+    "reason") {
     CHECK(rejection_of("/* c=basket,cluster=2 */ SELECT content FROM kv WHERE name = 'x'") ==
           "the comment names no valid request id (id)");
     CHECK(rejection_of("/* id=a,c=basket,cluster=two */ SELECT content FROM kv WHERE name = 'x'") ==
--- a/tests/adapters/raw_client.hpp
+++ b/tests/adapters/raw_client.hpp
@@ -1,4 +1,4 @@
-// A loopback client whose socket the test drives itself, and the messages that it sends.
+// A loopback client whose socket the test controls, and the messages that it sends.
 #pragma once
 
 #include <boost/asio/write.hpp>
@@ -8,7 +8,7 @@
 
 namespace indigovane::testing {
 
-// A client's socket: nothing is read or closed unless the test does it.
+// A client's socket. Only the test reads from it and closes it.
 struct RawClient {
     RawClient(Loop& event_loop, const transport::SocketAddress& to)
         : loop(event_loop), socket(event_loop.io) {
@@ -16,14 +16,16 @@
         socket.non_blocking(true);
     }
     void send(const std::string& bytes) { boost::asio::write(socket, boost::asio::buffer(bytes)); }
-    // Everything received; `error` says how the stream ended: would_block where it has not.
+    // Returns everything received. `error` is what ended the reading: would_block if the stream is still
+    // open.
     std::string read(boost::system::error_code& error) {
-        std::string all(1 << 16, '\0');
+        std::string bytes(1 << 16, '\0');
         std::size_t size = 0;
         error = {};
-        while (!error) size += socket.read_some(boost::asio::buffer(&all[size], all.size() - size), error);
-        all.resize(size);
-        return all;
+        while (!error)
+            size += socket.read_some(boost::asio::buffer(&bytes[size], bytes.size() - size), error);
+        bytes.resize(size);
+        return bytes;
     }
     std::size_t unread_bytes() { return socket.available(); }
     Loop& loop;
--- a/tests/adapters/scripted_front.hpp
+++ b/tests/adapters/scripted_front.hpp
@@ -1,4 +1,4 @@
-// A front before an admission that answers by the request's id.
+// A front with an admission whose answers depend on the request's id.
 #pragma once
 
 #include <algorithm>
@@ -14,8 +14,8 @@
 
 namespace indigovane::testing {
 
-// Answers each request as the first letter of its id says: 's' served, 'r' rejected, 'd' failed by its
-// deadline, 'h' never, others failed.
+// The first letter of a request's id selects its answer: 's' served, 'r' rejected, 'd' deadline exceeded, 'h'
+// no answer, others failed.
 struct ScriptedAdmission : routing::RequestAdmission {
     explicit ScriptedAdmission(Loop& event_loop) : loop(event_loop) {}
     routing::RequestId accept(routing::ClientRequest request, routing::Responder& responder) override {
@@ -60,7 +60,7 @@
     std::size_t capacity = 1 << 20;  // bytes
 };
 
-// One front before a ScriptedAdmission.
+// One front with a ScriptedAdmission.
 template <typename Front>
 struct ScriptedFront {
     Loop loop;
@@ -90,8 +90,8 @@
         }
     }
 };
-using PgRig = ScriptedFront<adapters::PgFront>;
-using RestRig = ScriptedFront<adapters::RestFront>;
+using ScriptedPgFront = ScriptedFront<adapters::PgFront>;
+using ScriptedRestFront = ScriptedFront<adapters::RestFront>;
 
 // A bounded read of one row.
 inline std::string sql(std::string id, std::string more = "") {
--- a/tests/adapters/session_consistency_test.cpp
+++ b/tests/adapters/session_consistency_test.cpp
@@ -1,4 +1,4 @@
-// A session's reads see its own writes (docs/acceptance.md, narrow moments), also those that cross them.
+// A session's reads see its own writes, including writes that are answered while the read waits.
 #include <optional>
 #include <string>
 #include <variant>
@@ -64,7 +64,7 @@
         core.accept(session_request(id, request_class), responder);
         core.run_batch();
     };
-    send("r", 1, reader);  // its session has written nothing yet: the replica will do
+    send("r", 1, reader);  // its session has written nothing yet, so that a replica may serve it
     REQUIRE(backend.opened == std::vector<std::string>{"1"});
     send("w", 2, writer);
     REQUIRE(backend.opened.size() == 2);
@@ -81,20 +81,20 @@
         core.run_batch();
     };
     establish(1);
-    answer(1, 100'020, policy::Role::primary);  // the commit
+    answer(1, 100'020, policy::Role::primary);  // the position of the commit
     CHECK(writer.answers == 1);
-    establish(0);                               // late: the read is sent only now
-    answer(0, 100'001, policy::Role::replica);  // without that write
+    establish(0);                               // the read is sent only after the commit
+    answer(0, 100'001, policy::Role::replica);  // a position before the commit
     CHECK(reader.answers == 0);
     CHECK(logger.lines["stale"] == 1);
 }
 
-// The routing policy alone, with one primary (1) and a replica (2) whose lag health checks report.
-struct PolicyRig {
+// The routing policy alone, with a primary (1) and a replica (2). Health checks report the replica's lag.
+struct PolicyFixture {
     policy::Time now{100s};
     policy::RoutingPolicy policy;
     policy::Actions actions;
-    explicit PolicyRig(const policy::Settings& with) : policy(with, 3, now) {
+    explicit PolicyFixture(const policy::Settings& policy_settings) : policy(policy_settings, 3, now) {
         using namespace indigovane::policy;
         EndpointList list{EndpointListKind::full, {}};
         for (std::uint32_t i : {1, 2})
@@ -139,62 +139,62 @@
     }
 };
 
-TEST_CASE("policy: where hosts don't check positions, a session's read covers what its write may have done") {
+TEST_CASE("policy: if hosts don't check positions, a session's read sees a write that may have run") {
     using policy::EndpointId, policy::AttemptStatus;
     for (bool answered : {false, true}) {
-        auto with = settings();
-        with.staleness_check = policy::StalenessCheck::none;
-        with.classes[2].idempotency = policy::Idempotency::not_idempotent;
-        PolicyRig rig(with);
-        rig.report_lag(0ms);
-        rig.request(1, 1);
-        REQUIRE(rig.sent());
-        CHECK(rig.sent()->endpoint == EndpointId{2});
-        rig.now += 10ms;
-        rig.request(2, 2);  // a write; its answer may be lost on the way
-        REQUIRE(rig.sent());
-        rig.now += 200ms;
-        rig.report_lag(5ms);
-        rig.request(3, 1);
-        REQUIRE(rig.sent());
-        CHECK(rig.sent()->endpoint == EndpointId{1});
-        CHECK(rig.sent()->required_position == rig.now);
-        rig.now += 10ms;
-        rig.finish(2, 1, answered ? AttemptStatus::ok : AttemptStatus::timeout, 0, rig.now - 150ms);
-        rig.report_lag(5ms);
-        rig.request(4, 1);
-        REQUIRE(rig.sent());
-        CHECK(rig.sent()->endpoint == (answered ? EndpointId{2} : EndpointId{1}));
-        rig.now += 10ms;
-        rig.report_lag(5ms);  // past the moment until which the lost write may have run
-        rig.request(5, 1);
-        REQUIRE(rig.sent());
-        CHECK(rig.sent()->endpoint == EndpointId{2});
+        auto policy_settings = settings();
+        policy_settings.staleness_check = policy::StalenessCheck::none;
+        policy_settings.classes[2].idempotency = policy::Idempotency::not_idempotent;
+        PolicyFixture fixture(policy_settings);
+        fixture.report_lag(0ms);
+        fixture.request(1, 1);
+        REQUIRE(fixture.sent());
+        CHECK(fixture.sent()->endpoint == EndpointId{2});
+        fixture.now += 10ms;
+        fixture.request(2, 2);  // a write, whose answer may be lost
+        REQUIRE(fixture.sent());
+        fixture.now += 200ms;
+        fixture.report_lag(5ms);
+        fixture.request(3, 1);
+        REQUIRE(fixture.sent());
+        CHECK(fixture.sent()->endpoint == EndpointId{1});
+        CHECK(fixture.sent()->required_position == fixture.now);
+        fixture.now += 10ms;
+        fixture.finish(2, 1, answered ? AttemptStatus::ok : AttemptStatus::timeout, 0, fixture.now - 150ms);
+        fixture.report_lag(5ms);
+        fixture.request(4, 1);
+        REQUIRE(fixture.sent());
+        CHECK(fixture.sent()->endpoint == (answered ? EndpointId{2} : EndpointId{1}));
+        fixture.now += 10ms;
+        fixture.report_lag(5ms);  // the position is past the time until which the lost write may have run
+        fixture.request(5, 1);
+        REQUIRE(fixture.sent());
+        CHECK(fixture.sent()->endpoint == EndpointId{2});
     }
 }
 
-TEST_CASE("policy: a queued read sees what its session writes meanwhile") {
+TEST_CASE("policy: a queued read sees the writes that its session makes meanwhile") {
     using policy::EndpointId, policy::AttemptStatus;
     for (bool writes : {false, true}) {
-        auto with = settings();
-        with.staleness_check = policy::StalenessCheck::none;
-        PolicyRig rig(with);
-        rig.request(1, 2);
-        rig.report_lag(10ms);  // probed since the first request
-        auto commit = rig.now += 50ms;
-        rig.finish(1, 1, AttemptStatus::ok, 0, commit);
-        rig.now += 2s;
-        rig.request(2, 1);
-        REQUIRE(!rig.sent());  // queued: the replica's position is being probed
+        auto policy_settings = settings();
+        policy_settings.staleness_check = policy::StalenessCheck::none;
+        PolicyFixture fixture(policy_settings);
+        fixture.request(1, 2);
+        fixture.report_lag(10ms);  // a health check after the first request
+        auto commit = fixture.now += 50ms;
+        fixture.finish(1, 1, AttemptStatus::ok, 0, commit);
+        fixture.now += 2s;
+        fixture.request(2, 1);
+        REQUIRE(!fixture.sent());  // queued until a health check reports the replica's position
         if (writes) {
-            rig.request(3, 2);
-            rig.now += 1ms;
-            rig.finish(3, 1, AttemptStatus::ok, 0, rig.now);  // before the probe's result
-            REQUIRE(!rig.sent());
+            fixture.request(3, 2);
+            fixture.now += 1ms;
+            fixture.finish(3, 1, AttemptStatus::ok, 0, fixture.now);  // before the health check's result
+            REQUIRE(!fixture.sent());
         }
-        bool on_replica = rig.sent() && rig.sent()->endpoint == EndpointId{2};
-        rig.report_lag(2ms);
-        on_replica = on_replica || (rig.sent() && rig.sent()->endpoint == EndpointId{2});
+        bool on_replica = fixture.sent() && fixture.sent()->endpoint == EndpointId{2};
+        fixture.report_lag(2ms);
+        on_replica = on_replica || (fixture.sent() && fixture.sent()->endpoint == EndpointId{2});
         CHECK(on_replica != writes);
     }
 }
@@ -202,17 +202,17 @@
 TEST_CASE("policy: a retry that waits for a connection does not start after its deduplication window") {
     using policy::AttemptStatus;
     for (bool ran : {true, false}) {
-        auto with = settings();
-        with.classes[2].deduplication_window = 300ms;
-        PolicyRig rig(with);
-        rig.request(1, 2);
-        REQUIRE(rig.sent());
-        const auto first = rig.now;
-        rig.now += 200ms;
-        rig.finish(1, 1, ran ? AttemptStatus::error : AttemptStatus::miss);
-        for (int i = 0; i < 3 && !rig.sent(); ++i) rig.run(policy::TimerExpired{policy::TimerId{0}});
-        REQUIRE(rig.sent());
-        CHECK((rig.now + *rig.sent()->start_timeout <= first + 300ms) == ran);
+        auto policy_settings = settings();
+        policy_settings.classes[2].deduplication_window = 300ms;
+        PolicyFixture fixture(policy_settings);
+        fixture.request(1, 2);
+        REQUIRE(fixture.sent());
+        const auto first = fixture.now;
+        fixture.now += 200ms;
+        fixture.finish(1, 1, ran ? AttemptStatus::error : AttemptStatus::miss);
+        for (int i = 0; i < 3 && !fixture.sent(); ++i) fixture.run(policy::TimerExpired{policy::TimerId{0}});
+        REQUIRE(fixture.sent());
+        CHECK((fixture.now + *fixture.sent()->start_timeout <= first + 300ms) == ran);
     }
 }
 
--- a/tests/adapters/whole_path_test.cpp
+++ b/tests/adapters/whole_path_test.cpp
@@ -1,4 +1,4 @@
-// Complete paths on loopback: a front, the core with its policy, a backend, and stand-in hosts.
+// Complete paths on loopback: a front, the core with its routing policy, a backend and simulated hosts.
 #include "support/deployment.hpp"
 
 namespace indigovane::testing {
@@ -9,42 +9,44 @@
 
 const std::string kPage = "/v1/clusters/3/kv?class=stock-view";
 
-std::string next_of(const http::Response& r) {
-    std::string link(r.field("link").value_or(""));
+std::string next_target(const http::Response& response) {
+    std::string link(response.field("link").value_or(""));
     CHECK((link.empty() || link.find(">; rel=\"next\"") != std::string::npos));
     return link.empty() ? "" : link.substr(1, link.find('>') - 1);
 }
-void collect(Client& client, std::vector<std::string>& names) {
+void append_names(Client& client, std::vector<std::string>& names) {
     json body = json::parse(client.body);
     for (auto& item : body["items"]) names.push_back(item["name"]);
 }
-template <typename D>
-std::vector<std::string> all_names(const D& pooler) {
+template <typename Pooler>
+std::vector<std::string> all_names(const Pooler& pooler) {
     std::vector<std::string> names;
     for (auto& [name, content] : pooler.hosts[0].rows) names.push_back(name);
     return names;
 }
 
-TEST_CASE_TEMPLATE("a walk sees every row once, with hosts of either wire", D, RestDeployment, PgDeployment) {
-    D pooler;
+TEST_CASE_TEMPLATE("paging through all rows returns every row once, whichever protocol the hosts speak",
+                   Pooler, RestDeployment, PgDeployment) {
+    Pooler pooler;
     Client client(pooler.loop, pooler.rest.local());
     std::vector<std::string> names;
     for (std::string target = kPage + "&limit=5"; !target.empty();) {
-        auto r = client.get(target);
-        REQUIRE(r.status == 200);
-        CHECK(r.field("data-position"));
-        collect(client, names);
-        target = next_of(r);
+        auto response = client.get(target);
+        REQUIRE(response.status == 200);
+        CHECK(response.field("data-position"));
+        append_names(client, names);
+        target = next_target(response);
     }
     CHECK(names == all_names(pooler));
-    CHECK(pooler.hosts[0].queries == 0);  // bounded reads stay off the primary
+    CHECK(pooler.hosts[0].queries == 0);  // bounded reads are not sent to the primary
     CHECK(client.get("/v1/clusters/3/kv/r105?class=own-order&session=s1").status == 200);
     CHECK(client.body == "value5");
 }
 
-TEST_CASE_TEMPLATE("a replica drained in the middle of a walk", D, RestDeployment, PgDeployment) {
+TEST_CASE_TEMPLATE("a replica drained between two pages gets no new request, and every row is returned",
+                   Pooler, RestDeployment, PgDeployment) {
     for (std::size_t drained : {1, 2}) {
-        D pooler;
+        Pooler pooler;
         Client client(pooler.loop, pooler.rest.local());
         std::vector<std::string> names;
         int pages = 0, before = 0;
@@ -54,23 +56,24 @@
                 pooler.core.apply_endpoint_list(EndpointListKind::changes,
                                                 {pooler.endpoint(drained, EndpointState::draining)});
             }
-            auto r = client.get(target);
-            REQUIRE(r.status == 200);
-            collect(client, names);
-            target = next_of(r);
+            auto response = client.get(target);
+            REQUIRE(response.status == 200);
+            append_names(client, names);
+            target = next_target(response);
         }
         CHECK(names == all_names(pooler));
-        CHECK(pooler.hosts[drained].queries == before);  // nothing new to it from the moment of the change
+        CHECK(pooler.hosts[drained].queries == before);  // no request after the change of the list
         CHECK(pages > 3);
     }
 }
 
-TEST_CASE_TEMPLATE("a client that abandons page three", D, RestDeployment, PgDeployment) {
-    D pooler;
+TEST_CASE_TEMPLATE("the request of a client that leaves is abandoned at its host and not sent again", Pooler,
+                   RestDeployment, PgDeployment) {
+    Pooler pooler;
     std::string target = kPage + "&limit=3";
     {
         Client client(pooler.loop, pooler.rest.local());
-        for (int page = 0; page < 2; ++page) target = next_of(client.get(target));
+        for (int page = 0; page < 2; ++page) target = next_target(client.get(target));
         pooler.hosts[1].silent = pooler.hosts[2].silent = true;
         int before = pooler.replica_queries();
         client.send(http::write_request("GET", target, "test", {}));
@@ -84,36 +87,36 @@
     CHECK(pooler.rest.connections() == 0);
 }
 
-TEST_CASE_TEMPLATE("a lagging replica: every page is fresh enough or rejected", D, RestDeployment,
+TEST_CASE_TEMPLATE("with lagging replicas every page is fresh enough or rejected", Pooler, RestDeployment,
                    PgDeployment) {
     for (bool checks : {true, false}) {
-        D pooler;
+        Pooler pooler;
         Client client(pooler.loop, pooler.rest.local());
         REQUIRE(client.get(kPage).status == 200);
         pooler.hosts[1].checks = pooler.hosts[2].checks = checks;
         pooler.hosts[1].lag_ms = 60000;
         int served = 0, refused = 0;
         for (int i = 0; i < 20; ++i) {
-            if (i == 10) pooler.hosts[2].lag_ms = 60000;  // from here on none is fresh enough
-            auto r = client.get(kPage + "&wait_ms=700");
-            if (r.status == 200) {
+            if (i == 10) pooler.hosts[2].lag_ms = 60000;  // from now on no replica is fresh enough
+            auto response = client.get(kPage + "&wait_ms=700");
+            if (response.status == 200) {
                 ++served;
                 std::int64_t age = pooler.clock.to_unix(pooler.clock.now()) / 1000 -
-                                   std::stoll(std::string(*r.field("data-position")));
+                                   std::stoll(std::string(*response.field("data-position")));
                 CHECK(age < 60000);
                 CHECK(i < 10);
             } else {
                 ++refused;
-                CHECK((r.status == 503 || r.status == 504));
+                CHECK((response.status == 503 || response.status == 504));
             }
         }
         CHECK(served >= 1);
         CHECK(refused >= 10);
-        CHECK(pooler.hosts[0].queries == 0);  // rejected, never spilled to the primary
+        CHECK(pooler.hosts[0].queries == 0);  // rejected instead of sent to the primary
     }
 }
 
-TEST_CASE("a bound is 50 ms longer on sockets, a session's token is not") {
+TEST_CASE("a bounded read over sockets accepts 50 ms more lag than its bound of 3 s") {
     for (auto [lag, status] : {std::pair{3040, 200}, {3390, 503}}) {
         PgDeployment pooler;
         pooler.hosts[1].checks = pooler.hosts[2].checks = false;
@@ -124,7 +127,7 @@
     }
 }
 
-TEST_CASE("what was written through a pooler is seen by its session's pages, or they go to the primary") {
+TEST_CASE("a session's read sees its write, and goes to the primary if the replicas lag") {
     RestDeployment pooler;
     pooler.hosts[1].lag_ms = pooler.hosts[2].lag_ms = 2500;
     Client writer(pooler.loop, pooler.pg.local());
@@ -143,7 +146,7 @@
     CHECK(pooler.hosts[0].queries == 2);
 }
 
-TEST_CASE("an old client of the PostgreSQL wire reaches a REST host") {
+TEST_CASE("a PostgreSQL client is served by REST hosts") {
     RestDeployment pooler;
     Client client(pooler.loop, pooler.pg.local());
     client.send(pg::Writer().startup("u", "d").take());
@@ -161,23 +164,24 @@
     CHECK(client.reply() == "TDDDCZ");
     client.send(
         pg::Writer().query("/* id=3,c=stock-view,t=a,d=3000,cluster=3 */ SELECT sum(1) FROM kv").take());
-    CHECK(client.reply() == "EZ");  // it has no form there
+    CHECK(client.reply() == "EZ");  // the REST protocol has no equivalent
 }
 
-TEST_CASE_TEMPLATE("rejections, failures and deadlines have their status", D, RestDeployment, PgDeployment) {
-    D pooler;
+TEST_CASE_TEMPLATE("rejections and missed deadlines are answered with their HTTP status", Pooler,
+                   RestDeployment, PgDeployment) {
+    Pooler pooler;
     Client client(pooler.loop, pooler.rest.local());
     REQUIRE(client.get(kPage).status == 200);
-    for (Host& h : pooler.hosts) h.silent = true;
-    auto r = client.get(kPage + "&wait_ms=300");
-    CHECK(r.status == 504);
-    CHECK(r.field("content-type") == "application/problem+json");
+    for (Host& host : pooler.hosts) host.silent = true;
+    auto response = client.get(kPage + "&wait_ms=300");
+    CHECK(response.status == 504);
+    CHECK(response.field("content-type") == "application/problem+json");
     CHECK(json::parse(client.body)["status"] == 504);
-    for (Host& h : pooler.hosts) h.silent = false, h.rejecting = true;
-    r = client.get(kPage + "&wait_ms=1500");
-    CHECK((r.status == 503 || r.status == 504));
-    CHECK(r.field("retry-after"));
-    // No member of that group is known: nothing may be sent.
+    for (Host& host : pooler.hosts) host.silent = false, host.rejecting = true;
+    response = client.get(kPage + "&wait_ms=1500");
+    CHECK((response.status == 503 || response.status == 504));
+    CHECK(response.field("retry-after"));
+    // No endpoint of that group is known, so that nothing can be sent.
     CHECK(client.get("/v1/clusters/9/kv?class=stock-view&wait_ms=400").status >= 503);
 }
 
@@ -193,7 +197,7 @@
                     .take());
     CHECK(client.reply() == "EZ");
     CHECK(client.code == "57014");
-    CHECK(pooler.hosts[0].queries == 1);  // passed on once, as it stood but for `d`
+    CHECK(pooler.hosts[0].queries == 1);  // sent once, unchanged except for field `d`
     std::string asked = pooler.hosts[0].asked.at(0);
     CHECK(asked.find("/* id=1,c=scan-write,t=a,d=") == 0);
     CHECK(asked.find(
@@ -218,21 +222,21 @@
                     .take());
     client.reply();
     CHECK(client.reply() == "EZ");
-    CHECK(client.code == "53300");  // not 57014: its time was not up, and it never ran
+    CHECK(client.code == "53300");  // not 57014: it never ran, and its time was not up
     CHECK(!client.detail.empty());
 }
 
-TEST_CASE_TEMPLATE("hosts that leave the list are forgotten; one that returns serves", D, RestDeployment,
-                   PgDeployment) {
-    D pooler;
+TEST_CASE_TEMPLATE("hosts that leave the endpoint list are forgotten, and one that returns is used again",
+                   Pooler, RestDeployment, PgDeployment) {
+    Pooler pooler;
     Client client(pooler.loop, pooler.rest.local());
     for (int day = 0; day < 4; ++day) {
         CHECK(client.get(kPage).status == 200);
         auto one = pooler.endpoint(1, EndpointState::gone), two = pooler.endpoint(2, EndpointState::ready);
         if (day == 2) pooler.hosts[2].silent = true;
         if (day == 2) client.send(http::write_request("GET", kPage + "&wait_ms=900", "test", {}));
-        int out = pooler.hosts[2].queries + pooler.hosts[1].queries;
-        if (day == 2) REQUIRE(pooler.loop.until([&] { return pooler.replica_queries() >= out; }));
+        int queries_before = pooler.hosts[2].queries + pooler.hosts[1].queries;
+        if (day == 2) REQUIRE(pooler.loop.until([&] { return pooler.replica_queries() >= queries_before; }));
         if (day % 2)
             pooler.core.apply_endpoint_list(EndpointListKind::full,
                                             {pooler.endpoint(0, EndpointState::ready), two});
@@ -241,7 +245,7 @@
         REQUIRE(pooler.loop.until([&] { return pooler.core.endpoint_count() == 2; }));
         if (day == 2) client.response();
         pooler.hosts[2].silent = false;
-        two.uid = "new" + std::to_string(day);  // a new machine, then the old one again
+        two.uid = "new" + std::to_string(day);  // a new host at the same address, then the former one again
         pooler.core.apply_endpoint_list(EndpointListKind::changes,
                                         {two, pooler.endpoint(1, EndpointState::ready)});
         pooler.core.apply_endpoint_list(EndpointListKind::changes, {pooler.endpoint(2, EndpointState::gone)});
@@ -266,7 +270,7 @@
     CHECK(pooler.core.has_capacity(64 << 20));
 }
 
-TEST_CASE("values of some MiB reach many clients at once, complete") {
+TEST_CASE("values of 3 MiB reach six clients at once, complete") {
     PgDeployment pooler;
     std::string value(3 << 20, 'x');
     for (std::size_t i = 0; i < value.size(); i += 4099) value[i] = char(i / 4099);
@@ -291,9 +295,10 @@
     CHECK(pooler.replica_queries() == 6);  // none was retried
 }
 
-TEST_CASE_TEMPLATE("values of some MiB are written, slowly and in pieces, whatever wire the hosts speak", D,
-                   RestDeployment, PgDeployment) {
-    D pooler;
+TEST_CASE_TEMPLATE(
+    "values of up to 4 MiB that arrive in pieces are written, whichever protocol the hosts speak", Pooler,
+    RestDeployment, PgDeployment) {
+    Pooler pooler;
     Dice dice(6);
     for (std::size_t size : {100u, 70000u, 200000u, 1000000u, 4u << 20}) {
         std::string value(size, 'x');
@@ -320,7 +325,7 @@
     CHECK(pooler.hosts[0].queries == 5);
 }
 
-TEST_CASE("few connections to hosts: all requests are answered all the same") {
+TEST_CASE("with only three connections to hosts all requests are answered") {
     PgDeployment pooler(3);
     std::vector<std::unique_ptr<Client>> clients;
     for (int i = 0; i < 30; ++i) {
