--- a/src/adapters/statements.cpp
+++ b/src/adapters/statements.cpp
@@ -70,12 +70,12 @@
         return request_class;
     }
     // The statement must run on the primary, which only a class of writes guarantees.
-    if (request_class && request_class->write) return request_class;
+    if (request_class && request_class->is_write) return request_class;
     const std::string& fallback_name = profile.kind == Kind::read && !options_.primary_class.empty()
                                            ? options_.primary_class
                                            : options_.write_class;
     const ClassInfo* fallback_class = classes.find(fallback_name);
-    if (fallback_class && fallback_class->write) return fallback_class;
+    if (fallback_class && fallback_class->is_write) return fallback_class;
     why = std::string("the statement must run on the primary (") + profile.reason + "), and " +
           (request_class ? "class '" + request_class->name + "' is not a class of writes"
                          : "it has no class of writes");
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -36,7 +36,7 @@
 // empty name is accepted.
 void check_default_class(const Config& config, const std::string& name, const char* where, bool writes,
                          const std::string& path) {
-    if (name.empty() || find_class(config, name, where, path).write == writes) return;
+    if (name.empty() || find_class(config, name, where, path).is_write == writes) return;
     throw ConfigError(path, std::string(where) + ": class '" + name +
                                 (writes ? "' is none of writes" : "' is one of writes"));
 }
