--- a/src/transport/buffer.hpp
+++ b/src/transport/buffer.hpp
@@ -1,4 +1,4 @@
-// The bytes that a connection has read and nobody has consumed yet.
+// The bytes that a connection has read and its handler has not consumed yet.
 #pragma once
 
 #include <algorithm>
@@ -10,27 +10,30 @@
 
 namespace indigovane::transport {
 
-// Grows as it needs to and is compacted in place: what is unread moves to the front when free space runs out
-// behind it. Gives back a large block once it has been emptied, so that many idle connections stay small.
+// A byte queue in one block of memory. The block grows when needed; when the free space behind the unread
+// bytes runs out, they move to its front. A large block is freed once it is empty, so that many idle
+// connections use little memory.
 class Buffer {
   public:
     std::string_view view() const { return {bytes_.data() + begin_, end_ - begin_}; }
     std::size_t size() const { return end_ - begin_; }
     bool empty() const { return begin_ == end_; }
-    std::uint64_t consumed() const { return consumed_; }  // bytes, since the beginning
+    // Total number of bytes consumed so far.
+    std::uint64_t consumed() const { return consumed_; }
     std::size_t capacity() const { return bytes_.size(); }
 
-    // Free space for at least `least` more bytes; returned with its true length.
     struct Span {
         char* data;
         std::size_t size;
     };
-    Span prepare(std::size_t least) {
-        if (bytes_.size() - end_ < least) compact();
-        if (bytes_.size() - end_ < least) bytes_.resize(std::max(end_ + least, bytes_.size() * 2));
+    // Returns all free space behind the unread bytes, at min_bytes `min_bytes` bytes. Valid until the buffer
+    // changes.
+    Span prepare(std::size_t min_bytes) {
+        if (bytes_.size() - end_ < min_bytes) compact();
+        if (bytes_.size() - end_ < min_bytes) bytes_.resize(std::max(end_ + min_bytes, bytes_.size() * 2));
         return {bytes_.data() + end_, bytes_.size() - end_};
     }
-    // Space for so many unread bytes in all, and no more: what is to come is known.
+    // Makes room for `total` unread bytes, and for no more than that: the caller knows how much will come.
     void reserve(std::size_t total) {
         compact();
         if (bytes_.size() >= total) return;
@@ -38,7 +41,9 @@
         std::memcpy(larger.data(), bytes_.data(), size());
         bytes_.swap(larger);
     }
+    // Adds `count` bytes, which the caller wrote into the span of prepare(), to the unread bytes.
     void commit(std::size_t count) { end_ += count; }
+    // Removes `count` bytes from the front, or all if there are fewer.
     void consume(std::size_t count) {
         count = std::min(count, size());
         begin_ += count;
@@ -52,6 +57,7 @@
     }
 
   private:
+    // Maximum capacity in bytes that an empty buffer keeps.
     static constexpr std::size_t kRetainedCapacity = 16384;
 
     void compact() {
--- a/src/transport/channel.cpp
+++ b/src/transport/channel.cpp
@@ -15,12 +15,14 @@
 namespace indigovane::transport {
 
 namespace {
-// By the folder's descriptor, since a socket's path may be 107 bytes long and a folder's may be longer.
-sockaddr_un address(const Descriptor& folder, const std::string& name) {
-    sockaddr_un at{};
-    at.sun_family = AF_UNIX;
-    std::snprintf(at.sun_path, sizeof at.sun_path, "/proc/self/fd/%d/%s", folder.get(), name.c_str());
-    return at;
+// Addresses the socket through the folder's descriptor: a Unix socket's path is limited to 107 bytes, and the
+// folder's path may be longer.
+sockaddr_un socket_address(const Descriptor& folder, const std::string& name) {
+    sockaddr_un address{};
+    address.sun_family = AF_UNIX;
+    std::snprintf(address.sun_path, sizeof address.sun_path, "/proc/self/fd/%d/%s", folder.get(),
+                  name.c_str());
+    return address;
 }
 Descriptor open_folder(const std::string& folder) {
     return Descriptor(::open(folder.c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC));
@@ -36,38 +38,38 @@
 
 struct Channel::Reader : asio::coroutine {
     std::shared_ptr<Channel> self;
-    explicit Reader(std::shared_ptr<Channel> c) : self(std::move(c)) {}
+    explicit Reader(std::shared_ptr<Channel> channel) : self(std::move(channel)) {}
 
     void operator()(error_code ec = {}) {
-        Channel& c = *self;
-        if (!c.handler_) return;
+        Channel& channel = *self;
+        if (!channel.handler_) return;
         reenter(this) {
             while (!ec) {
-                yield c.socket_.async_wait(asio::posix::stream_descriptor::wait_read, Reader(*this));
-                while (!ec && c.receive()) {
+                yield channel.socket_.async_wait(asio::posix::stream_descriptor::wait_read, Reader(*this));
+                while (!ec && channel.receive()) {
                 }
-                if (!c.handler_) return;
+                if (!channel.handler_) return;
             }
-            c.fail();
+            channel.fail();
         }
     }
 };
 
 struct Channel::Writer : asio::coroutine {
     std::shared_ptr<Channel> self;
-    explicit Writer(std::shared_ptr<Channel> c) : self(std::move(c)) {}
+    explicit Writer(std::shared_ptr<Channel> channel) : self(std::move(channel)) {}
 
     void operator()(error_code ec = {}) {
-        Channel& c = *self;
-        if (!c.handler_) return;
+        Channel& channel = *self;
+        if (!channel.handler_) return;
         reenter(this) {
-            while (!ec && !c.queue_.empty()) {
-                if (c.transmit()) continue;
-                if (!c.handler_) return;
-                yield c.socket_.async_wait(asio::posix::stream_descriptor::wait_write, Writer(*this));
+            while (!ec && !channel.queue_.empty()) {
+                if (channel.transmit()) continue;
+                if (!channel.handler_) return;
+                yield channel.socket_.async_wait(asio::posix::stream_descriptor::wait_write, Writer(*this));
             }
-            c.writing_ = false;
-            if (ec) c.fail();
+            channel.is_writing_ = false;
+            if (ec) channel.fail();
         }
     }
 };
@@ -77,10 +79,10 @@
 
 std::shared_ptr<Channel> Channel::connect(asio::io_context& io, const std::string& folder,
                                           const std::string& name, Handler& handler) {
-    Descriptor in = open_folder(folder), socket = open_socket();
-    if (!in || !socket) return nullptr;
-    sockaddr_un at = address(in, name);
-    if (::connect(socket.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0) return nullptr;
+    Descriptor folder_descriptor = open_folder(folder), socket = open_socket();
+    if (!folder_descriptor || !socket) return nullptr;
+    sockaddr_un address = socket_address(folder_descriptor, name);
+    if (::connect(socket.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) != 0) return nullptr;
     return std::make_shared<Channel>(io, std::move(socket), handler);
 }
 
@@ -88,29 +90,29 @@
     asio::post(strand_, Reader(shared_from_this()));
 }
 
-void Channel::send(std::string message, Descriptor with) {
+void Channel::send(std::string message, Descriptor descriptor) {
     if (!handler_) return;
-    queue_.push_back({std::move(message), std::move(with)});
-    if (std::exchange(writing_, true)) return;
+    queue_.push_back({std::move(message), std::move(descriptor)});
+    if (std::exchange(is_writing_, true)) return;
     asio::post(strand_, Writer(shared_from_this()));
 }
 
 bool Channel::transmit() {
-    Message& m = queue_.front();
-    iovec bytes{m.bytes.data(), m.bytes.size()};
+    Message& message = queue_.front();
+    iovec bytes{message.bytes.data(), message.bytes.size()};
     alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
     msghdr header{};
     header.msg_iov = &bytes;
     header.msg_iovlen = 1;
-    if (m.with) {
+    if (message.descriptor) {
         header.msg_control = control;
         header.msg_controllen = sizeof control;
-        cmsghdr* c = CMSG_FIRSTHDR(&header);
-        c->cmsg_level = SOL_SOCKET;
-        c->cmsg_type = SCM_RIGHTS;
-        c->cmsg_len = CMSG_LEN(sizeof(int));
-        int fd = m.with.get();
-        std::memcpy(CMSG_DATA(c), &fd, sizeof fd);
+        cmsghdr* control_header = CMSG_FIRSTHDR(&header);
+        control_header->cmsg_level = SOL_SOCKET;
+        control_header->cmsg_type = SCM_RIGHTS;
+        control_header->cmsg_len = CMSG_LEN(sizeof(int));
+        int fd = message.descriptor.get();
+        std::memcpy(CMSG_DATA(control_header), &fd, sizeof fd);
     }
     if (::sendmsg(socket_.native_handle(), &header, MSG_DONTWAIT | MSG_NOSIGNAL) >= 0) {
         queue_.pop_front();
@@ -123,27 +125,28 @@
 
 bool Channel::receive() {
     std::string bytes(kMessageMost, '\0');
-    iovec into{bytes.data(), bytes.size()};
+    iovec buffer{bytes.data(), bytes.size()};
     alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
     msghdr header{};
-    header.msg_iov = &into;
+    header.msg_iov = &buffer;
     header.msg_iovlen = 1;
     header.msg_control = control;
     header.msg_controllen = sizeof control;
     ssize_t count = ::recvmsg(socket_.native_handle(), &header, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
     if (count < 0 && errno == EINTR) return true;
     if (count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) return false;
-    Descriptor with;
-    if (cmsghdr* c = count < 0 ? nullptr : CMSG_FIRSTHDR(&header); c && c->cmsg_type == SCM_RIGHTS) {
+    Descriptor descriptor;
+    if (cmsghdr* control_header = count < 0 ? nullptr : CMSG_FIRSTHDR(&header);
+        control_header && control_header->cmsg_type == SCM_RIGHTS) {
         int fd = -1;
-        std::memcpy(&fd, CMSG_DATA(c), sizeof fd);
-        with = Descriptor(fd);
+        std::memcpy(&fd, CMSG_DATA(control_header), sizeof fd);
+        descriptor = Descriptor(fd);
     }
     if (count <= 0) {
         fail();
         return false;
     }
-    handler_->on_message(*this, std::string_view(bytes).substr(0, std::size_t(count)), std::move(with));
+    handler_->on_message(*this, std::string_view(bytes).substr(0, std::size_t(count)), std::move(descriptor));
     return handler_ != nullptr;
 }
 
@@ -160,15 +163,16 @@
     if (handler) handler->on_closed(*this);
 }
 
-struct ChannelListener::Accept : asio::coroutine {
+struct ChannelListener::AcceptLoop : asio::coroutine {
     ChannelListener* listener;
-    explicit Accept(ChannelListener* l) : listener(l) {}
+    explicit AcceptLoop(ChannelListener* channel_listener) : listener(channel_listener) {}
 
     void operator()(error_code ec = {}) {
         if (ec) return;
         reenter(this) {
             for (;;) {
-                yield listener->socket_.async_wait(asio::posix::stream_descriptor::wait_read, Accept(*this));
+                yield listener->socket_.async_wait(asio::posix::stream_descriptor::wait_read,
+                                                   AcceptLoop(*this));
                 if (Descriptor accepted(::accept4(listener->socket_.native_handle(), nullptr, nullptr,
                                                   SOCK_NONBLOCK | SOCK_CLOEXEC));
                     accepted)
@@ -181,18 +185,21 @@
 ChannelListener::ChannelListener(asio::io_context& io, const std::string& folder, const std::string& name,
                                  AcceptHandler on_accept)
     : socket_(io), on_accept_(std::move(on_accept)) {
-    Descriptor in = open_folder(folder), socket = open_socket();
-    // Bound under another name first: whoever asks meanwhile finds the one that listens yet.
-    std::string fresh = name + "." + std::to_string(::getpid());
-    sockaddr_un at = address(in, fresh);
-    if (!in || !socket) throw std::runtime_error("can't open '" + folder + "'");
-    ::unlinkat(in.get(), fresh.c_str(), 0);
-    if (::bind(socket.get(), reinterpret_cast<sockaddr*>(&at), sizeof at) != 0 ||
-        ::listen(socket.get(), 4) != 0 || ::renameat(in.get(), fresh.c_str(), in.get(), name.c_str()) != 0)
-        throw std::runtime_error("can't listen in '" + folder + "': " + std::strerror(errno));
+    Descriptor folder_descriptor = open_folder(folder), socket = open_socket();
+    // Binds under a temporary name first: a process that connects meanwhile still reaches the old listener.
+    std::string temporary_name = name + "." + std::to_string(::getpid());
+    sockaddr_un address = socket_address(folder_descriptor, temporary_name);
+    if (!folder_descriptor || !socket)
+        throw std::runtime_error("cannot open a socket in folder '" + folder + "'");
+    ::unlinkat(folder_descriptor.get(), temporary_name.c_str(), 0);
+    if (::bind(socket.get(), reinterpret_cast<sockaddr*>(&address), sizeof address) != 0 ||
+        ::listen(socket.get(), 4) != 0 ||
+        ::renameat(folder_descriptor.get(), temporary_name.c_str(), folder_descriptor.get(), name.c_str()) !=
+            0)
+        throw std::runtime_error("cannot listen in folder '" + folder + "': " + std::strerror(errno));
     socket_.assign(socket.release());
-    Accept accept(this);
-    accept();
+    AcceptLoop accept_loop(this);
+    accept_loop();
 }
 
 }  // namespace indigovane::transport
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -15,20 +15,25 @@
 namespace indigovane::transport {
 
 namespace {
-constexpr std::size_t kLingerBytes = 1 << 18;                  // thrown away at most
-constexpr auto kLingerTime = std::chrono::milliseconds(1000);  // to write what is left; to discard
-constexpr auto kAwaitEnd = std::chrono::milliseconds(300);     // for the other side's end, after our own
-constexpr auto kHangupEvery =
-    std::chrono::milliseconds(40);                   // a client that has gone is to be seen in 100 ms
-constexpr std::size_t kRetainedWriteBuffer = 16384;  // bytes of an empty write buffer that stay allocated
-
-// An interrupted call, or one for which nothing was there yet, is made again.
-bool transient(const error_code& ec) {
+// Maximum number of bytes that are discarded from a closing connection.
+constexpr std::size_t kMaxDiscardedBytes = 1 << 18;
+// Time limit for writing the queued bytes of a closing connection, and again for discarding its input.
+constexpr auto kLingerTimeout = std::chrono::milliseconds(1000);
+// Time limit for the other side to close after this side has shut down its sending direction.
+constexpr auto kRemoteCloseTimeout = std::chrono::milliseconds(300);
+// A client that has gone must be detected within 100 ms.
+constexpr auto kHangupCheckInterval = std::chrono::milliseconds(40);
+// Maximum capacity in bytes that an empty write buffer keeps.
+constexpr std::size_t kRetainedWriteBytes = 16384;
+
+// Whether the call only has to be repeated: it was interrupted, or the socket was not ready.
+bool is_transient(const error_code& ec) {
     return ec == asio::error::would_block || ec == asio::error::interrupted;
 }
 
-// What stands next in the kernel's buffer, without reading it.
+// What the next read from the socket would return: no data yet, bytes, or the end of the stream or an error.
 enum class Peek { nothing, bytes, end };
+// Looks at the kernel's receive buffer and leaves its content there.
 Peek peek(int socket) {
     char byte = 0;
     ssize_t count = 0;
@@ -42,16 +47,17 @@
 
 struct Connection::Reader : asio::coroutine {
     std::shared_ptr<Connection> self;
-    bool connect;
+    bool must_connect;
 
-    Reader(std::shared_ptr<Connection> c, bool connecting) : self(std::move(c)), connect(connecting) {}
+    Reader(std::shared_ptr<Connection> connection, bool connects)
+        : self(std::move(connection)), must_connect(connects) {}
 
     void operator()(error_code ec = {}) {
         Connection& connection = *self;
         std::size_t count = 0;
         if (connection.state_ == State::closed) return;
         reenter(this) {
-            if (connect) {
+            if (must_connect) {
                 yield connection.socket_.async_connect(connection.peer_, Reader(*this));
                 if (ec) {
                     connection.fail(ec);
@@ -63,22 +69,22 @@
                 if (connection.handler_) connection.handler_->on_connected();
             }
             while (connection.state_ == State::open && !connection.close_when_written_) {
-                if (connection.in_.size() >=
-                    connection.limit_) {  // backpressure: resume() starts another reader
-                    connection.reading_ = false;
-                    connection.await_hangup();
+                // Backpressure: resume() starts another reader.
+                if (connection.in_.size() >= connection.unread_limit_) {
+                    connection.is_reading_ = false;
+                    connection.schedule_hangup_check();
                     return;
                 }
-                connection.reading_ = true;
-                // Waits for readiness without reserving a part of the buffer: the handler consumes from it,
-                // and so moves it, while a read is pending.
+                connection.is_reading_ = true;
+                // Waits for readiness before it reserves buffer space: the handler may consume bytes while
+                // the read is pending, and that moves the buffer's content.
                 yield connection.socket_.async_wait(asio::ip::tcp::socket::wait_read, Reader(*this));
                 if (connection.close_when_written_) return;
                 if (!ec) {
                     Buffer::Span free = connection.in_.prepare(connection.read_size_);
                     count = connection.socket_.read_some(asio::buffer(free.data, free.size), ec);
                 }
-                if (transient(ec)) continue;
+                if (is_transient(ec)) continue;
                 if (ec) {
                     connection.fail(ec);
                     return;
@@ -86,20 +92,21 @@
                 connection.in_.commit(count);
                 if (connection.handler_) connection.handler_->on_data(connection.in_);
             }
-            connection.reading_ = false;
+            connection.is_reading_ = false;
         }
     }
 };
 
-// Writes until the kernel takes no more, and only then waits. What the kernel has taken is counted in the
-// same call, so that all_written() tells at any moment whether the other side may have all of it. The handler
-// never hears of it from within write(): ends are posted.
+// Writes until the kernel accepts no more bytes, and only then waits. Accepted bytes are counted in the same
+// call, so all_written() is always up to date. The handler is never called from within write(): the end of a
+// write is posted to the strand.
 struct Connection::Writer : asio::coroutine {
     std::shared_ptr<Connection> self;
     error_code failure{};
-    bool posted = false;  // write() has returned
+    // Whether this coroutine runs from the event loop, after write() has returned.
+    bool posted = false;
 
-    explicit Writer(std::shared_ptr<Connection> c) : self(std::move(c)) {}
+    explicit Writer(std::shared_ptr<Connection> connection) : self(std::move(connection)) {}
 
     void operator()(error_code ec = {}) {
         Connection& connection = *self;
@@ -120,46 +127,48 @@
                 yield asio::post(connection.strand_, Writer(*this));
             }
             if (failure) return connection.fail(failure);
-            connection.writer_busy_ = false;
+            connection.has_active_writer_ = false;
             if (connection.close_when_written_) return connection.half_close();
             if (connection.handler_) connection.handler_->on_written();
         }
     }
 };
 
-struct Connection::Discard : asio::coroutine {
+// Reads and drops input until the end of the stream or the byte limit, then closes the connection.
+struct Connection::InputDiscarder : asio::coroutine {
     std::shared_ptr<Connection> self;
-    std::size_t left = kLingerBytes;
+    std::size_t remaining = kMaxDiscardedBytes;
 
-    explicit Discard(std::shared_ptr<Connection> c) : self(std::move(c)) {}
+    explicit InputDiscarder(std::shared_ptr<Connection> connection) : self(std::move(connection)) {}
 
     void operator()(error_code ec = {}) {
         Connection& connection = *self;
         if (connection.state_ == State::closed) return;
         char scratch[8192];
         reenter(this) {
-            while (!ec && left > 0) {
-                yield connection.socket_.async_wait(asio::ip::tcp::socket::wait_read, Discard(*this));
-                if (!ec) left -= std::min(left, connection.socket_.read_some(asio::buffer(scratch), ec));
-                if (transient(ec)) ec = {};
+            while (!ec && remaining > 0) {
+                yield connection.socket_.async_wait(asio::ip::tcp::socket::wait_read, InputDiscarder(*this));
+                if (!ec)
+                    remaining -= std::min(remaining, connection.socket_.read_some(asio::buffer(scratch), ec));
+                if (is_transient(ec)) ec = {};
             }
             connection.close();
         }
     }
 };
 
-// Until the other side has closed as well, with nothing read. What has crossed hides its end: the timer,
-// then.
-struct Connection::AwaitEnd : asio::coroutine {
+// Waits, without reading, until the other side has closed as well. Unread input hides the end of the stream;
+// the connection is then closed by its timer.
+struct Connection::EndOfStreamWait : asio::coroutine {
     std::shared_ptr<Connection> self;
 
-    explicit AwaitEnd(std::shared_ptr<Connection> c) : self(std::move(c)) {}
+    explicit EndOfStreamWait(std::shared_ptr<Connection> connection) : self(std::move(connection)) {}
 
     void operator()(error_code ec = {}) {
         Connection& connection = *self;
         if (connection.state_ == State::closed) return;
         reenter(this) {
-            yield connection.socket_.async_wait(asio::ip::tcp::socket::wait_read, AwaitEnd(*this));
+            yield connection.socket_.async_wait(asio::ip::tcp::socket::wait_read, EndOfStreamWait(*this));
             if (ec || peek(connection.socket_.native_handle()) != Peek::bytes) connection.close();
         }
     }
@@ -192,8 +201,8 @@
     handler_ = nullptr;
     error_code ec;
     timer_.cancel(ec);
-    int fd = socket_.release(ec);
-    return ec ? -1 : fd;
+    int descriptor = socket_.release(ec);
+    return ec ? -1 : descriptor;
 }
 
 void Connection::connect(const SocketAddress& to, std::chrono::microseconds timeout, Handler& handler) {
@@ -203,13 +212,13 @@
     timer_.expires_after(timeout);
     timer_.async_wait([weak = weak_from_this()](const error_code& ec) {
         auto self = weak.lock();
-        if (self && !ec && !self->established_) self->fail(asio::error::timed_out);
+        if (self && !ec && !self->is_established_) self->fail(asio::error::timed_out);
     });
     asio::post(strand_, Reader(shared_from_this(), true));
 }
 
 void Connection::established() {
-    established_ = true;
+    is_established_ = true;
     timer_.cancel();
 }
 
@@ -223,7 +232,8 @@
     return peek(socket_.native_handle()) == Peek::nothing;
 }
 
-// One send of what is queued. False: nothing is left, or `ec` tells why no more can be written now.
+// Makes one write call with the queued bytes. Returns false if none remain, or if the call failed with
+// `ec`.
 bool Connection::write_some(error_code& ec) {
     if (writing_.empty()) {
         if (out_.empty()) return false;
@@ -237,7 +247,7 @@
     if (written_ == writing_.size()) {
         written_ = 0;
         writing_.clear();
-        if (writing_.capacity() > kRetainedWriteBuffer) writing_.shrink_to_fit();
+        if (writing_.capacity() > kRetainedWriteBytes) writing_.shrink_to_fit();
     }
     return !ec;
 }
@@ -254,15 +264,15 @@
         out_ = std::move(bytes);
     else
         out_ += bytes;
-    if (writer_busy_ || state_ != State::open) return;
-    writer_busy_ = true;
+    if (has_active_writer_ || state_ != State::open) return;
+    has_active_writer_ = true;
     Writer writer(shared_from_this());
     writer();
 }
 
 void Connection::resume() {
-    if (state_ != State::open || reading_ || in_.size() >= limit_) return;
-    reading_ = true;
+    if (state_ != State::open || is_reading_ || in_.size() >= unread_limit_) return;
+    is_reading_ = true;
     asio::post(strand_, Reader(shared_from_this(), false));
 }
 
@@ -271,8 +281,9 @@
     handler_ = nullptr;
     close_when_written_ = true;
     crossing_ = crossing;
-    if (all_written() && !writer_busy_) return half_close();
-    timer_.expires_after(kLingerTime);  // guards against a client that never reads
+    if (all_written() && !has_active_writer_) return half_close();
+    // Guards against a client that never reads.
+    timer_.expires_after(kLingerTimeout);
     timer_.async_wait([self = shared_from_this()](const error_code& ec) {
         if (!ec) self->close();
     });
@@ -282,37 +293,37 @@
     error_code ec;
     socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ec);
     if (ec) return close();
-    bool discards = crossing_ == Crossing::discard;
-    if (discards) in_.consume(in_.size());
-    timer_.expires_after(discards ? kLingerTime : kAwaitEnd);
-    timer_.async_wait([self = shared_from_this()](const error_code& e) {
-        if (!e) self->close();
+    bool discards_input = crossing_ == Crossing::discard;
+    if (discards_input) in_.consume(in_.size());
+    timer_.expires_after(discards_input ? kLingerTimeout : kRemoteCloseTimeout);
+    timer_.async_wait([self = shared_from_this()](const error_code& timer_ec) {
+        if (!timer_ec) self->close();
     });
-    if (discards) {
-        Discard discard(shared_from_this());
-        discard();
+    if (discards_input) {
+        InputDiscarder discarder(shared_from_this());
+        discarder();
     } else {
-        AwaitEnd end(shared_from_this());
-        end();
+        EndOfStreamWait wait(shared_from_this());
+        wait();
     }
 }
 
-// An end of the stream stands behind what is unread: the kernel tells of it all the same.
+// A read would return the unread bytes before the end of the stream. poll() reports the end at once.
 bool Connection::hung_up() {
-    pollfd p{socket_.native_handle(), POLLRDHUP, 0};
-    return ::poll(&p, 1, 0) > 0 && (p.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+    pollfd poll_entry{socket_.native_handle(), POLLRDHUP, 0};
+    return ::poll(&poll_entry, 1, 0) > 0 && (poll_entry.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-void Connection::await_hangup() {
-    if (!watches_hangup_ || std::exchange(awaits_hangup_, true)) return;
-    timer_.expires_after(kHangupEvery);
+void Connection::schedule_hangup_check() {
+    if (!watches_hangup_ || std::exchange(is_hangup_check_scheduled_, true)) return;
+    timer_.expires_after(kHangupCheckInterval);
     timer_.async_wait([weak = weak_from_this()](const error_code& ec) {
         auto self = weak.lock();
         if (!self || ec) return;
-        self->awaits_hangup_ = false;
-        if (self->state_ != State::open || self->reading_ || self->close_when_written_) return;
+        self->is_hangup_check_scheduled_ = false;
+        if (self->state_ != State::open || self->is_reading_ || self->close_when_written_) return;
         if (self->hung_up()) return self->fail(asio::error::eof);
-        self->await_hangup();
+        self->schedule_hangup_check();
     });
 }
 
--- a/src/transport/connection.hpp
+++ b/src/transport/connection.hpp
@@ -1,4 +1,4 @@
-// One TCP connection: a reader and a writer, each a stackless coroutine on the connection's strand.
+// A TCP connection with a read loop and a write loop, each a stackless coroutine on the connection's strand.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,13 +20,16 @@
 
 class Connection : public std::enable_shared_from_this<Connection> {
   public:
-    // Told what happens. Not owned; whoever goes away first calls detach().
+    // Receives the events of a connection, on the connection's strand. The connection does not own it: a
+    // handler that is destroyed before the connection calls detach() first.
     class Handler {
       public:
         virtual void on_connected() {}
         virtual void on_data(Buffer& in) = 0;
-        virtual void on_written() {}                    // all that was queued is with the kernel
-        virtual void on_closed(const error_code&) = 0;  // by the other side or an error; nothing follows
+        // The kernel has accepted all queued bytes.
+        virtual void on_written() {}
+        // The other side closed the connection or an error ended it. No further calls follow.
+        virtual void on_closed(const error_code&) = 0;
 
       protected:
         ~Handler() = default;
@@ -34,51 +37,72 @@
 
     explicit Connection(asio::io_context& io);
 
-    // `read`: bytes that came on it before, and were read by whoever had it.
+    // Takes over a connected socket. `read` holds bytes that its former owner read from it but did not
+    // handle; the handler gets them first.
     void adopt(asio::ip::tcp::socket socket, Handler& handler, std::string_view read = {});
-    // Gives the socket away, as it is: the connection is over here and goes on elsewhere. -1: it can't, since
-    // something is unwritten yet.
+    // Closes this object and returns its socket, still connected; the caller owns the descriptor. Returns -1
+    // if the connection is not open, is closing, or has unwritten bytes.
     int release();
+    // Bytes that were read from the socket and not consumed by the handler.
     std::string_view unread() const { return in_.view(); }
+    // Starts to connect. The connection ends with asio::error::timed_out unless established() is called
+    // within `timeout`.
     void connect(const SocketAddress& to, std::chrono::microseconds timeout, Handler& handler);
 
-    // The timeout of connect() runs until this is called: a peer may accept and then say nothing.
+    // Ends the timeout of connect(). The caller decides when, because a peer may accept a connection and then
+    // send nothing.
     void established();
 
-    bool readable();  // something has come that the handler has not consumed
-    bool hung_up();   // the other side has closed, or ended its sending, behind whatever is unread
-    bool quiet();     // open, with nothing unread and no end of the stream, here or in the kernel
+    // Whether the connection is open and there are bytes that the handler has not consumed, here or in the
+    // kernel.
+    bool readable();
+    // Whether the other side has closed the connection or shut down its sending direction. Bytes that are
+    // still unread do not hide this.
+    bool hung_up();
+    // Whether the connection is open and there is neither unread data nor an end of stream, here or in the
+    // kernel.
+    bool quiet();
+    // Queues bytes for writing. Ignored after close() and close_after_writing().
     void write(std::string bytes);
-    // The kernel has taken all that was queued, so that the other side may have it.
+    // Whether the kernel has accepted all queued bytes. The other side may have received them.
     bool all_written() const { return out_.empty() && writing_.empty(); }
-    // The other side's kernel has all of it, too: closing here can cut nothing off. True where that can't be
-    // told.
+    // Whether the other side's kernel has acknowledged all bytes, so that closing now loses none of them.
+    // Also true if the kernel's send queue cannot be queried.
     bool delivered();
+    // Number of queued bytes that the kernel has not accepted.
     std::size_t unwritten() const { return out_.size() + writing_.size() - written_; }
 
-    std::uint64_t sent() const { return sent_; }  // bytes that the kernel has taken
+    // Total number of bytes that the kernel has accepted.
+    std::uint64_t sent() const { return sent_; }
 
-    // So many bytes are read at once, at least.
+    // Minimum buffer space for one read.
     void set_read_size(std::size_t bytes) { read_size_ = bytes; }
-    // While more than this is unread the connection reads no further.
-    void limit_unread(std::size_t bytes) { limit_ = bytes; }
-    void resume();  // something was consumed: reading may go on
+    // Stops reading while at least this many bytes are unread.
+    void limit_unread(std::size_t bytes) { unread_limit_ = bytes; }
+    // Continues reading after the handler consumed bytes.
+    void resume();
 
-    // What is queued still goes out, within a second. Then the connection is half-closed: the other side is
-    // told of the end, and has a while to close as well, so that what it sends meanwhile doesn't reset the
-    // connection before its last words were read.
+    // What happens to input that arrives while the connection closes.
     enum class Crossing {
-        unread,   // what crosses the close is left unread: nobody has taken it, and its sender sends it again
-        discard,  // thrown away, up to a bound: from one that may be in the middle of something far too long
+        // It is not read. No one has handled it, so its sender can send it again.
+        unread,
+        // It is read and dropped, up to a limit: the sender may be in the middle of a message that is far too
+        // long.
+        discard,
     };
+    // Writes what is queued, within one second, and then shuts down the sending direction. The other side
+    // sees the end of the stream and has some time to close as well. Closing at once could reset the
+    // connection, if the other side is still sending, before it has read the last bytes.
     void close_after_writing(Crossing crossing);
-    void close();  // at once; the handler hears nothing more
-    // While the connection reads no further, it looks now and then whether the other side has closed it.
+    // Closes at once. The handler gets no further calls.
+    void close();
+    // Checks regularly, while reading is stopped, whether the other side has closed the connection.
     void watch_for_hangup() { watches_hangup_ = true; }
+    // The handler gets no further calls.
     void detach() { handler_ = nullptr; }
     const Strand& executor() const { return strand_; }
     bool open() const { return state_ == State::open; }
-    // Of the other side; nothing where it has gone.
+    // The address of the other side; a default-constructed address if the socket is no longer connected.
     SocketAddress remote() const {
         error_code ec;
         return socket_.remote_endpoint(ec);
@@ -88,12 +112,12 @@
     enum class State { idle, connecting, open, closed };
     struct Reader;
     struct Writer;
-    struct Discard;
-    struct AwaitEnd;
+    struct InputDiscarder;
+    struct EndOfStreamWait;
 
     bool write_some(error_code& ec);
     void half_close();
-    void await_hangup();
+    void schedule_hangup_check();
     void fail(const error_code& ec);
 
     Strand strand_;
@@ -103,13 +127,16 @@
     State state_ = State::idle;
     SocketAddress peer_;
     Buffer in_;
-    std::string out_, writing_;  // waiting to be written; being written
-    std::size_t written_ = 0;    // of the latter
-    std::size_t limit_ = 1 << 20, read_size_ = 2048;
+    // Bytes that wait for the current write to finish, and the bytes of the current write.
+    std::string out_, writing_;
+    // Number of bytes of `writing_` that the kernel has accepted.
+    std::size_t written_ = 0;
+    std::size_t unread_limit_ = 1 << 20, read_size_ = 2048;
     std::uint64_t sent_ = 0;
     Crossing crossing_ = Crossing::unread;
-    bool reading_ = false, writer_busy_ = false, close_when_written_ = false, established_ = false;
-    bool watches_hangup_ = false, awaits_hangup_ = false;
+    bool is_reading_ = false, has_active_writer_ = false, close_when_written_ = false,
+         is_established_ = false;
+    bool watches_hangup_ = false, is_hangup_check_scheduled_ = false;
 };
 
 }  // namespace indigovane::transport
--- a/src/transport/listener.cpp
+++ b/src/transport/listener.cpp
@@ -8,42 +8,46 @@
 namespace indigovane::transport {
 
 namespace {
-constexpr auto kRetryAfter = std::chrono::milliseconds(20);
-constexpr auto kOpenWithin = std::chrono::seconds(5);
-constexpr int kAtOnce = 16;  // connections accepted in one go
-
-// One connection has ended before it was accepted, or the call was interrupted: others may stand behind it
-// (accept(2), "Error handling").
+// Delay before the next try when the machine is short of descriptors or memory.
+constexpr auto kRetryDelay = std::chrono::milliseconds(20);
+// How long the constructor tries to open a socket.
+constexpr auto kOpenTimeout = std::chrono::seconds(5);
+// Maximum number of connections accepted before other tasks of the event loop run.
+constexpr int kMaxAcceptsPerTurn = 16;
+
+// Whether the error concerns only one connection, which ended before it was accepted, or an interrupted call.
+// More connections may wait in the queue (accept(2), "Error handling").
 bool concerns_one_connection(const error_code& ec) {
     return ec == asio::error::connection_aborted || ec == asio::error::interrupted ||
            ec == boost::system::errc::protocol_error;
 }
 }  // namespace
 
-// Waits until the socket is ready and then accepts until nothing is left. Asio's own asynchronous accept
-// waits for another edge after a connection that was aborted, which hides those behind it.
-struct Listener::Accept : asio::coroutine {
+// Waits until the socket is ready and then accepts until the queue is empty. Asio's asynchronous accept waits
+// for another readiness event after an aborted connection and so misses the connections queued behind it.
+struct Listener::AcceptLoop : asio::coroutine {
     Listener* listener;
 
-    explicit Accept(Listener* l) : listener(l) {}
+    explicit AcceptLoop(Listener* owner) : listener(owner) {}
 
     void operator()(error_code ec = {}) {
         if (ec == asio::error::operation_aborted) return;
         reenter(this) {
-            while (listener->acceptor_.is_open() && !listener->paused_) {
-                yield listener->acceptor_.async_wait(asio::ip::tcp::acceptor::wait_read, Accept(*this));
+            while (listener->acceptor_.is_open() && !listener->is_paused_) {
+                yield listener->acceptor_.async_wait(asio::ip::tcp::acceptor::wait_read, AcceptLoop(*this));
                 ec = listener->accept_some();
                 if (!ec) continue;
-                // Out of descriptors or memory: try again shortly rather than spin.
-                listener->retry_.expires_after(kRetryAfter);
-                yield listener->retry_.async_wait(Accept(*this));
+                // Out of descriptors or memory: retries after a delay, to avoid a busy loop.
+                listener->retry_timer_.expires_after(kRetryDelay);
+                yield listener->retry_timer_.async_wait(AcceptLoop(*this));
             }
-            listener->accepting_ = false;
+            listener->is_accepting_ = false;
         }
     }
 };
 
-// Takes one connection that waits. would_block: none does. Any other error: the next may fail as well.
+// Accepts one waiting connection. Returns would_block if there is none. After any other error the next accept
+// may fail as well.
 error_code Listener::accept_one() {
     error_code ec;
     asio::ip::tcp::socket socket(io_);
@@ -52,9 +56,9 @@
     return concerns_one_connection(ec) ? error_code{} : ec;
 }
 
-// Takes what waits, up to a bound that leaves others on the loop their turn.
+// Accepts waiting connections up to a limit, so that other tasks of the event loop get their turn.
 error_code Listener::accept_some() {
-    for (int i = 0; i < kAtOnce && acceptor_.is_open() && !paused_; ++i) {
+    for (int i = 0; i < kMaxAcceptsPerTurn && acceptor_.is_open() && !is_paused_; ++i) {
         error_code ec = accept_one();
         if (ec == asio::error::would_block) return {};
         if (ec) return ec;
@@ -66,61 +70,63 @@
     : io_(io),
       strand_(asio::make_strand(io)),
       acceptor_(strand_),
-      retry_(strand_),
+      retry_timer_(strand_),
       on_accept_(std::move(on_accept)) {
-    const SocketAddress& at = where.at;
-    if (where.inherited >= 0) {
-        acceptor_.assign(at.protocol(), where.inherited);
+    const SocketAddress& address = where.address;
+    if (where.inherited_socket >= 0) {
+        acceptor_.assign(address.protocol(), where.inherited_socket);
         make_nonblocking();
         return;
     }
-    open_patiently(at);
+    open_with_retries(address);
     acceptor_.set_option(asio::socket_base::reuse_address(true));
-    if (where.shared)
+    if (where.is_shared)
         acceptor_.set_option(asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>(true));
-    acceptor_.bind(at);
+    acceptor_.bind(address);
     acceptor_.listen(asio::socket_base::max_listen_connections);
     make_nonblocking();
 }
 
-// A machine that is short of descriptors or memory for a moment fails no start. Nothing else runs yet that
-// this could hold up.
-void Listener::open_patiently(const SocketAddress& at) {
-    auto give_up = std::chrono::steady_clock::now() + kOpenWithin;
+// A temporary shortage of descriptors or memory must not make the start fail. Blocking is fine here: nothing
+// else runs yet.
+void Listener::open_with_retries(const SocketAddress& address) {
+    auto deadline = std::chrono::steady_clock::now() + kOpenTimeout;
     error_code ec;
     for (;;) {
-        acceptor_.open(at.protocol(), ec);
-        if (!ec || !is_shortage(ec) || std::chrono::steady_clock::now() > give_up) break;
-        retry_.expires_after(kRetryAfter);
-        retry_.wait();
+        acceptor_.open(address.protocol(), ec);
+        if (!ec || !is_shortage(ec) || std::chrono::steady_clock::now() > deadline) break;
+        retry_timer_.expires_after(kRetryDelay);
+        retry_timer_.wait();
     }
     if (ec) throw boost::system::system_error(ec, "socket");
 }
 
-// Without the option a blocking wait follows a connection that was aborted.
+// Without enable_connection_aborted, Asio would wait, blocking, for the next connection after an aborted one.
 void Listener::make_nonblocking() {
     acceptor_.non_blocking(true);
     acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
 }
 
 void Listener::start() {
-    accepting_ = true;
-    Accept accept(this);
-    accept();
+    is_accepting_ = true;
+    AcceptLoop accept_loop(this);
+    accept_loop();
 }
 
 void Listener::pause() {
-    paused_ = true;
+    is_paused_ = true;
 }
 
 void Listener::resume() {
-    if (!paused_) return;
-    paused_ = false;
-    if (!accepting_ && acceptor_.is_open()) start();
+    if (!is_paused_) return;
+    is_paused_ = false;
+    if (!is_accepting_ && acceptor_.is_open()) start();
 }
 
 void Listener::drain() {
-    constexpr int kMaxFailures = 64;  // for want of descriptors or memory; what is left is reset unread
+    // Limit for failures from a shortage of descriptors or memory. Connections that remain in the queue are
+    // reset unread.
+    constexpr int kMaxFailures = 64;
     for (int failures = 0; acceptor_.is_open() && failures < kMaxFailures;) {
         error_code ec = accept_one();
         if (ec == asio::error::would_block) return;
@@ -131,7 +137,7 @@
 void Listener::close() {
     error_code ec;
     acceptor_.close(ec);
-    retry_.cancel(ec);
+    retry_timer_.cancel(ec);
 }
 
 }  // namespace indigovane::transport
--- a/src/transport/listener.hpp
+++ b/src/transport/listener.hpp
@@ -1,4 +1,4 @@
-// Accepts connections, as long as their handler has capacity.
+// Accepts TCP connections. Accepting can be paused while the handler has no capacity.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -8,33 +8,39 @@
 
 namespace indigovane::transport {
 
-// Where to listen: an address, or a socket that listens there already and was handed over.
+// Where to listen: an address, or an inherited socket that already listens there.
 struct ListenAt {
-    ListenAt(const SocketAddress& e) : at(e) {}
-    ListenAt(const SocketAddress& e, bool s, int fd = -1) : at(e), shared(s), inherited(fd) {}
-    SocketAddress at;
-    bool shared = false;  // other processes may listen there as well
-    int inherited = -1;   // the socket; the listener owns it from then on
+    ListenAt(const SocketAddress& socket_address) : address(socket_address) {}
+    ListenAt(const SocketAddress& socket_address, bool may_be_shared, int socket = -1)
+        : address(socket_address), is_shared(may_be_shared), inherited_socket(socket) {}
+    SocketAddress address;
+    // Whether other processes may listen on the same address (SO_REUSEPORT).
+    bool is_shared = false;
+    // Descriptor of a listening socket, which the listener then owns; -1: the listener opens one.
+    int inherited_socket = -1;
 };
 
 class Listener {
   public:
     using AcceptHandler = std::function<void(asio::ip::tcp::socket)>;
 
-    // Throws boost::system::system_error when the address can't be had.
-    Listener(asio::io_context& io, const ListenAt& at, AcceptHandler on_accept);
+    // Throws boost::system::system_error if it cannot listen on the address.
+    Listener(asio::io_context& io, const ListenAt& where, AcceptHandler on_accept);
 
     void start();
-    void pause();  // what comes meanwhile waits in the kernel's queue
+    // Stops accepting. New connections wait in the kernel's queue until resume().
+    void pause();
     void resume();
-    void drain();  // takes in at once what the kernel has queued
+    // Accepts all connections that wait in the kernel's queue, without returning to the event loop.
+    void drain();
     void close();
+    // The descriptor of the listening socket, which the listener still owns.
     int socket() { return acceptor_.native_handle(); }
     SocketAddress local() const { return acceptor_.local_endpoint(); }
 
   private:
-    struct Accept;
-    void open_patiently(const SocketAddress& at);
+    struct AcceptLoop;
+    void open_with_retries(const SocketAddress& address);
     void make_nonblocking();
     error_code accept_one();
     error_code accept_some();
@@ -42,9 +48,9 @@
     asio::io_context& io_;
     Strand strand_;
     asio::ip::tcp::acceptor acceptor_;
-    asio::steady_timer retry_;
+    asio::steady_timer retry_timer_;
     AcceptHandler on_accept_;
-    bool paused_ = false, accepting_ = false;
+    bool is_paused_ = false, is_accepting_ = false;
 };
 
 }  // namespace indigovane::transport
--- a/src/transport/shortage.hpp
+++ b/src/transport/shortage.hpp
@@ -1,5 +1,5 @@
-// Errors that tell of this machine and not of the other side: it is out of descriptors, ports or memory for
-// the moment (socket(2), connect(2), accept(2)).
+// Socket errors caused by this machine and not by the other side: it is temporarily out of descriptors, ports
+// or memory (socket(2), connect(2), accept(2)).
 #pragma once
 
 #include <boost/system/error_code.hpp>
--- a/src/transport/socket_address.hpp
+++ b/src/transport/socket_address.hpp
@@ -7,7 +7,8 @@
 
 namespace indigovane::transport {
 
-// "address:port" or "[address]:port", numbers only: there is no name service to ask.
+// Parses "address:port" or "[address]:port". Returns nothing for host names: only numeric addresses are
+// accepted, because there is no name service.
 std::optional<SocketAddress> parse_socket_address(std::string_view text);
 
 }  // namespace indigovane::transport
