--- a/src/protocol/http.cpp
+++ b/src/protocol/http.cpp
@@ -8,7 +8,7 @@
 namespace indigovane::protocol::http {
 namespace {
 
-bool same(std::string_view a, std::string_view b) {
+bool equal_ignoring_case(std::string_view a, std::string_view b) {
     return std::equal(a.begin(), a.end(), b.begin(), b.end(), [](char x, char y) {
         return std::tolower(std::uint8_t(x)) == std::tolower(std::uint8_t(y));
     });
@@ -20,7 +20,7 @@
     return s;
 }
 
-bool token(std::string_view s) {
+bool is_token(std::string_view s) {
     return !s.empty() && std::all_of(s.begin(), s.end(), [](char c) {
         return std::isalnum(std::uint8_t(c)) ||
                std::string_view("!#$%&'*+-.^_`|~").find(c) != std::string_view::npos;
@@ -30,13 +30,13 @@
 bool has_option(std::string_view list, std::string_view option) {
     while (!list.empty()) {
         std::size_t comma = list.find(',');
-        if (same(trim(list.substr(0, comma)), option)) return true;
+        if (equal_ignoring_case(trim(list.substr(0, comma)), option)) return true;
         list = comma == std::string_view::npos ? std::string_view{} : list.substr(comma + 1);
     }
     return false;
 }
 
-// "HTTP/1.1" or "HTTP/1.0".
+// Accepts "HTTP/1.1" and "HTTP/1.0".
 std::optional<int> minor_version(std::string_view v) {
     if (v == "HTTP/1.1") return 1;
     if (v == "HTTP/1.0") return 0;
@@ -49,30 +49,32 @@
     return minor == 1 || (connection && has_option(*connection, "keep-alive"));
 }
 
-std::optional<std::size_t> number(std::string_view s, int base) {
+std::optional<std::size_t> parse_number(std::string_view s, int base) {
     std::size_t value = 0;
     auto [end, error] = std::from_chars(s.data(), s.data() + s.size(), value, base);
     if (error != std::errc() || end != s.data() + s.size() || s.empty()) return std::nullopt;
     return value;
 }
 
-int unhex(char c) {
+// The value of a hexadecimal digit; -1 for other characters.
+int hex_digit_value(char c) {
     if (c >= '0' && c <= '9') return c - '0';
     if (c >= 'a' && c <= 'f') return c - 'a' + 10;
     if (c >= 'A' && c <= 'F') return c - 'A' + 10;
     return -1;
 }
 
-std::optional<std::string> percent_decode(std::string_view s, bool plus) {
+std::optional<std::string> percent_decode(std::string_view s, bool plus_is_space) {
     std::string out;
     for (std::size_t i = 0; i < s.size(); ++i) {
         if (s[i] == '%') {
-            int high = i + 2 < s.size() ? unhex(s[i + 1]) : -1, low = i + 2 < s.size() ? unhex(s[i + 2]) : -1;
+            int high = i + 2 < s.size() ? hex_digit_value(s[i + 1]) : -1,
+                low = i + 2 < s.size() ? hex_digit_value(s[i + 2]) : -1;
             if (high < 0 || low < 0) return std::nullopt;
             out += char(high * 16 + low);
             i += 2;
         } else {
-            out += plus && s[i] == '+' ? ' ' : s[i];
+            out += plus_is_space && s[i] == '+' ? ' ' : s[i];
         }
     }
     return out;
@@ -82,17 +84,18 @@
 
 std::optional<std::string_view> Head::field(std::string_view name) const {
     for (const auto& [n, v] : fields)
-        if (same(n, name)) return v;
+        if (equal_ignoring_case(n, name)) return v;
     return std::nullopt;
 }
 
-Next Parser::head(std::string_view in, std::string_view& start_line, Head& out, std::size_t& length) {
-    std::size_t skipped = 0;  // empty lines before a message are passed over (RFC 9112, 2.2)
+Next Parser::parse_head(std::string_view in, std::string_view& start_line, Head& out, std::size_t& length) {
+    // Empty lines before a message are skipped (RFC 9112, section 2.2).
+    std::size_t skipped = 0;
     while (in.substr(skipped, 2) == "\r\n" && skipped < 16) skipped += 2;
-    std::size_t from = std::max(skipped, looked_ < 3 ? 0 : looked_ - 3);
+    std::size_t from = std::max(skipped, searched_ < 3 ? 0 : searched_ - 3);
     std::size_t end = in.find("\r\n\r\n", from);
     if (end == std::string_view::npos) {
-        looked_ = in.size();
+        searched_ = in.size();
         return in.size() > limits_.head ? Next::head_too_large : Next::more;
     }
     if (end > limits_.head) return Next::head_too_large;
@@ -106,7 +109,7 @@
         std::string_view line = text.substr(0, line_end);
         text = line_end == std::string_view::npos ? std::string_view{} : text.substr(line_end + 2);
         std::size_t colon = line.find(':');
-        if (colon == std::string_view::npos || !token(line.substr(0, colon))) return Next::bad;
+        if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) return Next::bad;
         std::string_view value = trim(line.substr(colon + 1));
         if (value.find_first_of(std::string_view("\r\n\0", 3)) != std::string_view::npos) return Next::bad;
         out.fields.emplace_back(line.substr(0, colon), value);
@@ -115,45 +118,48 @@
     return Next::message;
 }
 
-Next Parser::body(std::string_view in, std::size_t from, const Head& head, bool until_end, bool at_end,
-                  std::string& out, std::size_t& length) {
+Next Parser::parse_body(std::string_view in, std::size_t from, const Head& head, bool until_end, bool at_end,
+                        std::string& out, std::size_t& length) {
     out.clear();
-    auto coding = head.field("transfer-encoding");
-    auto size = head.field("content-length");
-    if (coding) {
-        if (size) return Next::bad;  // two framings: someone may read it otherwise (RFC 9112, 6.3)
-        if (!same(*coding, "chunked")) return Next::not_implemented;
+    auto transfer_coding = head.field("transfer-encoding");
+    auto content_length = head.field("content-length");
+    if (transfer_coding) {
+        if (content_length)
+            return Next::bad;  // other recipients may choose the other framing (RFC 9112, 6.3)
+        if (!equal_ignoring_case(*transfer_coding, "chunked")) return Next::not_implemented;
         std::size_t at = from;
         for (;;) {
             std::size_t line_end = in.find("\r\n", at);
             if (line_end == std::string_view::npos) return in.size() - at > 256 ? Next::bad : Next::more;
             std::string_view line = in.substr(at, line_end - at);
-            auto chunk = number(trim(line.substr(0, line.find(';'))), 16);
-            if (!chunk) return Next::bad;
-            if (*chunk > limits_.body - out.size()) return Next::body_too_large;
+            auto chunk_size = parse_number(trim(line.substr(0, line.find(';'))), 16);
+            if (!chunk_size) return Next::bad;
+            if (*chunk_size > limits_.body - out.size()) return Next::body_too_large;
             at = line_end + 2;
-            if (*chunk == 0) break;
-            if (in.size() < at + *chunk + 2) return Next::more;
-            out += in.substr(at, *chunk);
-            if (in.substr(at + *chunk, 2) != "\r\n") return Next::bad;
-            at += *chunk + 2;
+            if (*chunk_size == 0) break;
+            if (in.size() < at + *chunk_size + 2) return Next::more;
+            out += in.substr(at, *chunk_size);
+            if (in.substr(at + *chunk_size, 2) != "\r\n") return Next::bad;
+            at += *chunk_size + 2;
         }
-        for (;;) {  // trailers, which nobody here reads
+        // Trailer fields are skipped: no caller uses them.
+        for (;;) {
             std::size_t line_end = in.find("\r\n", at);
             if (line_end == std::string_view::npos)
                 return in.size() - at > limits_.head ? Next::head_too_large : Next::more;
-            bool last = line_end == at;
+            bool is_last_line = line_end == at;
             at = line_end + 2;
-            if (last) break;
+            if (is_last_line) break;
         }
         length = at;
         return Next::message;
     }
-    if (size) {
-        auto fields = std::size_t(std::count_if(head.fields.begin(), head.fields.end(),
-                                                [](auto& f) { return same(f.first, "content-length"); }));
-        auto count = number(*size, 10);
-        if (!count || fields != 1) return Next::bad;
+    if (content_length) {
+        auto field_count = std::size_t(std::count_if(head.fields.begin(), head.fields.end(), [](auto& f) {
+            return equal_ignoring_case(f.first, "content-length");
+        }));
+        auto count = parse_number(*content_length, 10);
+        if (!count || field_count != 1) return Next::bad;
         if (*count > limits_.body) return Next::body_too_large;
         if (in.size() - from < *count) return Next::more;
         out = in.substr(from, *count);
@@ -173,44 +179,44 @@
 
 Next Parser::request(std::string_view in, Request& out, std::size_t& length) {
     std::string_view line;
-    Next next = head(in, line, out, length);
+    Next next = parse_head(in, line, out, length);
     if (next != Next::message) return next;
     std::size_t first = line.find(' '), last = line.rfind(' ');
     if (first == std::string_view::npos || first == last) return Next::bad;
     out.method = line.substr(0, first);
     out.target = line.substr(first + 1, last - first - 1);
     std::string_view version = line.substr(last + 1);
-    if (!token(out.method) || out.target.empty() || out.target.find(' ') != std::string_view::npos)
+    if (!is_token(out.method) || out.target.empty() || out.target.find(' ') != std::string_view::npos)
         return Next::bad;
     auto minor = minor_version(version);
     if (!minor) return version.substr(0, 5) == "HTTP/" ? Next::bad_version : Next::bad;
-    auto hosts =
-        std::count_if(out.fields.begin(), out.fields.end(), [](auto& f) { return same(f.first, "host"); });
-    if (hosts > 1 || (*minor == 1 && hosts == 0)) return Next::bad;
+    auto host_count = std::count_if(out.fields.begin(), out.fields.end(),
+                                    [](auto& f) { return equal_ignoring_case(f.first, "host"); });
+    if (host_count > 1 || (*minor == 1 && host_count == 0)) return Next::bad;
     out.keep_alive = keeps_alive(out, *minor);
-    next = body(in, length, out, false, false, out.body, length);
-    if (next == Next::message) looked_ = 0;
+    next = parse_body(in, length, out, false, false, out.body, length);
+    if (next == Next::message) searched_ = 0;
     return next;
 }
 
 Next Parser::response(std::string_view in, bool at_end, Response& out, std::size_t& length) {
     std::string_view line;
-    Next next = head(in, line, out, length);
+    Next next = parse_head(in, line, out, length);
     if (next != Next::message) return next;
     auto minor = minor_version(line.substr(0, 8));
-    std::size_t status = line.size() >= 12 ? number(line.substr(9, 3), 10).value_or(0) : 0;
+    std::size_t status = line.size() >= 12 ? parse_number(line.substr(9, 3), 10).value_or(0) : 0;
     if (!minor || line[8] != ' ' || status < 100) return Next::bad;
     out.status = int(status);
     out.keep_alive = keeps_alive(out, *minor);
     if (out.status < 200 || out.status == 204 || out.status == 304) {
         out.body.clear();
-        looked_ = 0;
+        searched_ = 0;
         return Next::message;
     }
-    bool framed = out.field("content-length") || out.field("transfer-encoding");
-    if (!framed) out.keep_alive = false;
-    next = body(in, length, out, !framed, at_end, out.body, length);
-    if (next == Next::message) looked_ = 0;
+    bool is_framed = out.field("content-length") || out.field("transfer-encoding");
+    if (!is_framed) out.keep_alive = false;
+    next = parse_body(in, length, out, !is_framed, at_end, out.body, length);
+    if (next == Next::message) searched_ = 0;
     return next;
 }
 
@@ -359,7 +365,7 @@
             out += char(bits >> count);
         }
     }
-    if (count > 0 && (bits & ((1u << count) - 1))) return std::nullopt;  // one text for one value
+    if (count > 0 && (bits & ((1u << count) - 1))) return std::nullopt;  // each value has only one encoding
     return out;
 }
 
--- a/src/protocol/peer.cpp
+++ b/src/protocol/peer.cpp
@@ -6,24 +6,26 @@
 namespace indigovane::protocol::peer {
 
 namespace {
-constexpr std::size_t kHead = 20, kTail = 4, kFixed = 12;  // of a primary's entry, beside the uid
-constexpr char kVersion = 1, kPrimary = 1;
+// Sizes in bytes of the header, of the checksum, and of the group and time that precede a primary's uid.
+constexpr std::size_t kHeaderBytes = 20, kChecksumBytes = 4, kFixedEntryBytes = 12;
+constexpr char kVersion = 1, kPrimaryKind = 1;
 
 template <typename T>
-void put(std::string& out, T value) {
+void put_number(std::string& out, T value) {
     for (int shift = int(sizeof(T)) * 8 - 8; shift >= 0; shift -= 8)
         out.push_back(char(std::uint64_t(value) >> shift & 0xff));
 }
 
+// Takes a number from the front of `in`. The caller has checked that there are enough bytes.
 template <typename T>
-T take(std::string_view& in) {  // its length has been checked
+T take_number(std::string_view& in) {
     std::uint64_t value = 0;
     for (std::size_t i = 0; i < sizeof(T); ++i) value = value << 8 | std::uint8_t(in[i]);
     in.remove_prefix(sizeof(T));
     return T(value);
 }
 
-std::uint32_t sum_of(std::string_view bytes) {
+std::uint32_t checksum(std::string_view bytes) {
     return XXH32(bytes.data(), bytes.size(), 0);
 }
 }  // namespace
@@ -34,60 +36,61 @@
 
 std::string write(Message& message) {
     std::string out = "IV";
-    put(out, kVersion);
-    put(out, char(0));
-    put(out, message.cluster);
-    put(out, message.incarnation);
-    put(out, message.number);
-    auto& all = message.primaries;
-    std::size_t used = 0;
+    put_number(out, kVersion);
+    put_number(out, char(0));
+    put_number(out, message.cluster);
+    put_number(out, message.incarnation);
+    put_number(out, message.number);
+    auto& primaries = message.primaries;
+    std::size_t handled = 0;
     int entries = 0;
-    for (; used < all.size(); ++used) {
-        const Primary& p = all[used];
-        if (p.uid.empty() || p.uid.size() > kLongestUid) continue;
-        if (out.size() + 2 + kFixed + p.uid.size() + kTail > kLargest) break;
-        put(out, kPrimary);
-        put(out, std::uint8_t(kFixed + p.uid.size()));
-        put(out, p.group);
-        put(out, p.as_of_unix_us);
-        out += p.uid;
+    for (; handled < primaries.size(); ++handled) {
+        const Primary& primary = primaries[handled];
+        if (primary.uid.empty() || primary.uid.size() > kLongestUid) continue;
+        if (out.size() + 2 + kFixedEntryBytes + primary.uid.size() + kChecksumBytes > kLargest) break;
+        put_number(out, kPrimaryKind);
+        put_number(out, std::uint8_t(kFixedEntryBytes + primary.uid.size()));
+        put_number(out, primary.group);
+        put_number(out, primary.as_of_unix_us);
+        out += primary.uid;
         ++entries;
     }
-    all.erase(all.begin(), all.begin() + std::ptrdiff_t(used));
+    primaries.erase(primaries.begin(), primaries.begin() + std::ptrdiff_t(handled));
     out[3] = char(entries);
-    put(out, sum_of(out));
+    put_number(out, checksum(out));
     return out;
 }
 
 std::optional<Message> read(std::string_view in) {
-    if (in.size() < kHead + kTail || in.size() > kLargest || in.substr(0, 2) != "IV") return std::nullopt;
-    std::string_view tail = in.substr(in.size() - kTail);
-    in.remove_suffix(kTail);
-    if (take<std::uint32_t>(tail) != sum_of(in)) return std::nullopt;
+    if (in.size() < kHeaderBytes + kChecksumBytes || in.size() > kLargest || in.substr(0, 2) != "IV")
+        return std::nullopt;
+    std::string_view checksum_bytes = in.substr(in.size() - kChecksumBytes);
+    in.remove_suffix(kChecksumBytes);
+    if (take_number<std::uint32_t>(checksum_bytes) != checksum(in)) return std::nullopt;
     in.remove_prefix(2);
-    if (take<std::uint8_t>(in) != kVersion) return std::nullopt;
-    int entries = take<std::uint8_t>(in);
-    Message m;
-    m.cluster = take<std::uint32_t>(in);
-    m.incarnation = take<std::uint64_t>(in);
-    m.number = take<std::uint32_t>(in);
+    if (take_number<std::uint8_t>(in) != kVersion) return std::nullopt;
+    int entries = take_number<std::uint8_t>(in);
+    Message message;
+    message.cluster = take_number<std::uint32_t>(in);
+    message.incarnation = take_number<std::uint64_t>(in);
+    message.number = take_number<std::uint32_t>(in);
     for (; entries > 0; --entries) {
         if (in.size() < 2) return std::nullopt;
-        int kind = take<std::uint8_t>(in);
-        std::size_t length = take<std::uint8_t>(in);
+        int kind = take_number<std::uint8_t>(in);
+        std::size_t length = take_number<std::uint8_t>(in);
         if (length > in.size()) return std::nullopt;
         std::string_view entry = in.substr(0, length);
         in.remove_prefix(length);
-        if (kind != kPrimary) continue;
-        if (length <= kFixed || length > kFixed + kLongestUid) return std::nullopt;
-        Primary p;
-        p.group = take<std::uint32_t>(entry);
-        p.as_of_unix_us = take<std::int64_t>(entry);
-        p.uid = entry;
-        m.primaries.push_back(std::move(p));
+        if (kind != kPrimaryKind) continue;
+        if (length <= kFixedEntryBytes || length > kFixedEntryBytes + kLongestUid) return std::nullopt;
+        Primary primary;
+        primary.group = take_number<std::uint32_t>(entry);
+        primary.as_of_unix_us = take_number<std::int64_t>(entry);
+        primary.uid = entry;
+        message.primaries.push_back(std::move(primary));
     }
     if (!in.empty()) return std::nullopt;
-    return m;
+    return message;
 }
 
 }  // namespace indigovane::protocol::peer
--- a/src/protocol/pg.hpp
+++ b/src/protocol/pg.hpp
@@ -1,4 +1,4 @@
-// PostgreSQL's wire protocol, version 3, as far as simple queries need it. No I/O: bytes in, bytes out.
+// The parts of PostgreSQL's wire protocol, version 3, that simple queries need. No I/O.
 #pragma once
 
 #include "protocol/pg_messages.hpp"
--- a/src/protocol/pg_messages.cpp
+++ b/src/protocol/pg_messages.cpp
@@ -6,16 +6,16 @@
 
 namespace {
 
-std::uint16_t read_u16(std::string_view b) {
-    return b.size() < 2 ? 0 : std::uint16_t(std::uint8_t(b[0]) << 8 | std::uint8_t(b[1]));
+std::uint16_t read_u16(std::string_view bytes) {
+    return bytes.size() < 2 ? 0 : std::uint16_t(std::uint8_t(bytes[0]) << 8 | std::uint8_t(bytes[1]));
 }
 
 }  // namespace
 
-std::uint32_t read_u32(std::string_view b) {
-    if (b.size() < 4) return 0;
-    return std::uint32_t(std::uint8_t(b[0])) << 24 | std::uint32_t(std::uint8_t(b[1])) << 16 |
-           std::uint32_t(std::uint8_t(b[2])) << 8 | std::uint32_t(std::uint8_t(b[3]));
+std::uint32_t read_u32(std::string_view bytes) {
+    if (bytes.size() < 4) return 0;
+    return std::uint32_t(std::uint8_t(bytes[0])) << 24 | std::uint32_t(std::uint8_t(bytes[1])) << 16 |
+           std::uint32_t(std::uint8_t(bytes[2])) << 8 | std::uint32_t(std::uint8_t(bytes[3]));
 }
 
 Next next_message(std::string_view in, std::size_t limit, Message& message, std::size_t& length) {
@@ -42,11 +42,11 @@
     return Next::message;
 }
 
-std::optional<std::string_view> read_string(std::string_view& rest) {
-    std::size_t end = rest.find('\0');
+std::optional<std::string_view> read_string(std::string_view& input) {
+    std::size_t end = input.find('\0');
     if (end == std::string_view::npos) return std::nullopt;
-    std::string_view text = rest.substr(0, end);
-    rest.remove_prefix(end + 1);
+    std::string_view text = input.substr(0, end);
+    input.remove_prefix(end + 1);
     return text;
 }
 
--- a/src/protocol/pg_messages.hpp
+++ b/src/protocol/pg_messages.hpp
@@ -1,6 +1,5 @@
-// Messages of PostgreSQL's wire protocol, version 3, as they are read: framing and bodies. No I/O.
-// Source: PostgreSQL documentation, "Frontend/Backend Protocol", "Message Formats". Views point into the
-// bytes read.
+// Reads messages of PostgreSQL's wire protocol, version 3: their framing and bodies. No I/O. All views point
+// into the given bytes. Source: PostgreSQL documentation, "Frontend/Backend Protocol", "Message Formats".
 #pragma once
 
 #include <cstdint>
@@ -11,13 +10,13 @@
 
 namespace indigovane::protocol::pg {
 
-// Request codes of startup packets.
+// Protocol version and request codes of startup packets.
 constexpr std::uint32_t kVersion3 = 196608;
 constexpr std::uint32_t kCancelCode = 80877102;
 constexpr std::uint32_t kSslCode = 80877103;
 constexpr std::uint32_t kGssCode = 80877104;
 
-// Error codes that this program gives or tells apart (PostgreSQL documentation, appendix A).
+// SQLSTATE codes that this program sends or handles specially (PostgreSQL documentation, appendix A).
 namespace sqlstate {
 constexpr std::string_view kProtocolViolation = "08P01";
 constexpr std::string_view kFeatureNotSupported = "0A000";
@@ -34,32 +33,43 @@
 constexpr std::string_view kOutOfMemory = "53200";
 }  // namespace sqlstate
 
+// Result of reading: a complete message, more bytes needed, or the reason why the message is rejected.
 enum class Next { message, more, too_long, malformed };
 
 struct Message {
-    char type = 0;  // 0: a startup packet, which has none
+    // 0 for a startup packet, which has no type byte.
+    char type = 0;
     std::string_view body;
 };
 
-// The message at the front of `in`; `length` is how many bytes it takes, told for `too_long` too.
+// Reads the message at the front of `in`. `length` is its total size in bytes, also set for Next::too_long;
+// `limit` is the maximum of it.
 Next next_message(std::string_view in, std::size_t limit, Message& message, std::size_t& length);
+// Like next_message(), for a startup packet.
 Next next_startup(std::string_view in, std::size_t limit, Message& message, std::size_t& length);
 
-std::uint32_t read_u32(std::string_view bytes);                       // the first four; 0 if there are fewer
-std::optional<std::string_view> read_string(std::string_view& rest);  // up to a NUL, which is skipped
+// The big-endian number in the first four bytes; 0 if there are fewer.
+std::uint32_t read_u32(std::string_view bytes);
+// Takes a string that ends with a NUL, and the NUL, from the front of `input`. Returns nothing if there is no
+// NUL.
+std::optional<std::string_view> read_string(std::string_view& input);
 
 struct ErrorFields {
     std::string_view severity, code, message;
 };
+// Reads the body of an ErrorResponse. Fields that are missing or malformed stay empty.
 ErrorFields read_error(std::string_view body);
 
 struct Column {
     std::string_view name;
+    // Whether the format is binary and not text.
     bool binary = false;
 };
-std::optional<std::vector<Column>> read_columns(std::string_view body);  // of a RowDescription
-// All values of a DataRow; null is nothing.
+// Reads the body of a RowDescription. Returns nothing if it is malformed.
+std::optional<std::vector<Column>> read_columns(std::string_view body);
+// Reads the body of a DataRow; a null value is std::nullopt. Returns nothing if the body is malformed.
 std::optional<std::vector<std::optional<std::string_view>>> read_values(std::string_view body);
+// Reads the name and value of a ParameterStatus. Returns nothing if the body is malformed.
 std::optional<std::pair<std::string_view, std::string_view>> read_parameter(std::string_view body);
 
 }  // namespace indigovane::protocol::pg
--- a/src/protocol/pg_statement.cpp
+++ b/src/protocol/pg_statement.cpp
@@ -34,11 +34,11 @@
             return s;
         }
         s.comment = sql.substr(0, end + 2);
-        std::string_view rest = trim(sql.substr(2, end - 2));
-        while (!rest.empty()) {
-            std::size_t comma = rest.find(',');
-            std::string_view part = trim(rest.substr(0, comma));
-            rest = comma == std::string_view::npos ? std::string_view{} : rest.substr(comma + 1);
+        std::string_view fields = trim(sql.substr(2, end - 2));
+        while (!fields.empty()) {
+            std::size_t comma = fields.find(',');
+            std::string_view part = trim(fields.substr(0, comma));
+            fields = comma == std::string_view::npos ? std::string_view{} : fields.substr(comma + 1);
             std::size_t equals = part.find('=');
             if (equals == std::string_view::npos || equals == 0) {
                 s.malformed = true;
@@ -48,97 +48,104 @@
         }
         sql = trim(sql.substr(end + 2));
     }
-    bool quoted = false;
+    bool is_literal_open = false;
     std::size_t end = sql.size();
     for (std::size_t i = 0; i < sql.size(); ++i) {
         if (sql[i] == '\'') {
-            i = sql.find('\'', i + 1);  // a doubled quote is the end of one literal and the start of another
-            quoted = i == std::string_view::npos;
-            if (quoted) break;
+            // A doubled quote is treated as the end of one literal and the start of the next.
+            i = sql.find('\'', i + 1);
+            is_literal_open = i == std::string_view::npos;
+            if (is_literal_open) break;
         }
         if (sql[i] != ';') continue;
         end = std::min(end, i);
-        std::string_view rest = sql.substr(i + 1);
-        if (std::any_of(rest.begin(), rest.end(), [](char c) { return !is_blank(c) && c != ';'; }))
+        std::string_view remainder = sql.substr(i + 1);
+        if (std::any_of(remainder.begin(), remainder.end(), [](char c) { return !is_blank(c) && c != ';'; }))
             s.several = true;
         break;
     }
-    s.malformed = quoted;
+    s.malformed = is_literal_open;
     s.body = trim(sql.substr(0, end));
     return s;
 }
 
 namespace {
 
-constexpr std::size_t kLongLiteral = 160 * 1024;  // is not copied
+// Literals of at least this many bytes are not copied.
+constexpr std::size_t kLongLiteralBytes = 160 * 1024;
 
-// Words, quoted literals and single characters, one after the other.
+// Reads words, quoted literals and single characters from the front of a text. White space before them is
+// skipped.
 class Scanner {
   public:
-    explicit Scanner(std::string_view text) : rest_(text) {}
-    bool word(std::string_view expected) {
-        skip();
-        if (rest_.size() < expected.size()) return false;
+    explicit Scanner(std::string_view text) : text_(text) {}
+    // Compares without regard to case. A word must not be followed by a letter or a digit.
+    bool match_word(std::string_view expected) {
+        skip_blanks();
+        if (text_.size() < expected.size()) return false;
         for (std::size_t i = 0; i < expected.size(); ++i)
-            if (std::tolower(std::uint8_t(rest_[i])) != std::tolower(std::uint8_t(expected[i]))) return false;
-        bool letters = std::isalnum(std::uint8_t(expected.back()));
-        if (letters && rest_.size() > expected.size() && std::isalnum(std::uint8_t(rest_[expected.size()])))
+            if (std::tolower(std::uint8_t(text_[i])) != std::tolower(std::uint8_t(expected[i]))) return false;
+        bool is_word = std::isalnum(std::uint8_t(expected.back()));
+        if (is_word && text_.size() > expected.size() && std::isalnum(std::uint8_t(text_[expected.size()])))
             return false;
-        rest_.remove_prefix(expected.size());
+        text_.remove_prefix(expected.size());
         return true;
     }
-    bool match_all(std::initializer_list<std::string_view> all) {
-        return std::all_of(all.begin(), all.end(), [this](std::string_view w) { return word(w); });
+    bool match_all(std::initializer_list<std::string_view> words) {
+        return std::all_of(words.begin(), words.end(),
+                           [this](std::string_view expected) { return match_word(expected); });
     }
+    // Reads a literal and replaces its doubled quotes.
     std::optional<std::string> literal() {
-        skip();
-        if (rest_.empty() || rest_[0] != '\'') return std::nullopt;
-        std::size_t end = rest_.find('\'', 1);
-        if (end != std::string_view::npos && (end + 1 == rest_.size() || rest_[end + 1] != '\'')) {
-            std::string plain(rest_.substr(1, end - 1));
-            rest_.remove_prefix(end + 1);
+        skip_blanks();
+        if (text_.empty() || text_[0] != '\'') return std::nullopt;
+        std::size_t end = text_.find('\'', 1);
+        if (end != std::string_view::npos && (end + 1 == text_.size() || text_[end + 1] != '\'')) {
+            std::string plain(text_.substr(1, end - 1));
+            text_.remove_prefix(end + 1);
             return plain;
         }
         std::string value;
-        for (std::size_t i = 1; i < rest_.size(); ++i) {
-            if (rest_[i] == '\'') {
-                if (i + 1 >= rest_.size() || rest_[i + 1] != '\'') {
-                    rest_.remove_prefix(i + 1);
+        for (std::size_t i = 1; i < text_.size(); ++i) {
+            if (text_[i] == '\'') {
+                if (i + 1 >= text_.size() || text_[i + 1] != '\'') {
+                    text_.remove_prefix(i + 1);
                     return value;
                 }
                 ++i;
             }
-            value += rest_[i];
+            value += text_[i];
         }
         return std::nullopt;
     }
-    // A literal of that length at least, as it stands; one with a quote in it is none.
-    std::optional<std::string_view> long_literal(std::size_t least) {
-        skip();
-        std::size_t end = rest_.empty() || rest_[0] != '\'' ? std::string_view::npos : rest_.find('\'', 1);
-        if (end == std::string_view::npos || end - 1 < least) return std::nullopt;
-        std::string_view value = rest_.substr(1, end - 1);
-        rest_.remove_prefix(end + 1);
+    // Reads a literal of at least `min_bytes` bytes without copying it. Returns nothing if the first quote in
+    // it comes earlier.
+    std::optional<std::string_view> long_literal(std::size_t min_bytes) {
+        skip_blanks();
+        std::size_t end = text_.empty() || text_[0] != '\'' ? std::string_view::npos : text_.find('\'', 1);
+        if (end == std::string_view::npos || end - 1 < min_bytes) return std::nullopt;
+        std::string_view value = text_.substr(1, end - 1);
+        text_.remove_prefix(end + 1);
         return value;
     }
     std::optional<std::uint32_t> number() {
-        skip();
+        skip_blanks();
         std::uint32_t value = 0;
-        auto [end, error] = std::from_chars(rest_.data(), rest_.data() + rest_.size(), value);
+        auto [end, error] = std::from_chars(text_.data(), text_.data() + text_.size(), value);
         if (error != std::errc()) return std::nullopt;
-        rest_.remove_prefix(std::size_t(end - rest_.data()));
+        text_.remove_prefix(std::size_t(end - text_.data()));
         return value;
     }
-    bool done() {
-        skip();
-        return rest_.empty();
+    bool is_at_end() {
+        skip_blanks();
+        return text_.empty();
     }
 
   private:
-    void skip() {
-        while (!rest_.empty() && is_blank(rest_.front())) rest_.remove_prefix(1);
+    void skip_blanks() {
+        while (!text_.empty() && is_blank(text_.front())) text_.remove_prefix(1);
     }
-    std::string_view rest_;
+    std::string_view text_;
 };
 
 }  // namespace
@@ -147,7 +154,7 @@
     Verb verb;
     if (Scanner scanner(body); scanner.match_all({"select", "content", "from", "kv", "where", "name", "="})) {
         auto name = scanner.literal();
-        if (name && scanner.done()) {
+        if (name && scanner.is_at_end()) {
             verb.kind = Verb::Kind::lookup;
             verb.name = *name;
             return verb;
@@ -156,14 +163,15 @@
     if (Scanner scanner(body);
         scanner.match_all({"insert", "into", "kv", "(", "name", ",", "content", ")", "values", "("})) {
         auto name = scanner.literal();
-        bool comma = name && scanner.word(",");
-        auto whole = comma ? scanner.long_literal(kLongLiteral) : std::nullopt;
-        auto content = comma && !whole ? scanner.literal() : std::nullopt;
-        if ((whole || content) && scanner.match_all({")", "returning", "content"}) && scanner.done()) {
+        bool has_comma = name && scanner.match_word(",");
+        auto long_content = has_comma ? scanner.long_literal(kLongLiteralBytes) : std::nullopt;
+        auto content = has_comma && !long_content ? scanner.literal() : std::nullopt;
+        if ((long_content || content) && scanner.match_all({")", "returning", "content"}) &&
+            scanner.is_at_end()) {
             verb.kind = Verb::Kind::write;
             verb.name = *name;
             verb.content = content;
-            verb.long_content = whole.value_or(std::string_view{});
+            verb.long_content = long_content.value_or(std::string_view{});
             return verb;
         }
     }
@@ -173,11 +181,11 @@
         std::optional<std::string> prefix;
         if (after && scanner.match_all({"and", "starts_with", "(", "name", ","})) {
             prefix = scanner.literal();
-            if (!prefix || !scanner.word(")")) return verb;
+            if (!prefix || !scanner.match_word(")")) return verb;
         }
         if (after && scanner.match_all({"order", "by", "name", "limit"})) {
             auto limit = scanner.number();
-            if (limit && scanner.done()) {
+            if (limit && scanner.is_at_end()) {
                 verb.kind = Verb::Kind::page;
                 verb.name = *after;
                 verb.prefix = prefix;
@@ -186,7 +194,7 @@
             }
         }
     }
-    // Any other statement is passed on as it stands; its first literal names the row.
+    // Any other statement is passed on unchanged. Its first literal is taken as the name of the row.
     std::size_t quote = body.find('\'');
     if (quote != std::string_view::npos)
         if (auto name = Scanner(body.substr(quote)).literal()) verb.name = *name;
--- a/src/protocol/pg_statement.hpp
+++ b/src/protocol/pg_statement.hpp
@@ -1,5 +1,5 @@
-// The statements of clients: the comment before one that holds names and values, and the forms that the
-// translator knows.
+// Reads the statements of clients: the leading comment, which holds fields as names and values, and the forms
+// of statement that the translator knows.
 #pragma once
 
 #include <cstdint>
@@ -11,34 +11,46 @@
 
 namespace indigovane::protocol::pg {
 
-// A statement with the comment before it that holds names and values. Views into the text.
+// A statement and its leading comment, as views into the text. The comment holds fields, such as
+// "/* id=9b,d=480 */".
 struct Statement {
     std::vector<std::pair<std::string_view, std::string_view>> fields;
-    std::string_view comment;  // with its delimiters; empty: there was none
-    std::string_view body;     // what follows it, without a closing semicolon and blanks
-    bool several = false;      // more than one statement
-    bool malformed = false;    // the comment, or a literal, does not end or parse
+    // With its delimiters; empty if there is no comment.
+    std::string_view comment;
+    // The text after the comment, without the closing semicolon and surrounding white space.
+    std::string_view body;
+    // Whether the text holds more than one statement.
+    bool several = false;
+    // Whether the comment or a literal is not terminated, or a field of the comment has no name or no '='.
+    bool malformed = false;
 
+    // The first field with this name.
     std::optional<std::string_view> field(std::string_view name) const;
 };
 Statement read_statement(std::string_view sql);
 
-// The statements that the translator knows; views into the text where there is no escape.
+// A statement in one of the forms that the translator knows, or any other statement.
 struct Verb {
     enum class Kind { lookup, write, page, other } kind = Kind::other;
-    std::string name;                    // of the row looked up or written; the row before a page
-    std::optional<std::string> content;  // written: the literal's value as it stands
-    std::string_view long_content;       // or this, where it is long: not copied, and with no quote in it
+    // Name of the row that is looked up or written; for a page, the name after which it starts; for other
+    // statements, the first literal.
+    std::string name;
+    // Value of the literal that is written, not decoded. Unset if it is in `long_content`.
+    std::optional<std::string> content;
+    // A long literal that contains no quote: a view into the statement, to avoid a copy.
+    std::string_view long_content;
+    // Prefix of the names in a page, if the statement has one.
     std::optional<std::string> prefix;
+    // Maximum number of rows in a page.
     std::uint32_t limit = 0;
 };
 Verb read_verb(std::string_view body);
 
-// The same text with field `d` set to `value`; added where there was none. Appended to `out`, in one
-// allocation.
+// Appends `sql` to `out` with the comment's field `d` set to `value`, with one allocation. The field is added
+// if the comment lacks it; without a comment the text stays unchanged.
 std::string with_deadline(std::string_view sql, const Statement& statement, std::string_view value,
                           std::string out = {});
-// A query message of that text.
+// A Query message with the text of with_deadline().
 std::string query_with_deadline(std::string_view sql, const Statement& statement, std::string_view value);
 
 }  // namespace indigovane::protocol::pg
--- a/src/protocol/pg_text.cpp
+++ b/src/protocol/pg_text.cpp
@@ -12,27 +12,28 @@
 
 bool valid_text(std::string_view bytes) {
     for (std::size_t i = 0; i < bytes.size();) {
-        auto c = std::uint8_t(bytes[i]);
-        if (c < 0x80) {
-            if ((c < 0x20 && !is_blank(char(c))) || c == 0x7f) return false;
+        auto lead = std::uint8_t(bytes[i]);
+        if (lead < 0x80) {
+            if ((lead < 0x20 && !is_blank(char(lead))) || lead == 0x7f) return false;
             ++i;
             continue;
         }
-        std::size_t more = c >= 0xc2 && c < 0xe0   ? 1
-                           : c >= 0xe0 && c < 0xf0 ? 2
-                           : c >= 0xf0 && c < 0xf5 ? 3
-                                                   : 0;
-        if (more == 0 || bytes.size() - i <= more) return false;
-        std::uint32_t point = c & (0x3fu >> more);
-        for (std::size_t k = 1; k <= more; ++k) {
+        std::size_t continuation_bytes = lead >= 0xc2 && lead < 0xe0   ? 1
+                                         : lead >= 0xe0 && lead < 0xf0 ? 2
+                                         : lead >= 0xf0 && lead < 0xf5 ? 3
+                                                                       : 0;
+        if (continuation_bytes == 0 || bytes.size() - i <= continuation_bytes) return false;
+        std::uint32_t code_point = lead & (0x3fu >> continuation_bytes);
+        for (std::size_t k = 1; k <= continuation_bytes; ++k) {
             auto next = std::uint8_t(bytes[i + k]);
             if (next >> 6 != 2) return false;
-            point = point << 6 | (next & 0x3f);
+            code_point = code_point << 6 | (next & 0x3f);
         }
-        constexpr std::uint32_t kLeastPoint[] = {0, 0x80, 0x800, 0x10000};
-        if (point < kLeastPoint[more] || point > 0x10ffff || (point >= 0xd800 && point < 0xe000))
+        constexpr std::uint32_t kMinCodePoint[] = {0, 0x80, 0x800, 0x10000};
+        if (code_point < kMinCodePoint[continuation_bytes] || code_point > 0x10ffff ||
+            (code_point >= 0xd800 && code_point < 0xe000))
             return false;
-        i += more + 1;
+        i += continuation_bytes + 1;
     }
     return true;
 }
--- a/src/protocol/pg_text.hpp
+++ b/src/protocol/pg_text.hpp
@@ -7,11 +7,17 @@
 
 namespace indigovane::protocol::pg {
 
-bool is_blank(char c);                     // white space between words of a statement
-bool valid_text(std::string_view bytes);   // UTF-8 without control characters but blanks
-std::string quote(std::string_view text);  // as a string literal
-std::string hex(std::string_view bytes);   // as bytea's text form: \x...
+// Whether the character is white space between the words of a statement.
+bool is_blank(char c);
+// Whether the bytes are UTF-8 and hold no control characters other than white space.
+bool valid_text(std::string_view bytes);
+// Writes a string literal.
+std::string quote(std::string_view text);
+// Writes the hex form of a bytea value: \x and two digits per byte.
+std::string hex(std::string_view bytes);
+// Reads the hex form of a bytea value. Returns nothing if it is malformed.
 std::optional<std::string> unhex(std::string_view text);
-bool is_hex(std::string_view text);  // whether unhex() reads it
+// Whether unhex() can read the text.
+bool is_hex(std::string_view text);
 
 }  // namespace indigovane::protocol::pg
--- a/src/protocol/pg_writer.cpp
+++ b/src/protocol/pg_writer.cpp
@@ -4,120 +4,120 @@
 
 namespace indigovane::protocol::pg {
 
-void Writer::u16(std::uint16_t v) {
-    out_ += char(v >> 8);
-    out_ += char(v);
+void Writer::put_u16(std::uint16_t value) {
+    out_ += char(value >> 8);
+    out_ += char(value);
 }
-void Writer::u32(std::uint32_t v) {
-    u16(std::uint16_t(v >> 16));
-    u16(std::uint16_t(v));
+void Writer::put_u32(std::uint32_t value) {
+    put_u16(std::uint16_t(value >> 16));
+    put_u16(std::uint16_t(value));
 }
-void Writer::text(std::string_view s) {
-    out_ += s;
+void Writer::put_string(std::string_view text) {
+    out_ += text;
     out_ += '\0';
 }
 std::size_t Writer::begin(char type) {
     if (type) out_ += type;
-    std::size_t at = out_.size();
-    u32(0);
-    return at;
+    std::size_t length_position = out_.size();
+    put_u32(0);
+    return length_position;
 }
-void Writer::end(std::size_t at) {
-    auto size = std::uint32_t(out_.size() - at);
-    for (int i = 0; i < 4; ++i) out_[at + std::size_t(i)] = char(size >> (24 - 8 * i));
+void Writer::end(std::size_t length_position) {
+    auto size = std::uint32_t(out_.size() - length_position);
+    for (int i = 0; i < 4; ++i) out_[length_position + std::size_t(i)] = char(size >> (24 - 8 * i));
 }
 
 Writer& Writer::plain(char type, std::string_view body) {
-    std::size_t at = begin(type);
+    std::size_t length_position = begin(type);
     out_ += body;
-    end(at);
+    end(length_position);
     return *this;
 }
 Writer& Writer::startup(std::string_view user, std::string_view database) {
-    std::size_t at = begin(0);
-    u32(kVersion3);
-    text("user");
-    text(user);
-    text("database");
-    text(database);
+    std::size_t length_position = begin(0);
+    put_u32(kVersion3);
+    put_string("user");
+    put_string(user);
+    put_string("database");
+    put_string(database);
     out_ += '\0';
-    end(at);
+    end(length_position);
     return *this;
 }
 Writer& Writer::query(std::string_view sql) {
-    std::size_t at = begin('Q');
-    text(sql);
-    end(at);
+    std::size_t length_position = begin('Q');
+    put_string(sql);
+    end(length_position);
     return *this;
 }
 Writer& Writer::authentication_ok() {
-    std::size_t at = begin('R');
-    u32(0);
-    end(at);
+    std::size_t length_position = begin('R');
+    put_u32(0);
+    end(length_position);
     return *this;
 }
 Writer& Writer::parameter(std::string_view name, std::string_view value) {
-    std::size_t at = begin('S');
-    text(name);
-    text(value);
-    end(at);
+    std::size_t length_position = begin('S');
+    put_string(name);
+    put_string(value);
+    end(length_position);
     return *this;
 }
 Writer& Writer::backend_key(std::uint32_t process, std::uint32_t secret) {
-    std::size_t at = begin('K');
-    u32(process);
-    u32(secret);
-    end(at);
+    std::size_t length_position = begin('K');
+    put_u32(process);
+    put_u32(secret);
+    end(length_position);
     return *this;
 }
 Writer& Writer::complete(std::string_view tag) {
-    std::size_t at = begin('C');
-    text(tag);
-    end(at);
+    std::size_t length_position = begin('C');
+    put_string(tag);
+    end(length_position);
     return *this;
 }
 Writer& Writer::row_description(const std::vector<ColumnSpec>& columns) {
-    std::size_t at = begin('T');
-    u16(std::uint16_t(columns.size()));
+    std::size_t length_position = begin('T');
+    put_u16(std::uint16_t(columns.size()));
     for (const ColumnSpec& column : columns) {
-        text(column.name);
-        u32(0);  // no table
-        u16(0);
-        u32(column.type);
-        u16(0xffff);      // of variable size
-        u32(0xffffffff);  // no modifier
-        u16(column.binary ? 1 : 0);
+        put_string(column.name);
+        put_u32(0);  // not a column of a table
+        put_u16(0);
+        put_u32(column.type);
+        put_u16(0xffff);      // type of variable size
+        put_u32(0xffffffff);  // no type modifier
+        put_u16(column.binary ? 1 : 0);
     }
-    end(at);
+    end(length_position);
     return *this;
 }
 Writer& Writer::data_row(const std::vector<std::optional<std::string_view>>& values) {
-    std::size_t at = begin('D');
-    u16(std::uint16_t(values.size()));
+    std::size_t length_position = begin('D');
+    put_u16(std::uint16_t(values.size()));
     for (const auto& value : values) {
-        u32(value ? std::uint32_t(value->size()) : 0xffffffff);
+        put_u32(value ? std::uint32_t(value->size()) : 0xffffffff);
         if (value) out_ += *value;
     }
-    end(at);
+    end(length_position);
     return *this;
 }
 Writer& Writer::error(std::string_view severity, std::string_view code, std::string_view message,
                       std::string_view detail) {
-    std::size_t at = begin('E');
+    std::size_t length_position = begin('E');
     out_ += 'S';
-    text(severity);
+    put_string(severity);
     out_ += 'V';
-    text(severity);
+    put_string(severity);
     out_ += 'C';
-    text(code);
+    put_string(code);
     out_ += 'M';
-    text(message);
+    put_string(message);
     if (!detail.empty()) {
         out_ += 'D';
-        text(detail);
+        put_string(detail);
     }
     out_ += '\0';
-    end(at);
+    end(length_position);
     return *this;
 }
 
--- a/src/protocol/syslog.cpp
+++ b/src/protocol/syslog.cpp
@@ -10,69 +10,73 @@
 
 constexpr std::string_view kBom = "\xEF\xBB\xBF";
 
-bool printable(char c) {
+bool is_printable(char c) {
     return c > 32 && c < 127;
 }
-bool name_character(char c) {
-    return printable(c) && c != '=' && c != ']' && c != '"';
+bool is_name_character(char c) {
+    return is_printable(c) && c != '=' && c != ']' && c != '"';
 }
 
-std::string field(std::string_view text, std::size_t most) {
+// Writes a header field of at most `max_length` characters.
+std::string header_field(std::string_view text, std::size_t max_length) {
     if (text.empty()) return "-";
-    std::string out(text.substr(0, most));
+    std::string out(text.substr(0, max_length));
     std::replace_if(
-        out.begin(), out.end(), [](char c) { return !printable(c); }, '_');
+        out.begin(), out.end(), [](char c) { return !is_printable(c); }, '_');
     return out;
 }
 
-std::string name(std::string_view text) {
+// Writes an SD-NAME of at most 32 characters.
+std::string structured_data_name(std::string_view text) {
     std::string out(text.empty() ? "_" : text.substr(0, 32));
     std::replace_if(
-        out.begin(), out.end(), [](char c) { return !name_character(c); }, '_');
+        out.begin(), out.end(), [](char c) { return !is_name_character(c); }, '_');
     return out;
 }
 
 // Reads from the front of a text.
 struct Cursor {
-    std::string_view rest;
+    std::string_view remaining;
     bool skip(char c) {
-        if (rest.empty() || rest[0] != c) return false;
-        rest.remove_prefix(1);
+        if (remaining.empty() || remaining[0] != c) return false;
+        remaining.remove_prefix(1);
         return true;
     }
+    // Reads a text that is not empty, and the space that must follow it.
     std::optional<std::string_view> until_space() {
-        std::size_t end = rest.find(' ');
+        std::size_t end = remaining.find(' ');
         if (end == 0 || end == std::string_view::npos) return std::nullopt;
-        std::string_view text = rest.substr(0, end);
-        rest.remove_prefix(end + 1);
+        std::string_view text = remaining.substr(0, end);
+        remaining.remove_prefix(end + 1);
         return text;
     }
-    std::optional<std::string> header(std::size_t most) {
+    // Reads a header field. The nil value "-" is read as an empty text.
+    std::optional<std::string> header(std::size_t max_length) {
         auto text = until_space();
-        if (!text || text->size() > most || !std::all_of(text->begin(), text->end(), printable))
+        if (!text || text->size() > max_length || !std::all_of(text->begin(), text->end(), is_printable))
             return std::nullopt;
         return *text == "-" ? std::string() : std::string(*text);
     }
     std::optional<std::string> sd_name() {
         std::size_t count = 0;
-        while (count < rest.size() && name_character(rest[count])) ++count;
+        while (count < remaining.size() && is_name_character(remaining[count])) ++count;
         if (count == 0 || count > 32) return std::nullopt;
-        std::string text(rest.substr(0, count));
-        rest.remove_prefix(count);
+        std::string text(remaining.substr(0, count));
+        remaining.remove_prefix(count);
         return text;
     }
-    std::optional<std::string> value() {
+    std::optional<std::string> parameter_value() {
         if (!skip('"')) return std::nullopt;
         std::string text;
-        while (!rest.empty()) {
-            char c = rest[0];
-            rest.remove_prefix(1);
+        while (!remaining.empty()) {
+            char c = remaining[0];
+            remaining.remove_prefix(1);
             if (c == '"') return text;
-            if (c == ']') return std::nullopt;  // must be escaped
-            if (c == '\\' && !rest.empty() &&
-                std::string_view("\"\\]").find(rest[0]) != std::string_view::npos) {
-                c = rest[0];
-                rest.remove_prefix(1);
+            if (c == ']') return std::nullopt;  // ']' must be escaped
+            if (c == '\\' && !remaining.empty() &&
+                std::string_view("\"\\]").find(remaining[0]) != std::string_view::npos) {
+                c = remaining[0];
+                remaining.remove_prefix(1);
             }
             text += c;
         }
@@ -86,18 +90,18 @@
     std::string out(1, '<');
     out += std::to_string(std::clamp(m.facility, 0, 23) * 8 + int(m.severity));
     out += ">1 ";
-    for (const auto& [text, most] :
+    for (const auto& [text, max_length] :
          {std::pair{&m.timestamp, 32}, {&m.host, 255}, {&m.app, 48}, {&m.process, 128}, {&m.id, 32}}) {
-        out += field(*text, std::size_t(most));
+        out += header_field(*text, std::size_t(max_length));
         out += ' ';
     }
     if (m.data.empty()) out += '-';
     for (const Element& e : m.data) {
         out += '[';
-        out += name(e.id);
+        out += structured_data_name(e.id);
         for (const auto& [n, v] : e.parameters) {
             out += ' ';
-            out += name(n);
+            out += structured_data_name(n);
             out += "=\"";
             for (char c : v) {
                 if (c == '"' || c == '\\' || c == ']') out += '\\';
@@ -118,45 +122,45 @@
 
 std::optional<Message> read(std::string_view line) {
     Message m;
-    Cursor c{line};
-    if (!c.skip('<')) return std::nullopt;
-    std::size_t close = c.rest.find('>');
+    Cursor cursor{line};
+    if (!cursor.skip('<')) return std::nullopt;
+    std::size_t close = cursor.remaining.find('>');
     if (close == std::string_view::npos || close == 0 || close > 3) return std::nullopt;
     int priority = 0;
-    auto [end, error] = std::from_chars(c.rest.data(), c.rest.data() + close, priority);
-    if (error != std::errc() || end != c.rest.data() + close || priority < 0 || priority > 191)
+    auto [end, error] = std::from_chars(cursor.remaining.data(), cursor.remaining.data() + close, priority);
+    if (error != std::errc() || end != cursor.remaining.data() + close || priority < 0 || priority > 191)
         return std::nullopt;
-    if (close > 1 && c.rest[0] == '0') return std::nullopt;  // no leading zeros
-    c.rest.remove_prefix(close + 1);
+    if (close > 1 && cursor.remaining[0] == '0') return std::nullopt;  // no leading zeros
+    cursor.remaining.remove_prefix(close + 1);
     m.facility = priority / 8;
     m.severity = Severity(priority % 8);
-    if (c.until_space() != "1") return std::nullopt;
-    auto timestamp = c.header(32), host = c.header(255), app = c.header(48), process = c.header(128),
-         id = c.header(32);
+    if (cursor.until_space() != "1") return std::nullopt;
+    auto timestamp = cursor.header(32), host = cursor.header(255), app = cursor.header(48),
+         process = cursor.header(128), id = cursor.header(32);
     if (!timestamp || !host || !app || !process || !id) return std::nullopt;
     m.timestamp = *timestamp, m.host = *host, m.app = *app, m.process = *process, m.id = *id;
-    if (!c.skip('-')) {
-        if (c.rest.empty() || c.rest[0] != '[') return std::nullopt;
-        while (c.skip('[')) {
+    if (!cursor.skip('-')) {
+        if (cursor.remaining.empty() || cursor.remaining[0] != '[') return std::nullopt;
+        while (cursor.skip('[')) {
             Element e;
-            auto element = c.sd_name();
+            auto element = cursor.sd_name();
             if (!element) return std::nullopt;
             e.id = *element;
-            while (c.skip(' ')) {
-                auto n = c.sd_name();
-                if (!n || !c.skip('=')) return std::nullopt;
-                auto v = c.value();
+            while (cursor.skip(' ')) {
+                auto n = cursor.sd_name();
+                if (!n || !cursor.skip('=')) return std::nullopt;
+                auto v = cursor.parameter_value();
                 if (!v) return std::nullopt;
                 e.parameters.emplace_back(*n, *v);
             }
-            if (!c.skip(']')) return std::nullopt;
+            if (!cursor.skip(']')) return std::nullopt;
             m.data.push_back(std::move(e));
         }
     }
-    if (c.rest.empty()) return m;
-    if (!c.skip(' ')) return std::nullopt;
-    if (c.rest.substr(0, 3) == kBom) c.rest.remove_prefix(3);
-    m.text = c.rest;
+    if (cursor.remaining.empty()) return m;
+    if (!cursor.skip(' ')) return std::nullopt;
+    if (cursor.remaining.substr(0, 3) == kBom) cursor.remaining.remove_prefix(3);
+    m.text = cursor.remaining;
     return m;
 }
 
--- a/src/protocol/syslog.hpp
+++ b/src/protocol/syslog.hpp
@@ -12,32 +12,42 @@
 
 enum class Severity { emergency, alert, critical, error, warning, notice, informational, debug };
 
+// A structured data element.
 struct Element {
-    std::string id;  // an SD-NAME, such as request@32473
+    // An SD-NAME, such as request@32473.
+    std::string id;
     std::vector<std::pair<std::string, std::string>> parameters;
     bool operator==(const Element&) const = default;
 };
 
 struct Message {
-    int facility = 3;  // system daemons
+    // 3: system daemons.
+    int facility = 3;
     Severity severity = Severity::informational;
-    std::string timestamp;  // RFC 3339; empty: none
+    // In the format of RFC 3339; empty if there is none.
+    std::string timestamp;
+    // Header fields; empty if absent. `id` is the MSGID.
     std::string host, app, process, id;
     std::vector<Element> data;
-    std::string text;  // UTF-8
+    // In UTF-8.
+    std::string text;
     bool operator==(const Message&) const = default;
 };
 
-// Names and header fields are made to fit what the RFC allows of them: other characters become '_', and what
-// is too long is cut.
+// Writes a message. In names and header fields, characters that the RFC does not allow become '_', and text
+// over the maximum length is cut off.
 std::string write(const Message& message);
+// Returns nothing if the message is malformed.
 std::optional<Message> read(std::string_view line);
 
-std::string timestamp(std::int64_t unix_micros);  // in UTC, to the microsecond
+// Formats a Unix time in microseconds as UTC, with microseconds.
+std::string timestamp(std::int64_t unix_micros);
 
-std::string frame(std::string_view message);  // its length, a space, itself
+// The length of the message in bytes, a space and the message.
+std::string frame(std::string_view message);
 enum class Next { message, more, malformed };
-// The framed message at the front of `in`; `length` is what it takes with its frame.
+// Reads the framed message at the front of `in`. `length` is its size with the frame. Messages of more than
+// `limit` bytes are malformed.
 Next next_frame(std::string_view in, std::size_t limit, std::string_view& message, std::size_t& length);
 
 }  // namespace indigovane::protocol::syslog
--- a/src/transport/buffer.hpp
+++ b/src/transport/buffer.hpp
@@ -26,7 +26,7 @@
         char* data;
         std::size_t size;
     };
-    // Returns all free space behind the unread bytes, at min_bytes `min_bytes` bytes. Valid until the buffer
+    // Returns all free space behind the unread bytes, at least `min_bytes` bytes. Valid until the buffer
     // changes.
     Span prepare(std::size_t min_bytes) {
         if (bytes_.size() - end_ < min_bytes) compact();
