--- a/src/adapters/backend_connection_base.hpp
+++ b/src/adapters/backend_connection_base.hpp
@@ -29,7 +29,7 @@
             if (auto self = weak.lock()) self->end(End::unreachable);
         });
     }
-    bool may_be_reused() override { return connection_->quiet(); }
+    bool may_be_reused() override { return connection_->is_idle(); }
     void close() override {
         owner_ = nullptr;
         connection_->close();
--- a/src/adapters/client_listener.hpp
+++ b/src/adapters/client_listener.hpp
@@ -65,8 +65,8 @@
     std::uint64_t uses_ = 0;
     std::size_t served_most_ = std::size_t(-1), served_ = 0;
     std::size_t bytes_most_ = 16 << 20, bytes_ = 0;
-    transport::Lingering lingering_{kLingering};
-    transport::Lingering retired_{std::size_t(-1)};  // nobody new wants their descriptors
+    transport::LingeringConnections lingering_{kLingering};
+    transport::LingeringConnections retired_{std::size_t(-1)};  // nobody new wants their descriptors
     void sweep();
 
     std::size_t long_most_ = 32 << 20, long_ = 0;
--- a/src/adapters/control_front.cpp
+++ b/src/adapters/control_front.cpp
@@ -52,7 +52,7 @@
         } else {
             connection_->write(std::move(answer) + "\n");
             // What is unread yet would reset the connection before the answer is read: it lingers.
-            connection_->close_after_writing(transport::Connection::Crossing::discard);
+            connection_->close_after_writing(transport::Connection::LateInput::discard);
             front_.lingering_.add(connection_);
         }
         front_.leave(number_);
--- a/src/adapters/control_front.hpp
+++ b/src/adapters/control_front.hpp
@@ -64,7 +64,7 @@
 
     boost::asio::io_context& io_;
     ControlLimits limits_;
-    transport::Lingering lingering_;
+    transport::LingeringConnections lingering_;
     Operations& operations_;
     routing::Logger& logger_;
     std::map<std::uint64_t, std::shared_ptr<Caller>> callers_;  // by their coming
--- a/src/adapters/peer_link.hpp
+++ b/src/adapters/peer_link.hpp
@@ -58,7 +58,7 @@
     boost::asio::ip::udp::socket socket_;
     boost::asio::steady_timer timer_;
     bool armed_ = false;
-    std::array<char, protocol::peer::kLargest + 1>
+    std::array<char, protocol::peer::kMaxDatagramBytes + 1>
         buffer_{};  // one more: so that a longer one is seen as such
     boost::asio::ip::udp::endpoint from_;
     std::map<std::uint32_t, PendingPrimary> pending_;  // by group
--- a/src/adapters/pg_front.cpp
+++ b/src/adapters/pg_front.cpp
@@ -146,13 +146,14 @@
         std::string_view sql = body.substr(0, body.find('\0'));
         if (body.find('\0') != body.size() - 1 || body.empty())
             return reject({pg::sqlstate::kProtocolViolation, "a query ends with its only zero byte"});
-        if (!pg::valid_text(sql)) return reject({pg::sqlstate::kBadText, "a query is plain UTF-8"});
+        if (!pg::is_valid_text(sql)) return reject({pg::sqlstate::kBadText, "a query is plain UTF-8"});
         pg::Statement statement = pg::read_statement(sql);
         if (statements_ && statements_->open() && PgRequestReader::is_open_form(statement))
             return open_query(sql, statement);
         if (statement.malformed)
             return reject({pg::sqlstate::kSyntaxError, "the comment or a literal is malformed"});
-        if (statement.several) return reject({pg::sqlstate::kSyntaxError, "a query holds one statement"});
+        if (statement.has_several_statements)
+            return reject({pg::sqlstate::kSyntaxError, "a query holds one statement"});
         if (statement.body.empty()) return empty();
         if (statement.fields.empty() && local(statement.body)) return;
         ClientRequest request;
@@ -302,7 +303,7 @@
     bool fatal(std::string_view code, std::string_view text) {
         write(pg::Writer().error("FATAL", code, text).take());
         logger_.log(Level::warning, "fatal", std::string(text), {{"sqlstate", std::string(code)}});
-        leave(transport::Connection::Crossing::discard);
+        leave(transport::Connection::LateInput::discard);
         return false;
     }
 
--- a/src/adapters/pg_request.cpp
+++ b/src/adapters/pg_request.cpp
@@ -114,7 +114,7 @@
 }
 
 bool PgRequestReader::is_open_form(const pg::Statement& statement) {
-    if (statement.malformed || statement.several) return true;
+    if (statement.malformed || statement.has_several_statements) return true;
     if (statement.body.empty()) return false;
     if (!statement.fields.empty()) return pg::read_verb(statement.body).kind == pg::Verb::Kind::other;
     for (const char* driver_command : {"set", "reset", "discard"})
--- a/src/adapters/rest_front.cpp
+++ b/src/adapters/rest_front.cpp
@@ -252,7 +252,7 @@
     bool hang_up(const Problem& p) {
         keep_alive_ = head_only_ = false;
         write(message(p, {}));
-        leave(transport::Connection::Crossing::discard);
+        leave(transport::Connection::LateInput::discard);
         return false;
     }
 
--- a/src/adapters/session.cpp
+++ b/src/adapters/session.cpp
@@ -70,7 +70,7 @@
 void Session::on_data(transport::Buffer& in) {
     auto self = shared_from_this();
     in_ = &in;
-    arrivals_.came(in.consumed() + in.size(), in.consumed(), std::chrono::steady_clock::now());
+    arrivals_.record(in.consumed() + in.size(), in.consumed(), std::chrono::steady_clock::now());
     work();
 }
 
@@ -165,7 +165,7 @@
     if (state_ == State::between) client_listener_.touch(*this);
 }
 
-void Session::leave(transport::Connection::Crossing crossing) {
+void Session::leave(transport::Connection::LateInput crossing) {
     if (state_ == State::over) return;
     auto self = shared_from_this();
     if (state_ == State::serving)
--- a/src/adapters/session.hpp
+++ b/src/adapters/session.hpp
@@ -72,7 +72,7 @@
     void write(std::string bytes) { connection_->write(std::move(bytes)); }
     bool is_open(const std::string& id) const { return admission_.is_open(id); }
     // What is written still goes out, and the connection is half-closed.
-    void leave(transport::Connection::Crossing crossing = transport::Connection::Crossing::unread);
+    void leave(transport::Connection::LateInput crossing = transport::Connection::LateInput::unread);
     // Of this client's connection: the same in the process that it is handed over to.
     std::string peer() const;
     bool serving() const { return state_ == State::serving; }
--- a/src/program/process_handover.cpp
+++ b/src/program/process_handover.cpp
@@ -14,7 +14,7 @@
 using transport::Descriptor;
 
 namespace {
-// Keeps a message well below Channel::kMessageMost.
+// Keeps a message well below Channel::kMaxMessageBytes.
 constexpr std::size_t kCommitsPerMessage = 1000;
 }  // namespace
 
--- a/src/protocol/peer.cpp
+++ b/src/protocol/peer.cpp
@@ -46,8 +46,9 @@
     int entries = 0;
     for (; handled < primaries.size(); ++handled) {
         const Primary& primary = primaries[handled];
-        if (primary.uid.empty() || primary.uid.size() > kLongestUid) continue;
-        if (out.size() + 2 + kFixedEntryBytes + primary.uid.size() + kChecksumBytes > kLargest) break;
+        if (primary.uid.empty() || primary.uid.size() > kMaxUidBytes) continue;
+        if (out.size() + 2 + kFixedEntryBytes + primary.uid.size() + kChecksumBytes > kMaxDatagramBytes)
+            break;
         put_number(out, kPrimaryKind);
         put_number(out, std::uint8_t(kFixedEntryBytes + primary.uid.size()));
         put_number(out, primary.group);
@@ -62,7 +63,7 @@
 }
 
 std::optional<Message> read(std::string_view in) {
-    if (in.size() < kHeaderBytes + kChecksumBytes || in.size() > kLargest || in.substr(0, 2) != "IV")
+    if (in.size() < kHeaderBytes + kChecksumBytes || in.size() > kMaxDatagramBytes || in.substr(0, 2) != "IV")
         return std::nullopt;
     std::string_view checksum_bytes = in.substr(in.size() - kChecksumBytes);
     in.remove_suffix(kChecksumBytes);
@@ -82,7 +83,7 @@
         std::string_view entry = in.substr(0, length);
         in.remove_prefix(length);
         if (kind != kPrimaryKind) continue;
-        if (length <= kFixedEntryBytes || length > kFixedEntryBytes + kLongestUid) return std::nullopt;
+        if (length <= kFixedEntryBytes || length > kFixedEntryBytes + kMaxUidBytes) return std::nullopt;
         Primary primary;
         primary.group = take_number<std::uint32_t>(entry);
         primary.as_of_unix_us = take_number<std::int64_t>(entry);
--- a/src/protocol/peer.hpp
+++ b/src/protocol/peer.hpp
@@ -16,14 +16,14 @@
 namespace indigovane::protocol::peer {
 
 // Maximum size of a datagram. The platform does not accept longer ones.
-inline constexpr std::size_t kLargest = 256;
+inline constexpr std::size_t kMaxDatagramBytes = 256;
 // Maximum length of a uid in bytes.
-inline constexpr std::size_t kLongestUid = 64;
+inline constexpr std::size_t kMaxUidBytes = 64;
 
 struct Primary {
     std::uint32_t group = 0;
     std::int64_t as_of_unix_us = 0;
-    // 1 to kLongestUid bytes.
+    // 1 to kMaxUidBytes bytes.
     std::string uid;
     bool operator==(const Primary&) const = default;
 };
--- a/src/protocol/pg_statement.cpp
+++ b/src/protocol/pg_statement.cpp
@@ -61,7 +61,7 @@
         end = std::min(end, i);
         std::string_view remainder = sql.substr(i + 1);
         if (std::any_of(remainder.begin(), remainder.end(), [](char c) { return !is_blank(c) && c != ';'; }))
-            s.several = true;
+            s.has_several_statements = true;
         break;
     }
     s.malformed = is_literal_open;
--- a/src/protocol/pg_statement.hpp
+++ b/src/protocol/pg_statement.hpp
@@ -20,7 +20,7 @@
     // The text after the comment, without the closing semicolon and surrounding white space.
     std::string_view body;
     // Whether the text holds more than one statement.
-    bool several = false;
+    bool has_several_statements = false;
     // Whether the comment or a literal is not terminated, or a field of the comment has no name or no '='.
     bool malformed = false;
 
--- a/src/protocol/pg_text.cpp
+++ b/src/protocol/pg_text.cpp
@@ -10,7 +10,7 @@
     return c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f';
 }
 
-bool valid_text(std::string_view bytes) {
+bool is_valid_text(std::string_view bytes) {
     for (std::size_t i = 0; i < bytes.size();) {
         auto lead = std::uint8_t(bytes[i]);
         if (lead < 0x80) {
--- a/src/protocol/pg_text.hpp
+++ b/src/protocol/pg_text.hpp
@@ -10,7 +10,7 @@
 // Whether the character is white space between the words of a statement.
 bool is_blank(char c);
 // Whether the bytes are UTF-8 and hold no control characters other than white space.
-bool valid_text(std::string_view bytes);
+bool is_valid_text(std::string_view bytes);
 // Writes a string literal.
 std::string quote(std::string_view text);
 // Writes the hex form of a bytea value: \x and two digits per byte.
--- a/src/transport/arrivals.hpp
+++ b/src/transport/arrivals.hpp
@@ -13,14 +13,14 @@
     using Time = std::chrono::steady_clock::time_point;
     // Bytes that arrive within this time after the first byte of an entry are added to that entry and get its
     // time. This bounds the number of entries when bytes arrive one by one.
-    static constexpr auto kTogether = std::chrono::milliseconds(10);
+    static constexpr auto kGranularity = std::chrono::milliseconds(10);
 
     // Records that `total` bytes of the stream have arrived and the first `consumed` of them have been read.
     // Drops the entries of bytes that have been read.
-    void came(std::uint64_t total, std::uint64_t consumed, Time now) {
+    void record(std::uint64_t total, std::uint64_t consumed, Time now) {
         while (!pieces_.empty() && pieces_.front().end <= consumed) pieces_.pop_front();
         if (!pieces_.empty() && pieces_.back().end >= total) return;
-        if (!pieces_.empty() && now < pieces_.back().time + kTogether)
+        if (!pieces_.empty() && now < pieces_.back().time + kGranularity)
             pieces_.back().end = total;
         else
             pieces_.push_back({total, now});
--- a/src/transport/channel.cpp
+++ b/src/transport/channel.cpp
@@ -124,7 +124,7 @@
 }
 
 bool Channel::receive() {
-    std::string bytes(kMessageMost, '\0');
+    std::string bytes(kMaxMessageBytes, '\0');
     iovec buffer{bytes.data(), bytes.size()};
     alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
     msghdr header{};
--- a/src/transport/channel.hpp
+++ b/src/transport/channel.hpp
@@ -39,7 +39,7 @@
 class Channel : public std::enable_shared_from_this<Channel> {
   public:
     // Size of the receive buffer: longer messages would be truncated.
-    static constexpr std::size_t kMessageMost = 32768;
+    static constexpr std::size_t kMaxMessageBytes = 32768;
 
     // Receives the events of a channel. The channel does not own it: a handler that is destroyed before the
     // channel calls close() first.
--- a/src/transport/connection.cpp
+++ b/src/transport/connection.cpp
@@ -227,7 +227,7 @@
     return state_ == State::open && (!in_.empty() || socket_.available(ec) > 0);
 }
 
-bool Connection::quiet() {
+bool Connection::is_idle() {
     if (state_ != State::open || !in_.empty()) return false;
     return peek(socket_.native_handle()) == Peek::nothing;
 }
@@ -276,11 +276,11 @@
     asio::post(strand_, Reader(shared_from_this(), false));
 }
 
-void Connection::close_after_writing(Crossing crossing) {
+void Connection::close_after_writing(LateInput late_input) {
     if (state_ == State::closed || close_when_written_) return;
     handler_ = nullptr;
     close_when_written_ = true;
-    crossing_ = crossing;
+    late_input_ = late_input;
     if (all_written() && !has_active_writer_) return half_close();
     // Guards against a client that never reads.
     timer_.expires_after(kLingerTimeout);
@@ -293,7 +293,7 @@
     error_code ec;
     socket_.shutdown(asio::ip::tcp::socket::shutdown_send, ec);
     if (ec) return close();
-    bool discards_input = crossing_ == Crossing::discard;
+    bool discards_input = late_input_ == LateInput::discard;
     if (discards_input) in_.consume(in_.size());
     timer_.expires_after(discards_input ? kLingerTimeout : kRemoteCloseTimeout);
     timer_.async_wait([self = shared_from_this()](const error_code& timer_ec) {
--- a/src/transport/connection.hpp
+++ b/src/transport/connection.hpp
@@ -61,7 +61,7 @@
     bool hung_up();
     // Whether the connection is open and there is neither unread data nor an end of stream, here or in the
     // kernel.
-    bool quiet();
+    bool is_idle();
     // Queues bytes for writing. Ignored after close() and close_after_writing().
     void write(std::string bytes);
     // Whether the kernel has accepted all queued bytes. The other side may have received them.
@@ -83,7 +83,7 @@
     void resume();
 
     // What happens to input that arrives while the connection closes.
-    enum class Crossing {
+    enum class LateInput {
         // It is not read. No one has handled it, so its sender can send it again.
         unread,
         // It is read and dropped, up to a limit: the sender may be in the middle of a message that is far too
@@ -93,7 +93,7 @@
     // Writes what is queued, within one second, and then shuts down the sending direction. The other side
     // sees the end of the stream and has some time to close as well. Closing at once could reset the
     // connection, if the other side is still sending, before it has read the last bytes.
-    void close_after_writing(Crossing crossing);
+    void close_after_writing(LateInput late_input);
     // Closes at once. The handler gets no further calls.
     void close();
     // Checks regularly, while reading is stopped, whether the other side has closed the connection.
@@ -133,7 +133,7 @@
     std::size_t written_ = 0;
     std::size_t unread_limit_ = 1 << 20, read_size_ = 2048;
     std::uint64_t sent_ = 0;
-    Crossing crossing_ = Crossing::unread;
+    LateInput late_input_ = LateInput::unread;
     bool is_reading_ = false, has_active_writer_ = false, close_when_written_ = false,
          is_established_ = false;
     bool watches_hangup_ = false, is_hangup_check_scheduled_ = false;
--- a/src/transport/lingering.hpp
+++ b/src/transport/lingering.hpp
@@ -11,9 +11,9 @@
 
 namespace indigovane::transport {
 
-class Lingering {
+class LingeringConnections {
   public:
-    explicit Lingering(std::size_t max_connections) : max_connections_(max_connections) {}
+    explicit LingeringConnections(std::size_t max_connections) : max_connections_(max_connections) {}
     // Adds a connection if it is still open. Forgets those that have closed.
     void add(const std::shared_ptr<Connection>& connection) {
         std::erase_if(connections_, std::not_fn(is_open));
--- a/tests/adapters/connection_close_test.cpp
+++ b/tests/adapters/connection_close_test.cpp
@@ -13,14 +13,14 @@
     transport::Arrivals arrivals;
     const transport::Arrivals::Time start{};
     for (int i = 1; i <= 1000; ++i)
-        arrivals.came(std::uint64_t(i), 0, start + std::chrono::microseconds(i * 100));
+        arrivals.record(std::uint64_t(i), 0, start + std::chrono::microseconds(i * 100));
     CHECK(arrivals.pieces() <= 11);
     for (int i : {1, 500, 1000}) {
         auto late = start + std::chrono::microseconds(i * 100) - arrivals.at(std::uint64_t(i), start);
         CHECK(late >= 0ms);
-        CHECK(late <= transport::Arrivals::kTogether);
+        CHECK(late <= transport::Arrivals::kGranularity);
     }
-    arrivals.came(1001, 1000, start + 5s);
+    arrivals.record(1001, 1000, start + 5s);
     CHECK(arrivals.pieces() == 1);
     CHECK(arrivals.at(1001, start) == start + 5s);
     CHECK(arrivals.at(1002, start + 9s) == start + 9s);
--- a/tests/adapters/open_statements_test.cpp
+++ b/tests/adapters/open_statements_test.cpp
@@ -100,7 +100,7 @@
         if (line.empty() || line[0] == '#' || line.find('\\') != std::string::npos) continue;
         std::size_t a = line.find('\t'), b = line.find('\t', a + 1);
         std::string route = line.substr(a + 1, b - a - 1), sql = line.substr(b + 1);
-        if (pg::read_statement(sql).body.empty() || sql.substr(0, 2) == "--" || !pg::valid_text(sql))
+        if (pg::read_statement(sql).body.empty() || sql.substr(0, 2) == "--" || !pg::is_valid_text(sql))
             continue;
         if (sql == "SHOW health" || sql.substr(0, 5) == "RESET" || sql.substr(0, 3) == "SET" ||
             sql.substr(0, 7) == "DISCARD" ||
--- a/tests/adapters/peer_link_test.cpp
+++ b/tests/adapters/peer_link_test.cpp
@@ -42,7 +42,7 @@
     std::size_t reported = 0;
     while (!m.primaries.empty()) {
         std::string part = peer::write(m);
-        CHECK(part.size() <= peer::kLargest);
+        CHECK(part.size() <= peer::kMaxDatagramBytes);
         auto back = peer::read(part);
         REQUIRE(back);
         reported += back->primaries.size();
@@ -65,7 +65,7 @@
         auto read = peer::read(whole);
         ++(read ? accepted : dropped);
         if (read)
-            for (const peer::Primary& p : read->primaries) CHECK(p.uid.size() <= peer::kLongestUid);
+            for (const peer::Primary& p : read->primaries) CHECK(p.uid.size() <= peer::kMaxUidBytes);
     }
     CHECK(accepted > 100);
     CHECK(dropped > 100);
--- a/tests/processes/soak_host.hpp
+++ b/tests/processes/soak_host.hpp
@@ -151,7 +151,7 @@
         }
         answer(work, connection, std::move(bytes));
         if (draw(faults.closes_at_answer) || faults.closes_idle)
-            connection.close_after_writing(transport::Connection::Crossing::unread);
+            connection.close_after_writing(transport::Connection::LateInput::unread);
     }
 
     static std::string error(const char* code) {
--- a/tests/program/upgrade_test.cpp
+++ b/tests/program/upgrade_test.cpp
@@ -48,7 +48,7 @@
         std::vector<std::string> sent[2];
         for (int step = 0; step < 60; ++step) {
             std::size_t sender = dice.below(2);
-            std::string message(1 + dice.below(dice.below(4) ? 50 : Channel::kMessageMost - 1),
+            std::string message(1 + dice.below(dice.below(4) ? 50 : Channel::kMaxMessageBytes - 1),
                                 char('a' + step % 26));
             Descriptor descriptor;
             sent[sender].push_back(message);
--- a/tests/protocol/protocol_test.cpp
+++ b/tests/protocol/protocol_test.cpp
@@ -95,7 +95,7 @@
         "/* id=9b,c=basket, t=acme,d=480,cluster=2 */ SELECT content FROM kv WHERE name = 'a;''b'";
     auto s = pg::read_statement(sql);
     CHECK(!s.malformed);
-    CHECK(!s.several);
+    CHECK(!s.has_several_statements);
     CHECK(s.field("id") == "9b");
     CHECK(s.field("t") == "acme");
     CHECK(s.field("d") == "480");
@@ -108,8 +108,8 @@
     std::string without_deadline = "/* id=1 */ X";
     CHECK(pg::with_deadline(without_deadline, pg::read_statement(without_deadline), "7") ==
           "/* id=1,d=7 */ X");
-    CHECK(pg::read_statement("/* a=1 */ SELECT 1; SELECT 2").several);
-    CHECK(!pg::read_statement("/* a=1 */ SELECT 1 ; ").several);
+    CHECK(pg::read_statement("/* a=1 */ SELECT 1; SELECT 2").has_several_statements);
+    CHECK(!pg::read_statement("/* a=1 */ SELECT 1 ; ").has_several_statements);
     CHECK(pg::read_statement("/* a=1 SELECT 1").malformed);
     CHECK(pg::read_statement("/* a */ SELECT 1").malformed);
     CHECK(pg::read_statement("/* =a */ SELECT 1").malformed);
