--- a/src/adapters/client_listener.hpp
+++ b/src/adapters/client_listener.hpp
@@ -76,9 +76,9 @@
     std::uint64_t last_use_sequence_ = 0;
     std::size_t max_served_sessions_ = std::size_t(-1), served_sessions_ = 0;
     std::size_t max_memory_bytes_ = 16 << 20, memory_bytes_ = 0;
-    transport::Lingering lingering_{kLingering};
+    transport::LingeringConnections lingering_{kLingering};
     // Not limited: a retiring listener needs no descriptors for new clients.
-    transport::Lingering lingering_after_drain_{std::size_t(-1)};
+    transport::LingeringConnections lingering_after_drain_{std::size_t(-1)};
     void close_retiring_sessions();
 
     std::size_t max_long_bytes_ = 32 << 20, granted_long_bytes_ = 0;
--- a/src/adapters/control_front.cpp
+++ b/src/adapters/control_front.cpp
@@ -52,7 +52,7 @@
         } else {
             connection_->write(std::move(answer) + "\n");
             // Closing with unread bytes would reset the connection before the caller reads the answer.
-            connection_->close_after_writing(transport::Connection::Crossing::discard);
+            connection_->close_after_writing(transport::Connection::LateInput::discard);
             front_.lingering_.add(connection_);
         }
         front_.remove_caller(number_);
--- a/src/adapters/peer_link.hpp
+++ b/src/adapters/peer_link.hpp
@@ -69,7 +69,7 @@
     bool is_timer_set_ = false;
     // One byte longer than the largest datagram, so that a longer one is recognized instead of truncated to a
     // valid one.
-    std::array<char, protocol::peer::kLargest + 1> buffer_{};
+    std::array<char, protocol::peer::kMaxDatagramBytes + 1> buffer_{};
     boost::asio::ip::udp::endpoint sender_;
     std::map<std::uint32_t, PendingPrimary> pending_;  // by group
     // By sender. Bounded, since only datagrams of the peers are accepted.
--- a/src/adapters/pg_front.cpp
+++ b/src/adapters/pg_front.cpp
@@ -163,14 +163,15 @@
         std::string_view sql = body.substr(0, body.find('\0'));
         if (body.find('\0') != body.size() - 1 || body.empty())
             return reject({pg::sqlstate::kProtocolViolation, "a query must end with its only zero byte"});
-        if (!pg::valid_text(sql))
+        if (!pg::is_valid_text(sql))
             return reject({pg::sqlstate::kBadText, "a query must be valid UTF-8 without control characters"});
         pg::Statement statement = pg::read_statement(sql);
         if (statements_ && statements_->open() && PgRequestReader::is_open_form(statement))
             return handle_open_query(sql, statement);
         if (statement.malformed)
             return reject({pg::sqlstate::kSyntaxError, "the statement's comment or a literal is malformed"});
-        if (statement.several) return reject({pg::sqlstate::kSyntaxError, "a query must hold one statement"});
+        if (statement.has_several_statements)
+            return reject({pg::sqlstate::kSyntaxError, "a query must hold one statement"});
         if (statement.body.empty()) return answer_empty_query();
         if (statement.fields.empty() && answer_locally(statement.body)) return;
         ClientRequest request;
@@ -331,7 +332,7 @@
     bool close_with_error(std::string_view code, std::string_view text) {
         write(pg::Writer().error("FATAL", code, text).take());
         logger_.log(Level::warning, "fatal", std::string(text), {{"sqlstate", std::string(code)}});
-        close_gracefully(transport::Connection::Crossing::discard);
+        close_gracefully(transport::Connection::LateInput::discard);
         return false;
     }
 
--- a/src/adapters/rest_front.cpp
+++ b/src/adapters/rest_front.cpp
@@ -275,7 +275,7 @@
     bool close_with_problem(const Problem& problem) {
         keeps_alive_ = is_head_request_ = false;
         write(format_response(problem, {}));
-        close_gracefully(transport::Connection::Crossing::discard);
+        close_gracefully(transport::Connection::LateInput::discard);
         return false;
     }
 
--- a/src/adapters/session.cpp
+++ b/src/adapters/session.cpp
@@ -70,7 +70,7 @@
 void Session::on_data(transport::Buffer& in) {
     auto self = shared_from_this();
     input_ = &in;
-    arrivals_.came(in.consumed() + in.size(), in.consumed(), std::chrono::steady_clock::now());
+    arrivals_.record(in.consumed() + in.size(), in.consumed(), std::chrono::steady_clock::now());
     process_input();
 }
 
@@ -166,7 +166,7 @@
     if (state_ == State::idle) client_listener_.mark_used(*this);
 }
 
-void Session::close_gracefully(transport::Connection::Crossing crossing) {
+void Session::close_gracefully(transport::Connection::LateInput crossing) {
     if (state_ == State::closed) return;
     auto self = shared_from_this();
     if (state_ == State::serving)
--- a/src/adapters/session.hpp
+++ b/src/adapters/session.hpp
@@ -103,7 +103,8 @@
     void write(std::string bytes) { connection_->write(std::move(bytes)); }
     bool is_open(const std::string& id) const { return admission_.is_open(id); }
     /// Withdraws a request in flight, sends what is already written and half-closes the connection.
-    void close_gracefully(transport::Connection::Crossing crossing = transport::Connection::Crossing::unread);
+    void close_gracefully(
+        transport::Connection::LateInput crossing = transport::Connection::LateInput::unread);
     /// The client's address and port. It stays the same after a handover to another process.
     std::string peer_address() const;
     bool is_serving() const { return state_ == State::serving; }
