--- a/tests/adapters/discovery_lists_test.cpp
+++ b/tests/adapters/discovery_lists_test.cpp
@@ -1,4 +1,5 @@
-// Discovery's endpoint lists on real connections: incomplete, older and renumbered ones.
+// Endpoint lists from discovery over real connections. An incomplete, truncated or outdated list must not
+// replace the one in use, and new zone settings must not leave the zones of hosts wrong.
 #include <string>
 
 #include "policy/routing_policy.hpp"
@@ -18,8 +19,8 @@
 }
 
 TEST_CASE(
-    "lists: one without a length ends with its connection, a truncated one is ignored, older changes are "
-    "not applied") {
+    "lists: without a length, a list ends with its connection, truncated lists and older changes are not "
+    "applied") {
     ListRig rig({"a"});
     auto& loop = rig.loop;
     auto& host = rig.host;
@@ -37,8 +38,8 @@
     catalog.follow();
     REQUIRE(requested(1));
     loop.settle();
-    CHECK(!catalog.has_complete_list());  // more may follow
-    discovery.drop_all();                 // a close: the list is complete
+    CHECK(!catalog.has_complete_list());  // without a length, more bytes may follow
+    discovery.drop_all();                 // the closed connection completes the list
     REQUIRE(requested(2));
     CHECK(state() == EndpointState::ready);
     CHECK(host.asked[1].substr(0, 24) == "/catalog/members?from=41");
@@ -46,8 +47,8 @@
     discovery.drop_all();
     REQUIRE(requested(3));
     CHECK(state() == EndpointState::draining);
-    // Complete, then a reset: no end of the list. Truncated, then a close: the old list stays, and is
-    // requested anew.
+    // A complete list followed by a reset has no valid end. After a truncated list and a close, the previous
+    // list stays in use. Discovery is asked again in both cases.
     discovery.replies = {without_length + list(44, false, "ready")};
     discovery.drop_all();
     REQUIRE(requested(4));
@@ -65,12 +66,13 @@
                          http::write_response(200, {}, list(42, true, "ready"), true)};
     REQUIRE(requested(10));
     CHECK(host.asked[6] == "/catalog/members");
-    CHECK(host.asked[8] == "/catalog/members");  // older changes: the full list decides
-    CHECK(state() == EndpointState::ready);      // and may be older: discovery has restarted
+    CHECK(host.asked[8] == "/catalog/members");  // after older changes the full list is requested
+    CHECK(state() == EndpointState::ready);  // a full list may be older, since discovery may have restarted
 }
 
 TEST_CASE(
-    "lists: changed zones in the settings request the full list at once, and renumber the zones of members") {
+    "lists: changed zone settings cause a request for the full list at once and renumber the zones of "
+    "hosts") {
     ListRig rig({"a", "b"});
     auto& loop = rig.loop;
     auto& host = rig.host;
@@ -83,7 +85,7 @@
     catalog.follow();
     REQUIRE(loop.until([&] { return host.asked.size() == 2; }));
     CHECK(core.listed().at(0).zone == 1);
-    catalog.set_zones({"a", "b"});  // unchanged: the watch goes on
+    catalog.set_zones({"a", "b"});  // unchanged zones: the watch continues
     loop.settle();
     CHECK(host.asked.size() == 2);
     discovery.replies = {full_list};
--- a/tests/adapters/limited_admission_test.cpp
+++ b/tests/adapters/limited_admission_test.cpp
@@ -1,4 +1,4 @@
-// The admission by cost across a reload of its classes.
+// Requests that the limiter has queued while new settings renumber the classes.
 #include "adapters/limited_admission.hpp"
 
 #include "adapters/pending_admission.hpp"
@@ -16,10 +16,10 @@
     bool rejected = false;
 };
 
-routing::ClientRequest request(const char* id, std::uint32_t request_class) {
+routing::ClientRequest make_request(const char* id, std::uint32_t class_number) {
     routing::ClientRequest request;
     request.id = id;
-    request.request_class = routing::ClassId{request_class};
+    request.request_class = routing::ClassId{class_number};
     request.group = routing::GroupId{1};
     request.client_timeout = 30s;
     return request;
@@ -31,18 +31,19 @@
         Loop loop;
         routing::Clock clock;
         PendingAdmission core;
-        limits::Settings by_cost;
-        by_cost.work = 1us;
-        by_cost.wait = 20s;
-        by_cost.reserve = 0;
-        adapters::LimitedAdmission limited(loop.io, clock, by_cost, core);
+        limits::Settings limiter_settings;
+        limiter_settings.work = 1us;
+        limiter_settings.wait = 20s;
+        limiter_settings.reserve = 0;
+        adapters::LimitedAdmission limited(loop.io, clock, limiter_settings, core);
         RecordedOutcome first;
         RecordedOutcome second;
-        limited.accept(request("1", 0), first);
-        limited.accept(request("2", 2), second);
+        limited.accept(make_request("1", 0), first);
+        limited.accept(make_request("2", 2), second);
         loop.settle();
         REQUIRE(core.requests.size() == 1);  // "2" is queued
-        // Class 2 is 0 from now on, what was 0 is 2: as "0" of before it would be a write of another effect.
+        // The classes 2 and 0 swap their numbers. If request "2" kept its number, it would run as a write
+        // with other effects.
         using Ids = std::vector<std::optional<routing::ClassId>>;
         limited.renumber(class_exists ? Ids{routing::ClassId{2}, routing::ClassId{1}, routing::ClassId{0}}
                                       : Ids{routing::ClassId{0}, routing::ClassId{1}});
--- a/tests/adapters/pg_backend_test.cpp
+++ b/tests/adapters/pg_backend_test.cpp
@@ -1,5 +1,6 @@
-// A connection to a PostgreSQL host against a model of the answers it may give: whatever differs is
-// malformed.
+// A connection to a PostgreSQL host that sends valid, changed and random answers. An answer that differs from
+// the one valid form must fail its attempt; otherwise a client might receive data of another request or wait
+// for an answer that never ends.
 #include "adapters/pg_backend.hpp"
 
 #include "support/harness.hpp"
@@ -10,8 +11,8 @@
 using policy::AttemptStatus;
 using routing::BackendConnection;
 
-// Completes the startup, then answers each query with the scripted bytes.
-struct Script : PgStandIn {
+// Completes the startup, then answers each query with the bytes in `reply`.
+struct ScriptedPgHost : PgStandIn {
     using PgStandIn::PgStandIn;
     bool take(Peer& peer, transport::Buffer& in, std::string& out) override {
         if (!next_text(peer, in)) return false;
@@ -21,10 +22,10 @@
     std::string reply, welcome = pg::Writer().authentication_ok().backend_key(1, 2).ready().take();
 };
 
-struct LinkRig : BackendConnection::Owner {
-    explicit LinkRig(std::string reply = "") : host(loop, data), backend(loop.io) {
+struct BackendConnectionFixture : BackendConnection::Owner {
+    explicit BackendConnectionFixture(std::string reply = "") : host(loop, data), backend(loop.io) {
         host.reply = std::move(reply);
-        link = backend.open(host.address(), 10s, *this);
+        connection = backend.open(host.address(), 10s, *this);
     }
     void on_ready(BackendConnection&) override { ready = true; }
     void on_result(BackendConnection&, routing::AttemptResult r) override { result = std::move(r); }
@@ -33,29 +34,30 @@
         pieces += bytes;
         return capacity > pieces.size();
     }
-    std::optional<std::size_t> begun;
+    std::optional<std::size_t> begun;  // length of the long value, once it has begun
     std::string pieces;
-    std::size_t capacity = std::size_t(-1);
+    std::size_t capacity = std::size_t(-1);  // size of `pieces` at which the client takes no more
     void on_end(BackendConnection&, BackendConnection::End e) override { ended = e; }
     bool done() const { return result || ended; }
-    // One query's result; none where the link ended without.
-    std::optional<routing::AttemptResult> request(const std::string& reply, bool probe = false,
-                                                  bool in_pieces = false) {
+    // Sends one query. Returns its result, or nothing if the connection ended without one.
+    std::optional<routing::AttemptResult> execute(const std::string& reply, bool is_health_check = false,
+                                                  bool may_stream_answer = false) {
         host.reply = reply;
         result.reset();
         REQUIRE(loop.until([&] { return ready || ended; }));
-        routing::ClientRequest item;
-        item.verb = routing::ClientRequest::Verb::lookup;
-        item.name = "n", item.id = "1", item.class_name = "c", item.may_stream_answer = in_pieces;
+        routing::ClientRequest request;
+        request.verb = routing::ClientRequest::Verb::lookup;
+        request.name = "n", request.id = "1", request.class_name = "c",
+        request.may_stream_answer = may_stream_answer;
         begun.reset(), pieces.clear();
-        if (probe)
-            link->probe();
+        if (is_health_check)
+            connection->probe();
         else
-            link->submit(item, 4s, std::nullopt);
+            connection->submit(request, 4s, std::nullopt);
         REQUIRE(loop.until([&] {
-            if (!done() && pieces.size() >= capacity) {  // the client has read what there was
+            if (!done() && pieces.size() >= capacity) {  // the client has read all pieces
                 capacity = pieces.size() + 30000;
-                link->resume();
+                connection->resume();
             }
             return done();
         }));
@@ -63,15 +65,15 @@
     }
     Loop loop;
     Host data;
-    Script host;
+    ScriptedPgHost host;
     adapters::PgBackend backend;
-    std::shared_ptr<BackendConnection> link;
+    std::shared_ptr<BackendConnection> connection;
     std::optional<routing::AttemptResult> result;
     std::optional<BackendConnection::End> ended;
     bool ready = false;
 };
 
-std::vector<std::string> good(std::string value) {
+std::vector<std::string> complete_answer(std::string value) {
     auto one = [](auto write) {
         pg::Writer w;
         write(w);
@@ -92,7 +94,7 @@
 // The messages of an answer after one random change.
 struct ChangedAnswer {
     std::vector<std::string> parts;
-    bool more_behind = false;  // something follows the answer
+    bool has_trailing_bytes = false;  // further bytes follow the answer
 };
 ChangedAnswer change(const std::vector<std::string>& complete, Dice& dice) {
     ChangedAnswer changed{complete};
@@ -109,14 +111,14 @@
         case 2:
             std::swap(parts[at], parts[other]);
             break;
-        case 3:  // a length that does not fit, up to gigabytes
+        case 3:  // a wrong length, up to gigabytes
             parts[at][1 + dice.below(4)] ^= char(1 + dice.below(255));
             break;
         case 4:
             parts[at] = "-ERR nonsense\r\n";
             break;
         case 5:
-            changed.more_behind = true;
+            changed.has_trailing_bytes = true;
             break;
         default:
             break;
@@ -125,55 +127,57 @@
 }
 
 // Whether the messages up to the first ReadyForQuery are the complete answer. A ParameterStatus may be
-// anywhere in it, or nowhere.
+// anywhere in it or be missing. Sets `has_trailing_bytes` if further messages follow.
 bool begins_with_answer(const std::vector<std::string>& parts, std::vector<std::string> complete,
-                        bool& more_behind) {
+                        bool& has_trailing_bytes) {
     const std::string parameter = complete[3];
     const std::string ready = complete[4];
     auto first_end = std::find(parts.begin(), parts.end(), ready);
     if (first_end != parts.end()) ++first_end;
-    more_behind = more_behind || first_end != parts.end();
+    has_trailing_bytes = has_trailing_bytes || first_end != parts.end();
     std::vector<std::string> answer(parts.begin(), first_end);
     std::erase(answer, parameter);
     std::erase(complete, parameter);
     return answer == complete;
 }
 
-TEST_CASE("pg links: an answer out of order is a failed attempt, one with more behind it counts") {
+TEST_CASE(
+    "pg backend connection: a changed answer fails its attempt, a complete one with trailing bytes is "
+    "valid") {
     Dice dice(41);
-    std::unique_ptr<LinkRig> rig;
+    std::unique_ptr<BackendConnectionFixture> fixture;
     int well_formed = 0;
     int malformed = 0;
     for (int round = 0; round < 300; ++round) {
-        if (!rig) rig = std::make_unique<LinkRig>();
+        if (!fixture) fixture = std::make_unique<BackendConnectionFixture>();
         const std::string value = std::to_string(round) + std::string(dice.below(3) * 3000, 'v');
-        const auto complete = good(value);
+        const auto complete = complete_answer(value);
         const ChangedAnswer changed = change(complete, dice);
-        bool trailing = changed.more_behind;
+        bool trailing = changed.has_trailing_bytes;
         const bool expect_ok = begins_with_answer(changed.parts, complete, trailing);
         std::string bytes = joined(changed.parts);
-        if (changed.more_behind) bytes += dice.below(2) ? joined(complete) : "noise";
-        auto result = rig->request(bytes);
+        if (changed.has_trailing_bytes) bytes += dice.below(2) ? joined(complete) : "noise";
+        auto result = fixture->execute(bytes);
         REQUIRE(result);
         if (expect_ok) {
             ++well_formed;
             CHECK(result->status == AttemptStatus::ok);
             REQUIRE(result->answer.rows.size() == 1);
             CHECK(result->answer.rows[0].content == value);
-            if (trailing) CHECK(rig->loop.until([&] { return !result->reusable || rig->ended; }));
+            if (trailing) CHECK(fixture->loop.until([&] { return !result->reusable || fixture->ended; }));
         } else {
             ++malformed;
             CHECK(result->status == AttemptStatus::error);
             CHECK(result->answer.rows.empty());
             CHECK(!result->position_unix_us);
         }
-        if (!expect_ok || trailing) rig.reset();
+        if (!expect_ok || trailing) fixture.reset();
     }
     CHECK(well_formed > 50);
     CHECK(malformed > 50);
 }
 
-TEST_CASE("pg links: a malformed answer is a failed attempt, and its connection is not reused") {
+TEST_CASE("pg backend connection: a malformed answer fails its attempt, and the connection is not reused") {
     auto row = [](auto... v) { return pg::Writer().data_row({v...}).take(); };
     std::string head = pg::Writer().row_description({{"content", 17, true}}).take();
     std::string end = pg::Writer().complete("SELECT 1").ready().take();
@@ -184,10 +188,10 @@
           head + row("a") + pg::Writer().complete("SELECT 1").plain('Z', "E").take(),
           head + std::string("D\xb2\xd0\x5e\0", 5) + std::string(9000, 'x'),
           head + row(std::string(70000, 'a')).substr(0, 30000),
-          head + row(std::string(1 << 20, 'a')),  // never ends
+          head + row(std::string(1 << 20, 'a')),  // the answer does not end
           pg::Writer().plain('E', "nonsense").ready().take(), std::string("noise\r\nnoise\r\n")}) {
-        LinkRig rig;
-        auto r = rig.request(bytes);
+        BackendConnectionFixture fixture;
+        auto r = fixture.execute(bytes);
         REQUIRE(r);
         CHECK(r->status == AttemptStatus::error);
         CHECK(r->malformed);
@@ -195,20 +199,21 @@
     }
 }
 
-TEST_CASE("pg links: a malformed report or position invalidates nothing but itself") {
-    auto whole = good("v");
+TEST_CASE(
+    "pg backend connection: a malformed load report, position or role is ignored, and the answer is valid") {
+    auto complete = complete_answer("v");
     auto with = [&](std::string name, std::string value) {
-        auto parts = whole;
+        auto parts = complete;
         parts[3] = pg::Writer().parameter(name, value).take();
         return joined(parts);
     };
-    LinkRig rig;
+    BackendConnectionFixture fixture;
     for (auto bytes :
          {with("health", "inflight=7,x0=9%"), with("health", "inflight=7;;"), with("lsn_ms", "17x"),
           with("recovery", "maybe"),
-          joined({whole[0], whole[1], whole[2],
-                  pg::Writer().plain('S', std::string("health\0no end", 13)).take(), whole[4]})}) {
-        auto r = rig.request(bytes);
+          joined({complete[0], complete[1], complete[2],
+                  pg::Writer().plain('S', std::string("health\0no end", 13)).take(), complete[4]})}) {
+        auto r = fixture.execute(bytes);
         REQUIRE(r);
         CHECK(r->status == AttemptStatus::ok);
         CHECK(r->reusable);
@@ -216,119 +221,125 @@
         CHECK(!r->position_unix_us);
         CHECK(!r->role);
     }
-    auto r = rig.request(with("health", "inflight=7,x0=1767225600.5"));
+    auto r = fixture.execute(with("health", "inflight=7,x0=1767225600.5"));
     CHECK(r->report.in_flight == 7.0);
-    std::string probe = pg::Writer()
-                            .row_description({{"health", 25, false}})
-                            .data_row({"inflight=3,x1=1"})
-                            .complete("SHOW")
-                            .ready()
-                            .take();
-    r = rig.request(probe, true);
+    std::string health_answer = pg::Writer()
+                                    .row_description({{"health", 25, false}})
+                                    .data_row({"inflight=3,x1=1"})
+                                    .complete("SHOW")
+                                    .ready()
+                                    .take();
+    r = fixture.execute(health_answer, true);
     CHECK(r->status == AttemptStatus::ok);
     CHECK(r->report.in_flight == 3.0);
 }
 
-TEST_CASE("pg links: a value of some hundred KiB is an answer like any other") {
-    LinkRig rig;
+TEST_CASE(
+    "pg backend connection: a value of some hundred KiB is returned complete if the request does not "
+    "stream") {
+    BackendConnectionFixture fixture;
     std::string value(400000, 'v');
-    auto r = rig.request(joined(good(value)));
+    auto r = fixture.execute(joined(complete_answer(value)));
     REQUIRE(r);
     CHECK(r->status == AttemptStatus::ok);
     CHECK(r->answer.rows.at(0).content == value);
     CHECK(r->reusable);
 }
 
-// The model of a long value: it is received in pieces, and nothing is read while there is no capacity.
+// Guards against lost, repeated or reordered pieces when a slow client pauses a long value.
 TEST_CASE(
-    "pg links: a long value is received in pieces, no more than the capacity, and ends like any other") {
+    "pg backend connection: a long value is received in pieces, pauses while the client has no capacity, and "
+    "ends like a short one") {
     Dice dice(12);
-    LinkRig rig;
+    BackendConnectionFixture fixture;
     for (int round = 0; round < 40; ++round) {
         std::string value(dice.below(300000), 'a');
         for (std::size_t i = 0; i < value.size(); i += 97) value[i] = char(dice.below(256));
         bool limited = dice.below(2);
-        rig.capacity = limited ? 20000 : std::size_t(-1);
-        auto r = rig.request(joined(good(value)), false, true);
+        fixture.capacity = limited ? 20000 : std::size_t(-1);
+        auto r = fixture.execute(joined(complete_answer(value)), false, true);
         REQUIRE(r);
         CHECK(r->status == AttemptStatus::ok);
         CHECK(r->reusable);
         CHECK(r->position_unix_us == 1767225600123000);
         bool is_long = value.size() + 10 > 65536;
-        CHECK(rig.begun.has_value() == is_long);
+        CHECK(fixture.begun.has_value() == is_long);
         CHECK(r->answer.rows.empty() == is_long);
-        CHECK((is_long ? rig.pieces : r->answer.rows.at(0).content) == value);
+        CHECK((is_long ? fixture.pieces : r->answer.rows.at(0).content) == value);
     }
-    rig.capacity = std::size_t(-1);
-    CHECK(rig.request(joined(good(std::string(4 << 20, 'x'))), false, true)->status == AttemptStatus::ok);
-    CHECK(rig.pieces.size() == 4 << 20);
+    fixture.capacity = std::size_t(-1);
+    CHECK(fixture.execute(joined(complete_answer(std::string(4 << 20, 'x'))), false, true)->status ==
+          AttemptStatus::ok);
+    CHECK(fixture.pieces.size() == 4 << 20);
 }
 
-TEST_CASE("pg links: a link without capacity reads no further") {
-    LinkRig rig;
-    rig.capacity = 1;
-    rig.host.reply = joined(good(std::string(4 << 20, 'x')));
-    REQUIRE(rig.loop.until([&] { return rig.ready; }));
-    routing::ClientRequest item;
-    item.verb = routing::ClientRequest::Verb::lookup, item.name = "n", item.id = "1",
-    item.may_stream_answer = true;
-    rig.link->submit(item, 4s, std::nullopt);
-    REQUIRE(rig.loop.until([&] { return rig.begun.has_value(); }));
-    rig.loop.settle();
-    CHECK(rig.pieces.size() < 65536);
-    rig.link->resume();
-    rig.loop.settle();
-    CHECK(rig.pieces.size() < 2 * 65536);
-    CHECK(!rig.done());
+TEST_CASE("pg backend connection: a paused long value is not read from the socket") {
+    BackendConnectionFixture fixture;
+    fixture.capacity = 1;
+    fixture.host.reply = joined(complete_answer(std::string(4 << 20, 'x')));
+    REQUIRE(fixture.loop.until([&] { return fixture.ready; }));
+    routing::ClientRequest request;
+    request.verb = routing::ClientRequest::Verb::lookup, request.name = "n", request.id = "1",
+    request.may_stream_answer = true;
+    fixture.connection->submit(request, 4s, std::nullopt);
+    REQUIRE(fixture.loop.until([&] { return fixture.begun.has_value(); }));
+    fixture.loop.settle();
+    CHECK(fixture.pieces.size() < 65536);
+    fixture.connection->resume();
+    fixture.loop.settle();
+    CHECK(fixture.pieces.size() < 2 * 65536);
+    CHECK(!fixture.done());
 }
 
-TEST_CASE("pg links: a long value that breaks off or has the wrong length is a failed attempt") {
-    auto parts = good(std::string(200000, 'v'));
+TEST_CASE("pg backend connection: a long value that breaks off or has a wrong length fails its attempt") {
+    auto parts = complete_answer(std::string(200000, 'v'));
     auto malformed = [&](std::string reply, bool begins) {
-        LinkRig rig;
-        auto r = rig.request(std::move(reply), false, true);
+        BackendConnectionFixture fixture;
+        auto r = fixture.execute(std::move(reply), false, true);
         REQUIRE(r);
         CHECK(r->status == AttemptStatus::error);
         CHECK(r->malformed);
         CHECK(!r->reusable);
-        CHECK(rig.begun.has_value() == begins);
+        CHECK(fixture.begun.has_value() == begins);
     };
     malformed(joined({parts[0], parts[1], parts[1], parts[4]}), true);          // a second row
-    malformed(joined({parts[0], parts[1], "noise that is no message"}), true);  // what follows is no end
+    malformed(joined({parts[0], parts[1], "noise that is no message"}), true);  // no valid message follows
     for (auto [at, byte] : {std::pair{1, '\x7f'}, {3, '\1'}, {5, '\1'}, {6, '\2'}, {8, '\x30'}}) {
-        std::string row = parts[1];  // lengths and counts that do not fit each other, or are too large
+        std::string row = parts[1];  // inconsistent or excessive lengths and counts
         row[std::size_t(at)] = byte;
         malformed(joined({parts[0], row}), false);
     }
-    LinkRig rig;  // a host that dies halfway
-    rig.host.reply = joined({parts[0], parts[1].substr(0, 100000)});
-    REQUIRE(rig.loop.until([&] { return rig.ready; }));
-    routing::ClientRequest item;
-    item.verb = routing::ClientRequest::Verb::lookup, item.name = "n", item.id = "1",
-    item.may_stream_answer = true;
-    rig.link->submit(item, 4s, std::nullopt);
-    REQUIRE(rig.loop.until([&] { return rig.pieces.size() == 100000 - 11; }));
-    rig.host.drop_all();
-    REQUIRE(rig.loop.until([&] { return rig.done(); }));
-    CHECK(rig.ended == BackendConnection::End::written);
+    BackendConnectionFixture fixture;  // the host closes the connection in the middle of the value
+    fixture.host.reply = joined({parts[0], parts[1].substr(0, 100000)});
+    REQUIRE(fixture.loop.until([&] { return fixture.ready; }));
+    routing::ClientRequest request;
+    request.verb = routing::ClientRequest::Verb::lookup, request.name = "n", request.id = "1",
+    request.may_stream_answer = true;
+    fixture.connection->submit(request, 4s, std::nullopt);
+    REQUIRE(fixture.loop.until([&] { return fixture.pieces.size() == 100000 - 11; }));
+    fixture.host.drop_all();
+    REQUIRE(fixture.loop.until([&] { return fixture.done(); }));
+    CHECK(fixture.ended == BackendConnection::End::written);
 }
 
-TEST_CASE("pg links: a malformed startup never gets ready; bytes between requests end the connection") {
+TEST_CASE(
+    "pg backend connection: a malformed startup ends as unreachable, and unrequested bytes end the "
+    "connection") {
     for (std::string welcome : {std::string("SSH-2.0\r\n"), pg::Writer().ready().take(),
                                 pg::Writer().plain('R', std::string("\0\0\0\3", 4)).take()}) {
-        LinkRig rig;
-        rig.host.welcome = welcome;
-        REQUIRE(rig.loop.until([&] { return rig.ended.has_value(); }));
-        CHECK(rig.ended == BackendConnection::End::unreachable);
+        BackendConnectionFixture fixture;
+        fixture.host.welcome = welcome;
+        REQUIRE(fixture.loop.until([&] { return fixture.ended.has_value(); }));
+        CHECK(fixture.ended == BackendConnection::End::unreachable);
     }
-    LinkRig rig;
-    rig.host.welcome += "noise";
-    REQUIRE(rig.loop.until([&] { return rig.ended.has_value(); }));
-    LinkRig closing;
-    REQUIRE(closing.request(joined(good("v")))->reusable);
-    CHECK(closing.link->may_be_reused());
+    BackendConnectionFixture fixture;
+    fixture.host.welcome += "noise";
+    REQUIRE(fixture.loop.until([&] { return fixture.ended.has_value(); }));
+    BackendConnectionFixture closing;
+    REQUIRE(closing.execute(joined(complete_answer("v")))->reusable);
+    CHECK(closing.connection->may_be_reused());
     closing.host.drop_all();
-    CHECK(closing.loop.until([&] { return !closing.link->may_be_reused(); }));
+    CHECK(closing.loop.until([&] { return !closing.connection->may_be_reused(); }));
 }
 
 }  // namespace
