--- a/src/adapters/pg_backend.cpp
+++ b/src/adapters/pg_backend.cpp
@@ -280,26 +280,27 @@
     }
 
     const char* process_error(std::string_view body) {
-        pg::ErrorFields e = pg::read_error(body);
-        if (e.code.size() != 5 || !std::all_of(e.code.begin(), e.code.end(), [](char c) {
+        pg::ErrorFields fields = pg::read_error(body);
+        if (fields.code.size() != 5 || !std::all_of(fields.code.begin(), fields.code.end(), [](char c) {
                 return (c >= '0' && c <= '9') || (c >= 'A' && c <= 'Z');
             }))
             return "error message without a valid SQLSTATE";
         has_failed_ = true;
-        if (e.code == pg::sqlstate::kReadOnly || e.code == pg::sqlstate::kSnapshotTooOld)
+        if (fields.code == pg::sqlstate::kReadOnly || fields.code == pg::sqlstate::kSnapshotTooOld)
             result_.status = AttemptStatus::miss;
-        else if (e.code == pg::sqlstate::kTooManyConnections || e.code == pg::sqlstate::kCannotConnectNow)
+        else if (fields.code == pg::sqlstate::kTooManyConnections ||
+                 fields.code == pg::sqlstate::kCannotConnectNow)
             result_.status = AttemptStatus::rejected;
         else
             result_.status = AttemptStatus::error;
-        if (forwards_messages() && result_.status == AttemptStatus::error && e.severity != "FATAL" &&
-            is_statement_error(e.code)) {
+        if (forwards_messages() && result_.status == AttemptStatus::error && fields.severity != "FATAL" &&
+            is_statement_error(fields.code)) {
             has_failed_ = false;
             has_statement_error_ = true;
             expected_part_ = Part::ready;
             return forward_message({'E', body});
         }
-        if (e.severity == "FATAL") {  // ends the answer and the connection
+        if (fields.severity == "FATAL") {  // ends the answer and the connection
             result_.reusable = false;
             is_rejected_ = state_ == State::starting && result_.status == AttemptStatus::rejected;
         }
--- a/src/adapters/rest_backend.cpp
+++ b/src/adapters/rest_backend.cpp
@@ -135,41 +135,41 @@
         return true;
     }
 
-    AttemptResult read_answer(const http::Response& r) {
+    AttemptResult read_answer(const http::Response& response) {
         AttemptResult result;
-        if (auto role = r.field("member-role"))
+        if (auto role = response.field("member-role"))
             result.role = *role == "primary" ? Role::primary : Role::replica;
-        if (auto position = read_position(r.field("data-position"))) {
+        if (auto position = read_position(response.field("data-position"))) {
             result.position_unix_us = *position * 1000;
             result.answer.position_unix_ms = position;
         }
         result.status = AttemptStatus::error;
-        if (r.status == 200 || r.status == 201) {
+        if (response.status == 200 || response.status == 201) {
             result.status = AttemptStatus::ok;
             if (verb_ == ClientRequest::Verb::page) {
-                auto rows = rest::read_rows(r.body);
+                auto rows = rest::read_rows(response.body);
                 if (!rows) result.status = AttemptStatus::error;
                 if (rows) result.answer.rows = std::move(*rows);
             } else {
-                result.answer.rows.push_back({{}, r.body});
+                result.answer.rows.push_back({{}, response.body});
                 if (verb_ == ClientRequest::Verb::write) result.answer.tag = "INSERT 0 1";
             }
-        } else if (r.status == 404 && verb_ == ClientRequest::Verb::lookup) {
+        } else if (response.status == 404 && verb_ == ClientRequest::Verb::lookup) {
             result.status = AttemptStatus::ok;  // the row does not exist, which is a valid answer
-        } else if (r.status == 412 || r.status == 421) {
+        } else if (response.status == 412 || response.status == 421) {
             result.status = AttemptStatus::miss;
-        } else if (r.status == 429 || r.status == 503) {
+        } else if (response.status == 429 || response.status == 503) {
             result.status = AttemptStatus::rejected;
         }
         return result;
     }
 
-    static AttemptResult read_health(const http::Response& r) {
+    static AttemptResult read_health(const http::Response& response) {
         AttemptResult result;
-        result.status = r.status == 200   ? AttemptStatus::ok
-                        : r.status == 503 ? AttemptStatus::rejected
-                                          : AttemptStatus::error;
-        json body = json::parse(r.body, nullptr, false);
+        result.status = response.status == 200   ? AttemptStatus::ok
+                        : response.status == 503 ? AttemptStatus::rejected
+                                                 : AttemptStatus::error;
+        json body = json::parse(response.body, nullptr, false);
         if (!body.is_object()) return result;
         auto number = [&](const char* name) -> std::optional<double> {
             if (!body.contains(name) || !body[name].is_number()) return std::nullopt;
