--- a/src/protocol/pg_statement.hpp
+++ b/src/protocol/pg_statement.hpp
@@ -35,7 +35,8 @@
     // Name of the row that is looked up or written; for a page, the name after which it starts; for other
     // statements, the first literal.
     std::string name;
-    // Value of the literal that is written, not decoded. Unset if it is in `long_content`.
+    // Value of the literal that is written; bytea's hex form is not decoded. Unset if it is in
+    // `long_content`.
     std::optional<std::string> content;
     // A long literal that contains no quote: a view into the statement, to avoid a copy.
     std::string_view long_content;
