--- a/bench/statement_bench.cpp
+++ b/bench/statement_bench.cpp
@@ -1,4 +1,5 @@
-// What the statement package costs: `make bench` prints the tables of docs/statement-shapes-measured.md.
+// Benchmarks of the statement module and of admission limits. `make bench` prints the tables of
+// docs/statement-shapes-measured.md.
 #include <benchmark/benchmark.h>
 
 #include <cmath>
@@ -12,24 +13,24 @@
 namespace indigovane::statement {
 namespace {
 
-const std::string kUsual =
+const std::string kTypicalStatement =
     "/* id=9b1f03aa5c7e2d41,c=stock-view,t=acme,d=480,cluster=2 */ SELECT b.id, b.pieces, h.name FROM bags b "
     "JOIN "
     "hotels h ON h.id = b.hotel WHERE b.round = 'r-2026-12-01' AND b.pieces > 12 ORDER BY b.at LIMIT 50";
 
-std::string list_of(std::size_t count) {
+std::string select_in_list(std::size_t count) {
     std::string sql = "SELECT content FROM kv WHERE name IN (";
     for (std::size_t i = 0; i < count; ++i) sql += (i ? ", '" : "'") + std::to_string(1000000 + i) + "'";
     return sql + ")";
 }
 
 void scan(benchmark::State& state, const std::string& sql) {
-    Scanner scanner({.longest = 64 << 20});
+    Scanner scanner({.max_text_bytes = 64 << 20});
     for (auto _ : state) benchmark::DoNotOptimize(scanner.scan(sql));
     state.SetBytesProcessed(std::int64_t(state.iterations()) * std::int64_t(sql.size()));
 }
 void scan_usual(benchmark::State& state) {
-    scan(state, kUsual);
+    scan(state, kTypicalStatement);
 }
 void scan_long_literal(benchmark::State& state) {
     scan(state, "INSERT INTO kv (name, content) VALUES ('a', '\\x" + std::string(4 << 20, 'a') + "')");
@@ -41,7 +42,7 @@
     scan(state, "SELECT /*" + std::string(4 << 20, 'c') + "*/ 1");
 }
 void scan_long_list(benchmark::State& state) {
-    scan(state, list_of(100000));
+    scan(state, select_in_list(100000));
 }
 void scan_long_code(benchmark::State& state) {
     std::string sql = "SELECT 1";
@@ -50,45 +51,49 @@
 }
 
 void judge_hit(benchmark::State& state) {
-    StatementAnalyzer judge({}, {});
-    for (auto _ : state) benchmark::DoNotOptimize(&judge.analyze(kUsual, {}));
-    state.counters["bytes"] = double(kUsual.size());
+    StatementAnalyzer analyzer({}, {});
+    for (auto _ : state) benchmark::DoNotOptimize(&analyzer.analyze(kTypicalStatement, {}));
+    state.counters["bytes"] = double(kTypicalStatement.size());
 }
 void judge_hit_of_many(benchmark::State& state) {
-    StatementAnalyzer judge({}, {.parses_per_second = 1e18});
-    std::vector<std::string> all;
-    for (int i = 0; i < 8000; ++i) all.push_back(kUsual + " OFFSET b.c" + std::to_string(i));
+    StatementAnalyzer analyzer({}, {.parses_per_second = 1e18});
+    std::vector<std::string> statements;
+    for (int i = 0; i < 8000; ++i)
+        statements.push_back(kTypicalStatement + " OFFSET b.c" + std::to_string(i));
     for (int round = 0; round < 2; ++round)
-        for (auto& sql : all) judge.analyze(sql, {});
+        for (auto& sql : statements) analyzer.analyze(sql, {});
     std::mt19937 random(1);
-    for (auto _ : state) benchmark::DoNotOptimize(&judge.analyze(all[random() % all.size()], {}));
-    state.counters["shapes"] = double(judge.cache().size());
-    state.counters["MiB"] = double(judge.cache().bytes()) / 1048576;
+    for (auto _ : state)
+        benchmark::DoNotOptimize(&analyzer.analyze(statements[random() % statements.size()], {}));
+    state.counters["shapes"] = double(analyzer.cache().size());
+    state.counters["MiB"] = double(analyzer.cache().bytes()) / 1048576;
 }
 void judge_miss(benchmark::State& state) {
-    StatementAnalyzer judge({}, {.parses_per_second = 1e18});
+    StatementAnalyzer analyzer({}, {.parses_per_second = 1e18});
     std::size_t i = 0;
     for (auto _ : state)
-        benchmark::DoNotOptimize(&judge.analyze(kUsual + " OFFSET b.c" + std::to_string(++i), {}));
+        benchmark::DoNotOptimize(
+            &analyzer.analyze(kTypicalStatement + " OFFSET b.c" + std::to_string(++i), {}));
 }
 
-// ---- the cache against a plain LRU of as many bytes ------------------------------------------------
+// ---- the shape cache compared with a plain LRU of the same size ------------------------------------
 
 class PlainLru {
   public:
-    explicit PlainLru(std::size_t bytes) : most_(bytes) {}
+    explicit PlainLru(std::size_t bytes) : max_bytes_(bytes) {}
     const StatementProfile* find(std::string_view text) {
         auto it = map_.find(std::string(text));
         if (it == map_.end()) return nullptr;
         order_.splice(order_.begin(), order_, it->second);
         return &it->second->second;
     }
-    const StatementProfile* put(std::string_view text, StatementProfile j) {
-        // As the other cache counts: the entry, its text, its strings; this one's text is held twice.
+    const StatementProfile* put(std::string_view text, StatementProfile profile) {
+        // Counts memory as the shape cache does: the entry, its text and its strings. This cache keeps the
+        // text twice, but counts it once.
         bytes_ += sizeof(StatementProfile) + text.size() + 88;
-        order_.emplace_front(std::string(text), std::move(j));
+        order_.emplace_front(std::string(text), std::move(profile));
         map_[order_.front().first] = order_.begin();
-        while (bytes_ > most_) {
+        while (bytes_ > max_bytes_) {
             bytes_ -= sizeof(StatementProfile) + order_.back().first.size() + 88;
             map_.erase(order_.back().first);
             order_.pop_back();
@@ -99,12 +104,14 @@
   private:
     std::list<std::pair<std::string, StatementProfile>> order_;
     std::unordered_map<std::string, std::list<std::pair<std::string, StatementProfile>>::iterator> map_;
-    std::size_t most_, bytes_ = 0;
+    std::size_t max_bytes_, bytes_ = 0;
 };
 
+// The order in which keys are looked up. skewed: by a Zipf distribution; looping: 3000 keys in turn; flooded:
+// three of four keys are used only once.
 enum class Trace { skewed, looping, flooded };
-std::vector<std::uint32_t> trace(Trace kind) {
-    std::vector<std::uint32_t> out;
+std::vector<std::uint32_t> make_keys(Trace trace) {
+    std::vector<std::uint32_t> keys;
     std::mt19937_64 random(7);
     std::vector<double> sums;
     double sum = 0;
@@ -114,50 +121,50 @@
         return std::uint32_t(std::lower_bound(sums.begin(), sums.end(), at) - sums.begin());
     };
     for (std::uint32_t i = 0; i < 300000; ++i) {
-        if (kind == Trace::skewed) out.push_back(zipf());
-        if (kind == Trace::looping) out.push_back(i % 3000);
-        if (kind == Trace::flooded) out.push_back(i % 4 ? 1000000 + i : zipf() % 1500);
+        if (trace == Trace::skewed) keys.push_back(zipf());
+        if (trace == Trace::looping) keys.push_back(i % 3000);
+        if (trace == Trace::flooded) keys.push_back(i % 4 ? 1000000 + i : zipf() % 1500);
     }
-    return out;
+    return keys;
 }
 
 template <typename Cache>
-void cache(benchmark::State& state, Trace kind, Cache&& make) {
-    auto keys = trace(kind);
+void run_trace(benchmark::State& state, Trace trace, Cache&& make) {
+    auto keys = make_keys(trace);
     std::vector<std::string> texts;
-    for (std::uint32_t k : keys)
-        texts.push_back(" select a from t where column_" + std::to_string(k) + std::string(120, 'x'));
-    double hits = 0, asked = 0;
+    for (std::uint32_t key : keys)
+        texts.push_back(" select a from t where column_" + std::to_string(key) + std::string(120, 'x'));
+    double hits = 0, lookups = 0;
     for (auto _ : state) {
-        auto c = make();
+        auto cache = make();
         for (const std::string& text : texts) {
-            ++asked;
-            if (c->find(text)) {
+            ++lookups;
+            if (cache->find(text)) {
                 ++hits;
                 continue;
             }
-            StatementProfile j;
-            j.reason = "it only reads";
-            c->put(text, std::move(j));
+            StatementProfile profile;
+            profile.reason = "it only reads";
+            cache->put(text, std::move(profile));
         }
     }
-    state.counters["hit_ratio"] = hits / asked;
-    state.SetItemsProcessed(std::int64_t(asked));
+    state.counters["hit_ratio"] = hits / lookups;
+    state.SetItemsProcessed(std::int64_t(lookups));
 }
-constexpr std::size_t kBytes = 512 * 1024;
-void shape_cache(benchmark::State& state, Trace kind) {
-    cache(state, kind, [] { return std::make_unique<ShapeCache>(kBytes, 1); });
+constexpr std::size_t kCacheBytes = 512 * 1024;
+void shape_cache(benchmark::State& state, Trace trace) {
+    run_trace(state, trace, [] { return std::make_unique<ShapeCache>(kCacheBytes, 1); });
 }
-void plain_lru(benchmark::State& state, Trace kind) {
-    cache(state, kind, [] { return std::make_unique<PlainLru>(kBytes); });
+void plain_lru(benchmark::State& state, Trace trace) {
+    run_trace(state, trace, [] { return std::make_unique<PlainLru>(kCacheBytes); });
 }
 
 // ---- limits --------------------------------------------------------------------------------------
 
 void limiter_through(benchmark::State& state) {
-    limits::Settings s;
-    s.shares = {{"a", 0.6}, {"b", 0.4}};
-    limits::Limiter limiter(s);
+    limits::Settings settings;
+    settings.shares = {{"a", 0.6}, {"b", 0.4}};
+    limits::Limiter limiter(settings);
     limits::Time now{std::chrono::seconds(1)};
     std::uint64_t id = 0;
     std::vector<limits::AdmissionDecision> due;
@@ -173,38 +180,38 @@
     }
 }
 void limiter_queued(benchmark::State& state) {
-    limits::Settings s;
-    s.shares = {{"a", 0.6}, {"b", 0.4}};
-    s.wait = std::chrono::seconds(10);
-    limits::Limiter limiter(s);
+    limits::Settings settings;
+    settings.shares = {{"a", 0.6}, {"b", 0.4}};
+    settings.wait = std::chrono::seconds(10);
+    limits::Limiter limiter(settings);
     limits::Time now{std::chrono::seconds(1)};
     std::uint64_t id = 0;
     std::vector<limits::AdmissionDecision> due;
     std::list<std::uint64_t> running;
-    auto ask = [&] {
+    auto arrive = [&] {
         ++id;
-        auto v = limiter.arrive({id,
-                                 1,
-                                 id % 2 ? "a" : "b",
-                                 {id % 16, 1},
-                                 std::chrono::milliseconds(50),
-                                 false,
-                                 now + std::chrono::seconds(100)},
-                                now);
-        if (v.admission == limits::Admission::admit) running.push_back(id);
+        auto decision = limiter.arrive({id,
+                                        1,
+                                        id % 2 ? "a" : "b",
+                                        {id % 16, 1},
+                                        std::chrono::milliseconds(50),
+                                        false,
+                                        now + std::chrono::seconds(100)},
+                                       now);
+        if (decision.admission == limits::Admission::admit) running.push_back(id);
     };
-    for (int i = 0; i < 100; ++i) ask();
+    for (int i = 0; i < 100; ++i) arrive();
     for (auto _ : state) {
         now += std::chrono::milliseconds(5);
-        ask();
+        arrive();
         if (!running.empty()) {
             limiter.finish(running.front(), limits::Outcome::served, 100, now);
             running.pop_front();
         }
         due.clear();
         limiter.release(now, due);
-        for (auto& v : due)
-            if (v.admission == limits::Admission::admit) running.push_back(v.id);
+        for (auto& decision : due)
+            if (decision.admission == limits::Admission::admit) running.push_back(decision.id);
     }
 }
 
--- a/fuzz/classifier_fuzz.cpp
+++ b/fuzz/classifier_fuzz.cpp
@@ -1,4 +1,5 @@
-// libFuzzer: any bytes through the whole package; whatever they are, only a plain read may go to a replica.
+// Fuzz target of the analyzer (libFuzzer): for any bytes, only a plain read may go to a replica, and a second
+// analysis gives the same kind, route and shape as the first.
 #include <cstdlib>
 
 #include "statement/statement_analyzer.hpp"
@@ -6,11 +7,11 @@
 using namespace indigovane::statement;
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    static StatementAnalyzer judge({}, {.cache = 1 << 20, .parses_per_second = 1e18});
+    static StatementAnalyzer analyzer({}, {.cache = 1 << 20, .parses_per_second = 1e18});
     std::string_view sql(reinterpret_cast<const char*>(data), size);
-    StatementProfile first = judge.analyze(sql, {});
+    StatementProfile first = analyzer.analyze(sql, {});
     if (first.route == Route::replica && first.kind != Kind::read) std::abort();
-    const StatementProfile& again = judge.analyze(sql, {});
-    if (again.kind != first.kind || again.route != first.route || again.shape != first.shape) std::abort();
+    const StatementProfile& second = analyzer.analyze(sql, {});
+    if (second.kind != first.kind || second.route != first.route || second.shape != first.shape) std::abort();
     return 0;
 }
--- a/fuzz/scanner_fuzz.cpp
+++ b/fuzz/scanner_fuzz.cpp
@@ -1,4 +1,5 @@
-// libFuzzer: any bytes through the scanner. `make fuzz` builds and runs it for a minute; seeds in fuzz/seeds.
+// Fuzz target of the scanner (libFuzzer), for any bytes. `make fuzz` builds it and runs it for a minute. Its
+// seeds are in fuzz/seeds.
 #include <cstdlib>
 #include <set>
 
@@ -7,19 +8,21 @@
 using namespace indigovane::statement;
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    static Scanner scanner({.longest = 65536, .most_spans = 4096, .most_elements = 16});
+    static Scanner scanner({.max_text_bytes = 65536, .max_spans = 4096, .max_list_depth = 16});
     std::string_view sql(reinterpret_cast<const char*>(data), size);
-    bool good = scanner.scan(sql);
-    if (!good && scanner.at() > size) std::abort();
+    bool is_valid = scanner.scan(sql);
+    if (!is_valid && scanner.flaw_offset() > size) std::abort();
     std::size_t end = 0;
-    for (Span s : scanner.spans()) {  // in order, within the statement, apart
-        if (s.begin < end || s.length == 0 || s.begin + std::size_t(s.length) > size) std::abort();
-        end = s.begin + s.length;
+    // The spans must be in order, within the statement, and not overlap.
+    for (Span span : scanner.spans()) {
+        if (span.begin < end || span.length == 0 || span.begin + std::size_t(span.length) > size)
+            std::abort();
+        end = span.begin + span.length;
     }
-    if (good && scanner.text().empty()) std::abort();
+    if (is_valid && scanner.text().empty()) std::abort();
     if (scanner.text().size() > 65536 + 2 * size + 64) std::abort();
-    // The same again: nothing is left over from the scan before.
+    // A second scan must give the same result: the scanner keeps no state from the first one.
     std::string first(scanner.text());
-    if (scanner.scan(sql) != good || scanner.text() != first) std::abort();
+    if (scanner.scan(sql) != is_valid || scanner.text() != first) std::abort();
     return 0;
 }
--- a/src/statement/builtins.cpp
+++ b/src/statement/builtins.cpp
@@ -81,7 +81,7 @@
 textlen texteq int4eq int4pl int8pl hashtext hashint4 ascii pg_client_encoding getdatabaseencoding inet cidr
 )";
 
-// The connection's state, which the next statement on it would meet.
+// These change the state of the connection, which the next statement on it would see.
 constexpr std::string_view kSession = R"(
 set_config setseed pg_advisory_lock pg_advisory_lock_shared pg_try_advisory_lock pg_try_advisory_lock_shared
 pg_advisory_unlock pg_advisory_unlock_all pg_advisory_unlock_shared
@@ -138,56 +138,57 @@
 txid_snapshot pg_snapshot decimal integer bigint smallint real
 )";
 
-std::unordered_set<std::string_view> table(std::string_view text) {
-    std::unordered_set<std::string_view> out;
+// Splits at blanks and line ends.
+std::unordered_set<std::string_view> split_words(std::string_view text) {
+    std::unordered_set<std::string_view> words;
     while (!text.empty()) {
         std::size_t begin = text.find_first_not_of(" \n");
         if (begin == std::string_view::npos) break;
         text.remove_prefix(begin);
         std::size_t end = std::min(text.find_first_of(" \n"), text.size());
-        out.insert(text.substr(0, end));
+        words.insert(text.substr(0, end));
         text.remove_prefix(end);
     }
-    return out;
+    return words;
 }
 
-// Made at the first use: a program that classes no statement pays nothing for them.
-const std::unordered_map<std::string_view, Effect>& functions() {
-    static const auto all = [] {
-        std::unordered_map<std::string_view, Effect> out;
-        for (auto w : table(kReads)) out[w] = Effect::reads;
-        for (auto w : table(kSession)) out[w] = Effect::session;
-        for (auto w : table(kWrites)) out[w] = Effect::writes;
-        return out;
+// Built at the first use: a program that classifies no statements pays nothing for it.
+const std::unordered_map<std::string_view, Effect>& function_effects() {
+    static const auto effects = [] {
+        std::unordered_map<std::string_view, Effect> effects_by_name;
+        for (auto word : split_words(kReads)) effects_by_name[word] = Effect::reads;
+        for (auto word : split_words(kSession)) effects_by_name[word] = Effect::session;
+        for (auto word : split_words(kWrites)) effects_by_name[word] = Effect::writes;
+        return effects_by_name;
     }();
-    return all;
+    return effects;
 }
 
 }  // namespace
 
 std::optional<Effect> builtin_function(std::string_view name) {
-    auto it = functions().find(name);
-    return it == functions().end() ? std::nullopt : std::optional(it->second);
+    auto it = function_effects().find(name);
+    return it == function_effects().end() ? std::nullopt : std::optional(it->second);
 }
 
 bool builtin_aggregate(std::string_view name) {
-    static const auto all = table(kAggregates);
-    return all.count(name) > 0;
+    static const auto names = split_words(kAggregates);
+    return names.count(name) > 0;
 }
 
 bool builtin_operator(std::string_view name) {
-    static const auto all = table(kOperators);
-    return all.count(name) > 0;
+    static const auto names = split_words(kOperators);
+    return names.count(name) > 0;
 }
 
 bool builtin_type(std::string_view name) {
-    static const auto all = table(kTypes);
-    return all.count(name) > 0;
+    static const auto names = split_words(kTypes);
+    return names.count(name) > 0;
 }
 
 bool opaque_function(std::string_view name) {
-    static const auto all = table(kOpaque);
-    return all.count(name) > 0;
+    static const auto names = split_words(kOpaque);
+    return names.count(name) > 0;
 }
 
 }  // namespace indigovane::statement
--- a/src/statement/builtins.hpp
+++ b/src/statement/builtins.hpp
@@ -1,6 +1,7 @@
-// What PostgreSQL brings itself: functions with what they do, operators, types. Written after the
-// documentation of version 15 (chapters 8 and 9), which names volatility only in part; what is not listed is
-// unknown, and what is unknown goes to the primary. So a gap costs a replica its read, never the data.
+// PostgreSQL's built-in functions with their effects, its operators and its types. The lists follow chapters
+// 8 and 9 of the documentation of version 15, which states the volatility of some functions only. A name that
+// is not listed is unknown, and a statement that uses it goes to the primary. So a gap in the lists only
+// moves a read from a replica to the primary; it never puts data at risk.
 #pragma once
 
 #include <cstdint>
@@ -9,20 +10,21 @@
 
 namespace indigovane::statement {
 
-// What a function, operator or relation may do when it is evaluated.
+// What a function, operator or relation may do when it is evaluated. In ascending order of severity.
 enum class Effect : std::uint8_t {
-    reads,    // nothing but read, whatever its volatility
-    session,  // changes what later statements of its connection see: settings, advisory locks, sequences'
-              // last
+    reads,    // only reads, whatever its volatility
+    session,  // changes state of the connection that later statements see: settings, advisory locks, the
+              // last values of sequences
     writes,   // changes data, or something outside the transaction
 };
 
-// Of a function in pg_catalog, by its plain name; nothing: there is none that is known.
+// The effect of the function `name` (without a schema) in pg_catalog. Returns nothing if none is known.
 std::optional<Effect> builtin_function(std::string_view name);
-bool builtin_aggregate(std::string_view name);  // costs grow with all rows
+bool builtin_aggregate(std::string_view name);  // its cost grows with the number of rows
 bool builtin_operator(std::string_view name);
-bool builtin_type(std::string_view name);  // as the grammar has it: int4, not integer
-// Functions that take a whole statement, a table or a file as text: what they read or run can't be seen.
+bool builtin_type(std::string_view name);  // `name` as in the parse tree: int4, not integer
+// Whether the function takes a statement, table or file as text, so that the parse tree doesn't show what it
+// reads or runs.
 bool opaque_function(std::string_view name);
 
 }  // namespace indigovane::statement
--- a/src/statement/canonical_text.cpp
+++ b/src/statement/canonical_text.cpp
@@ -28,25 +28,25 @@
 }
 
 Shape shape_of(std::string_view canonical) {
-    // Placeholders of all kinds are made alike on the way. A quoted identifier keeps its bytes: control
-    // characters in one are told from placeholders by the quotes.
-    std::string even(canonical);
-    bool quoted = false;
-    for (char& c : even) {
-        if (c == '"') quoted = !quoted;
-        if (!quoted && c >= kText && c <= kAny) c = kText;
+    // Replaces placeholders of all kinds by the same one. Quoted identifiers are left as they are, because a
+    // control character in one is not a placeholder.
+    std::string normalized(canonical);
+    bool is_quoted = false;
+    for (char& c : normalized) {
+        if (c == '"') is_quoted = !is_quoted;
+        if (!is_quoted && c >= kText && c <= kAny) c = kText;
     }
-    XXH128_hash_t hash = XXH3_128bits(even.data(), even.size());
+    XXH128_hash_t hash = XXH3_128bits(normalized.data(), normalized.size());
     return {hash.high64, hash.low64};
 }
 
 std::string parsable(std::string_view canonical) {
     std::string out;
     out.reserve(canonical.size() + 64);
-    bool quoted = false;
+    bool is_quoted = false;
     for (char c : canonical) {
-        if (c == '"') quoted = !quoted;
-        if (quoted || c < kText || c > kAny) {
+        if (c == '"') is_quoted = !is_quoted;
+        if (is_quoted || c < kText || c > kAny) {
             out += c;
             continue;
         }
@@ -54,7 +54,7 @@
             case kText:
                 out += "'1'";
                 break;
-            case kWhole:
+            case kInteger:
             case kAny:
                 out += '1';
                 break;
@@ -69,10 +69,10 @@
     return out;
 }
 
-std::string printable(std::string_view canonical, std::size_t most) {
+std::string printable(std::string_view canonical, std::size_t max_bytes) {
     std::string out;
     for (char c : canonical.substr(canonical.empty() ? 0 : 1)) {
-        if (out.size() >= most) return out + "...";
+        if (out.size() >= max_bytes) return out + "...";
         out += c >= kText && c <= kAny ? '?' : std::uint8_t(c) < 0x20 || c == 0x7f ? ' ' : c;
     }
     return out;
--- a/src/statement/character_classes.hpp
+++ b/src/statement/character_classes.hpp
@@ -1,4 +1,5 @@
-// What a byte may begin or go on with, by PostgreSQL's lexical rules; bytes from 0x80 on belong to words.
+// Which tokens a byte may begin or continue, by PostgreSQL's lexical rules. Bytes from 0x80 on belong to
+// words.
 #pragma once
 
 #include <array>
@@ -7,7 +8,16 @@
 
 namespace indigovane::statement {
 
-enum : std::uint8_t { kBlank = 1, kWordStart = 2, kWordPart = 4, kDigit = 8, kOperator = 16, kSelf = 32 };
+// kWordStart and kWordPart: the first and any further character of a word. kOperator: characters of
+// operators. kPunctuation: characters that are tokens by themselves.
+enum : std::uint8_t {
+    kBlank = 1,
+    kWordStart = 2,
+    kWordPart = 4,
+    kDigit = 8,
+    kOperator = 16,
+    kPunctuation = 32
+};
 
 constexpr std::array<std::uint8_t, 256> make_classes() {
     std::array<std::uint8_t, 256> classes{};
@@ -19,24 +29,27 @@
     classes['$'] |= kWordPart;
     for (int b = '0'; b <= '9'; ++b) classes[std::size_t(b)] |= kDigit | kWordPart;
     for (char b : std::string_view("~!@#^&|`?+-*/%<>=")) classes[std::uint8_t(b)] |= kOperator;
-    for (char b : std::string_view(",()[].;:")) classes[std::uint8_t(b)] |= kSelf;
+    for (char b : std::string_view(",()[].;:")) classes[std::uint8_t(b)] |= kPunctuation;
     return classes;
 }
 constexpr auto kClasses = make_classes();
 
 constexpr std::array<char, 256> make_lower() {
-    std::array<char, 256> l{};
-    for (int b = 0; b < 256; ++b) l[std::size_t(b)] = char(b >= 'A' && b <= 'Z' ? b + 32 : b);
-    return l;
+    std::array<char, 256> folded{};
+    for (int b = 0; b < 256; ++b) folded[std::size_t(b)] = char(b >= 'A' && b <= 'Z' ? b + 32 : b);
+    return folded;
 }
 constexpr auto kLower = make_lower();
 
-inline bool is(char c, std::uint8_t what) {
-    return (kClasses[std::uint8_t(c)] & what) != 0;
+// Whether the character belongs to one of the classes, a bitwise combination of the constants above.
+inline bool is(char c, std::uint8_t classes) {
+    return (kClasses[std::uint8_t(c)] & classes) != 0;
 }
+// Folds ASCII letters only.
 inline char lower(char c) {
     return c >= 'A' && c <= 'Z' ? char(c + 32) : c;
 }
+// The value of a hexadecimal digit, or -1 if the character is none.
 inline int hex_digit(char c) {
     if (c >= '0' && c <= '9') return c - '0';
     c = lower(c);
--- a/src/statement/classifier.cpp
+++ b/src/statement/classifier.cpp
@@ -13,18 +13,18 @@
 
 namespace {
 
-constexpr std::size_t kTablesMost = 8, kReasonMost = 200;
+constexpr std::size_t kMaxTables = 8, kMaxReasonBytes = 200;
 
-struct FreeResult {
-    void operator()(PgQueryParseResult* r) const {
-        pg_query_free_parse_result(*r);
-        delete r;
+struct ParseResultDeleter {
+    void operator()(PgQueryParseResult* result) const {
+        pg_query_free_parse_result(*result);
+        delete result;
     }
 };
 
 template <std::size_t N>
-bool one_of(std::string_view text, const std::array<std::string_view, N>& all) {
-    return std::find(all.begin(), all.end(), text) != all.end();
+bool is_one_of(std::string_view text, const std::array<std::string_view, N>& names) {
+    return std::find(names.begin(), names.end(), text) != names.end();
 }
 
 constexpr std::array<std::string_view, 6> kWriteNodes = {"InsertStmt", "UpdateStmt", "DeleteStmt",
@@ -40,49 +40,52 @@
 
 struct Name {
     std::string_view schema, name;
-    bool catalog() const { return schema.empty() || schema == "pg_catalog"; }
+    bool may_be_builtin() const { return schema.empty() || schema == "pg_catalog"; }
     std::string text() const { return (schema.empty() ? "" : std::string(schema) + ".") + std::string(name); }
 };
 
-// The last two of a list of String nodes.
-Name read_name(const json& list) {
-    Name out;
-    if (!list.is_array()) return out;
+// Takes the last two String nodes of a list as schema and name. A list of one node has no schema.
+Name read_qualified_name(const json& list) {
+    Name last_two;
+    if (!list.is_array()) return last_two;
     for (const json& item : list) {
-        auto s = item.find("String");
-        if (s == item.end() || !s->is_object()) continue;
-        auto v = s->find("sval");
-        if (v == s->end() || !v->is_string()) continue;
-        out.schema = out.name;
-        out.name = v->get_ref<const std::string&>();
+        auto node = item.find("String");
+        if (node == item.end() || !node->is_object()) continue;
+        auto value = node->find("sval");
+        if (value == node->end() || !value->is_string()) continue;
+        last_two.schema = last_two.name;
+        last_two.name = value->get_ref<const std::string&>();
     }
-    return out;
+    return last_two;
 }
 
-std::string_view text_of(const json& object, const char* key) {
+// Empty if the field is missing or not a string.
+std::string_view string_field(const json& object, const char* key) {
     auto it = object.find(key);
     if (it == object.end() || !it->is_string()) return {};
     return it->get_ref<const std::string&>();
 }
 
-void add(std::uint8_t& count, std::size_t more = 1) {
-    count = std::uint8_t(std::min<std::size_t>(255, count + more));
+// Stops at 255.
+void add(std::uint8_t& count, std::size_t increment = 1) {
+    count = std::uint8_t(std::min<std::size_t>(255, count + increment));
 }
 
-// Walks a whole tree with a stack of its own: no nesting, however deep, takes more than memory.
-class Walk {
+// Collects effects, tables and features from a whole parse tree. It keeps the pending nodes in a vector
+// instead of recursing, so that deep nesting can't overflow the call stack.
+class TreeInspector {
   public:
-    explicit Walk(const Declarations& declared) : declared_(declared) {}
+    explicit TreeInspector(const Declarations& declarations) : declarations_(declarations) {}
 
-    void run(const json& root) {
+    void inspect(const json& root) {
         stack_.push_back(&root);
         while (!stack_.empty()) {
             const json& node = *stack_.back();
             stack_.pop_back();
             if (node.is_object()) {
-                object(node);
+                inspect_object(node);
                 for (auto it = node.begin(); it != node.end(); ++it) {
-                    look(it.key(), it.value());
+                    inspect_field(it.key(), it.value());
                     if (it.value().is_structured()) stack_.push_back(&it.value());
                 }
             } else if (node.is_array()) {
@@ -92,94 +95,103 @@
         }
     }
 
-    bool writes = false, locks = false, session = false, unknown = false;
-    std::string why;  // of the first that was found, the gravest
+    bool has_writes = false, has_row_locks = false, has_session_effects = false, has_unknown_names = false;
+    // The reason for the most severe effect found so far; of equal ones, the first.
+    std::string reason;
     Features features;
     std::vector<std::string> tables;
 
   private:
-    void found(bool& what, std::string reason) {
-        if (!what && (&what == &writes || why.empty() || (!writes && &what == &session)))
-            why = std::move(reason);
-        what = true;
+    void record(bool& flag, std::string flag_reason) {
+        if (!flag &&
+            (&flag == &has_writes || reason.empty() || (!has_writes && &flag == &has_session_effects)))
+            reason = std::move(flag_reason);
+        flag = true;
     }
-    void effect(std::optional<Effect> e, const char* sort, const Name& name) {
-        if (!e)
-            found(unknown, std::string(sort) + " " + name.text() + " is unknown");
-        else if (*e == Effect::writes)
-            found(writes, std::string(sort) + " " + name.text() + " has effects");
-        else if (*e == Effect::session)
-            found(session, std::string(sort) + " " + name.text() + " leaves something on its connection");
+    // `object_type`: "function", "operator" etc., for the reason. No effect means that it is unknown.
+    void record_effect(std::optional<Effect> effect, const char* object_type, const Name& name) {
+        if (!effect)
+            record(has_unknown_names, std::string(object_type) + " " + name.text() + " is unknown");
+        else if (*effect == Effect::writes)
+            record(has_writes, std::string(object_type) + " " + name.text() + " has effects");
+        else if (*effect == Effect::session)
+            record(has_session_effects,
+                   std::string(object_type) + " " + name.text() + " changes the state of its connection");
     }
     std::optional<Effect> function_effect(const Name& name) const {
-        auto declared = declared_.function(name.schema, name.name);
+        auto declared = declarations_.function_effect(name.schema, name.name);
         std::optional<Effect> builtin;
-        if (name.catalog()) builtin = builtin_function(name.name);
-        // What is declared may hide a built-in, and the other way round: the graver counts.
+        if (name.may_be_builtin()) builtin = builtin_function(name.name);
+        // Either the declared function or the built-in one may hide the other: the more severe effect counts.
         if (declared && builtin) return std::max(*declared, *builtin);
         if (declared) return declared;
-        if (name.schema.empty() && declared_.any_effect(name.name)) return Effect::writes;
+        if (name.schema.empty() && declarations_.may_have_effects(name.name)) return Effect::writes;
         return builtin;
     }
-    void op(const json& list) {
-        Name name = read_name(list);
+    void inspect_operator(const json& list) {
+        Name name = read_qualified_name(list);
         if (name.name.empty()) return;
-        auto declared = declared_.op(name.schema, name.name);
-        bool builtin = name.catalog() && builtin_operator(name.name);
-        effect(declared ? declared : builtin ? std::optional(Effect::reads) : std::nullopt, "operator", name);
+        auto declared = declarations_.operator_effect(name.schema, name.name);
+        bool builtin = name.may_be_builtin() && builtin_operator(name.name);
+        record_effect(declared  ? declared
+                      : builtin ? std::optional(Effect::reads)
+                                : std::nullopt,
+                      "operator", name);
     }
-    // t.f and (t).f call f(t) where f is a function and no column.
-    void attribute(const json& list) {
-        Name name = read_name(list);
+    // t.f and (t).f call the function f(t) if t has no column f.
+    void inspect_attribute(const json& list) {
+        Name name = read_qualified_name(list);
         if (name.name.empty()) return;
         auto builtin = builtin_function(name.name);
-        if (declared_.any_effect(name.name) || (builtin && *builtin == Effect::writes))
-            found(writes, "column " + name.text() + " may be a call of the function with effects");
+        if (declarations_.may_have_effects(name.name) || (builtin && *builtin == Effect::writes))
+            record(has_writes, "column " + name.text() + " may call a function that has effects");
     }
 
-    void look(const std::string& key, const json& value) {
-        if (one_of(key, kWriteNodes)) return found(writes, key.substr(0, key.size() - 4) + " writes");
-        if (key == "intoClause") return found(writes, "SELECT INTO makes a table");
-        if (key == "lockingClause") return found(locks, "it locks rows");
+    void inspect_field(const std::string& key, const json& value) {
+        if (is_one_of(key, kWriteNodes)) return record(has_writes, key.substr(0, key.size() - 4) + " writes");
+        if (key == "intoClause") return record(has_writes, "SELECT INTO creates a table");
+        if (key == "lockingClause") return record(has_row_locks, "the statement locks rows");
         if (key == "FuncCall") {
             auto names = value.find("funcname");
             if (names == value.end()) return;
-            Name name = read_name(*names);
+            Name name = read_qualified_name(*names);
             add(features.functions);
-            if (name.catalog() && builtin_aggregate(name.name)) add(features.aggregates);
-            return effect(function_effect(name), "function", name);
+            if (name.may_be_builtin() && builtin_aggregate(name.name)) add(features.aggregates);
+            return record_effect(function_effect(name), "function", name);
         }
         if (key == "A_Expr") {
             auto names = value.find("name");
-            // BETWEEN's name is no operator's.
-            if (names != value.end() && text_of(value, "kind").find("BETWEEN") == std::string_view::npos)
-                op(*names);
+            // The name of a BETWEEN expression is not an operator.
+            if (names != value.end() && string_field(value, "kind").find("BETWEEN") == std::string_view::npos)
+                inspect_operator(*names);
             return;
         }
-        if (key == "operName" || key == "useOp") return op(value);
+        if (key == "operName" || key == "useOp") return inspect_operator(value);
         if (key == "typeName" || key == "TypeName") {
             auto names = value.find("names");
             if (names == value.end()) return;
-            Name name = read_name(*names);
-            if (!(name.catalog() && builtin_type(name.name)) && !declared_.type(name.schema, name.name))
-                found(unknown, "type " + name.text() + " is unknown");
+            Name name = read_qualified_name(*names);
+            if (!(name.may_be_builtin() && builtin_type(name.name)) &&
+                !declarations_.has_type(name.schema, name.name))
+                record(has_unknown_names, "type " + name.text() + " is unknown");
             return;
         }
         if (key == "RangeTableSample") {
             auto names = value.find("method");
             if (names == value.end()) return;
-            Name name = read_name(*names);
-            if (name.catalog() && (name.name == "system" || name.name == "bernoulli")) return;
-            return effect(declared_.function(name.schema, name.name), "sampling method", name);
+            Name name = read_qualified_name(*names);
+            if (name.may_be_builtin() && (name.name == "system" || name.name == "bernoulli")) return;
+            return record_effect(declarations_.function_effect(name.schema, name.name), "sampling method",
+                                 name);
         }
         if (key == "ColumnRef") {
             auto fields = value.find("fields");
-            if (fields != value.end() && fields->size() > 1) attribute(*fields);
+            if (fields != value.end() && fields->size() > 1) inspect_attribute(*fields);
             return;
         }
         if (key == "A_Indirection") {
             auto steps = value.find("indirection");
-            if (steps != value.end()) attribute(*steps);
+            if (steps != value.end()) inspect_attribute(*steps);
             return;
         }
         if (key == "JoinExpr") return add(features.joins);
@@ -187,18 +199,20 @@
         if (key == "recursive") features.recursive = features.recursive || value == true;
     }
 
-    void object(const json& node) {
+    void inspect_object(const json& node) {
         auto relname = node.find("relname");
         if (relname != node.end() && relname->is_string() && node.contains("relpersistence")) {
-            Name name{text_of(node, "schemaname"), text_of(node, "relname")};
+            Name name{string_field(node, "schemaname"), string_field(node, "relname")};
             add(features.relations);
             std::string text = name.text();
-            if (tables.size() < kTablesMost && std::find(tables.begin(), tables.end(), text) == tables.end())
+            if (tables.size() < kMaxTables && std::find(tables.begin(), tables.end(), text) == tables.end())
                 tables.push_back(text);
-            if (auto e = declared_.relation(name.schema, name.name); e && *e != Effect::reads)
-                effect(e, "relation", name);
+            if (auto effect = declarations_.relation_effect(name.schema, name.name);
+                effect && *effect != Effect::reads)
+                record_effect(effect, "relation", name);
         }
-        if (node.contains("limitOption")) {  // a SelectStmt, also where its field does not say so
+        // Every SelectStmt has a limitOption, also where the field that holds it has another key.
+        if (node.contains("limitOption")) {
             auto from = node.find("fromClause");
             if (from != node.end() && from->is_array() && !from->empty()) {
                 add(features.joins, from->size() - 1);
@@ -210,36 +224,38 @@
         }
     }
 
-    const Declarations& declared_;
+    const Declarations& declarations_;
     std::vector<const json*> stack_;
 };
 
 bool is_temporary(const json& statement) {
     auto relation = statement.find("relation");
-    return relation != statement.end() && text_of(*relation, "relpersistence") == "t";
+    return relation != statement.end() && string_field(*relation, "relpersistence") == "t";
 }
 
-// Whether an EXPLAIN runs its statement. A literal's value is not known here: it counts as yes.
-bool analyzes(const json& explain) {
+// Whether an EXPLAIN runs its statement. The canonical text hides the value of a literal, so that a literal
+// counts as true.
+bool runs_statement(const json& explain) {
     auto options = explain.find("options");
     if (options == explain.end()) return false;
     bool runs = false;
     for (const json& option : *options) {
-        auto e = option.find("DefElem");
-        if (e == option.end() || text_of(*e, "defname") != "analyze") continue;
-        auto arg = e->find("arg");
+        auto element = option.find("DefElem");
+        if (element == option.end() || string_field(*element, "defname") != "analyze") continue;
+        auto arg = element->find("arg");
         runs = true;
-        if (arg != e->end() && arg->contains("String")) {
-            std::string_view value = text_of((*arg)["String"], "sval");
+        if (arg != element->end() && arg->contains("String")) {
+            std::string_view value = string_field((*arg)["String"], "sval");
             runs = value != "off" && value != "false";
         }
     }
     return runs;
 }
 
-std::string shortened(std::string text) {
-    if (text.size() > kReasonMost) {
-        text.resize(kReasonMost - 3);
+// Makes a reason fit in one line of kMaxReasonBytes; cuts at the boundary of a UTF-8 character.
+std::string shorten(std::string text) {
+    if (text.size() > kMaxReasonBytes) {
+        text.resize(kMaxReasonBytes - 3);
         while (!text.empty() && (std::uint8_t(text.back()) & 0xc0) == 0x80) text.pop_back();
         if (!text.empty() && (std::uint8_t(text.back()) & 0xc0) == 0xc0) text.pop_back();
         text += "...";
@@ -258,9 +274,9 @@
 }
 
 bool parse_kind(std::string_view text, Kind& out) {
-    for (std::size_t k = 0; k <= std::size_t(Kind::invalid); ++k)
-        if (text == name(Kind(k))) {
-            out = Kind(k);
+    for (std::size_t index = 0; index <= std::size_t(Kind::invalid); ++index)
+        if (text == name(Kind(index))) {
+            out = Kind(index);
             return true;
         }
     return false;
@@ -271,7 +287,7 @@
     return kNames[std::size_t(route)];
 }
 
-Route Classifier::route(Kind kind) const {
+Route Classifier::default_route(Kind kind) const {
     switch (kind) {
         case Kind::read:
             return Route::replica;
@@ -291,88 +307,98 @@
     return policy_.unparsed;
 }
 
-StatementProfile Classifier::flawed(Flaw flaw, std::size_t at) const {
-    StatementProfile j;
-    j.kind = Kind::invalid;
-    // Where there is no statement there is nothing that a primary could do with it.
-    j.route = flaw == Flaw::empty ? Route::refuse : policy_.unparsed;
-    j.reason = std::string(describe(flaw)) + (flaw == Flaw::empty ? "" : ", at byte " + std::to_string(at));
-    return j;
+StatementProfile Classifier::invalid_profile(Flaw flaw, std::size_t offset) const {
+    StatementProfile profile;
+    profile.kind = Kind::invalid;
+    // An empty statement gives the primary nothing to do.
+    profile.route = flaw == Flaw::empty ? Route::refuse : policy_.unparsed;
+    profile.reason =
+        std::string(describe(flaw)) + (flaw == Flaw::empty ? "" : ", at byte " + std::to_string(offset));
+    return profile;
 }
 
 StatementProfile Classifier::classify(std::string_view canonical) const {
-    StatementProfile j;
-    auto end = [&](Kind kind, std::string reason) {
-        j.kind = kind;
-        j.route = route(kind);
-        j.reason = shortened(std::move(reason));
-        return j;
+    StatementProfile profile;
+    auto finish = [&](Kind kind, std::string reason) {
+        profile.kind = kind;
+        profile.route = default_route(kind);
+        profile.reason = shorten(std::move(reason));
+        return profile;
     };
-    if (canonical.size() > longest_) return end(Kind::invalid, "too long to be parsed");
+    if (canonical.size() > max_canonical_bytes_)
+        return finish(Kind::invalid, "the statement without its literals is too long to be parsed");
     std::string text = parsable(canonical);
-    if (text.find('\0') != std::string::npos) return end(Kind::invalid, "a zero byte");
-    std::unique_ptr<PgQueryParseResult, FreeResult> result(
+    if (text.find('\0') != std::string::npos)
+        return finish(Kind::invalid, "the statement contains a zero byte");
+    std::unique_ptr<PgQueryParseResult, ParseResultDeleter> result(
         new PgQueryParseResult(pg_query_parse(text.c_str())));
     if (result->error)
-        return end(Kind::invalid, result->error->message ? result->error->message : "it can't be parsed");
+        return finish(Kind::invalid,
+                      result->error->message ? result->error->message : "the statement can't be parsed");
     json tree = json::parse(result->parse_tree, nullptr, false);
     result.reset();
-    auto stmts = tree.is_object() ? tree.find("stmts") : tree.end();
-    if (tree.is_discarded() || !tree.is_object() || stmts == tree.end() || !stmts->is_array())
-        return end(Kind::invalid, "its tree can't be read");
-    if (stmts->empty()) return end(Kind::invalid, describe(Flaw::empty));
-    if (stmts->size() > 1)
-        return end(Kind::many, std::to_string(stmts->size()) + " statements, one at a time is taken");
-    auto stmt = stmts->front().find("stmt");
-    if (stmt == stmts->front().end() || stmt->size() != 1)
-        return end(Kind::invalid, "its tree can't be read");
-    const std::string top = stmt->begin().key();
-    const json& body = stmt->begin().value();
-
-    Walk walk(declared_);
-    walk.run(*stmt);
-    j.tables = walk.tables;
-    j.features = walk.features;
-    std::string what = top.size() > 4 && top.ends_with("Stmt") ? top.substr(0, top.size() - 4) : top;
-
-    if (one_of(top, kTransactionStatements))
-        return end(Kind::transaction, what + " needs a transaction of its own");
-    if (one_of(top, kSessionStatements)) {
-        // SET LOCAL, and SET TRANSACTION, are of a transaction; both mean nothing here.
-        return end(Kind::session, what + " leaves something on its connection");
+    auto statements = tree.is_object() ? tree.find("stmts") : tree.end();
+    if (tree.is_discarded() || !tree.is_object() || statements == tree.end() || !statements->is_array())
+        return finish(Kind::invalid, "the parse tree can't be read");
+    if (statements->empty()) return finish(Kind::invalid, describe(Flaw::empty));
+    if (statements->size() > 1)
+        return finish(Kind::many,
+                      std::to_string(statements->size()) + " statements, but only one at a time is accepted");
+    auto statement = statements->front().find("stmt");
+    if (statement == statements->front().end() || statement->size() != 1)
+        return finish(Kind::invalid, "the parse tree can't be read");
+    const std::string statement_type = statement->begin().key();
+    const json& body = statement->begin().value();
+
+    TreeInspector inspector(declarations_);
+    inspector.inspect(*statement);
+    profile.tables = inspector.tables;
+    profile.features = inspector.features;
+    std::string command = statement_type.size() > 4 && statement_type.ends_with("Stmt")
+                              ? statement_type.substr(0, statement_type.size() - 4)
+                              : statement_type;
+
+    if (is_one_of(statement_type, kTransactionStatements))
+        return finish(Kind::transaction, command + " needs a transaction that spans statements");
+    if (is_one_of(statement_type, kSessionStatements)) {
+        // This includes SET LOCAL and SET TRANSACTION. They apply to a transaction and have no effect outside
+        // one.
+        return finish(Kind::session, command + " changes the state of its connection");
     }
-    if (top == "CreateStmt" && is_temporary(body))
-        return end(Kind::session, "a temporary table stays on its connection");
-    if (one_of(top, kWriteStatements)) return end(Kind::write, what + " writes");
-    if (top == "CopyStmt") {
-        if (walk.writes) return end(Kind::write, walk.why);
-        if (body.contains("is_from")) return end(Kind::write, "COPY FROM writes");
+    if (statement_type == "CreateStmt" && is_temporary(body))
+        return finish(Kind::session, "a temporary table belongs to its connection");
+    if (is_one_of(statement_type, kWriteStatements)) return finish(Kind::write, command + " writes");
+    if (statement_type == "CopyStmt") {
+        if (inspector.has_writes) return finish(Kind::write, inspector.reason);
+        if (body.contains("is_from")) return finish(Kind::write, "COPY FROM writes");
         if (body.contains("filename") || body.contains("is_program"))
-            return end(Kind::write, "COPY to a file or program writes");
-        return end(Kind::utility, "COPY has a protocol of its own");
+            return finish(Kind::write, "COPY to a file or program writes");
+        return finish(Kind::utility, "COPY uses its own protocol");
     }
-    if (top == "ExplainStmt") {
+    if (statement_type == "ExplainStmt") {
         auto inner = body.find("query");
-        std::string query = inner != body.end() && inner->size() == 1 ? inner->begin().key() : "";
-        bool plain = query == "SelectStmt";
-        if (!analyzes(body)) {
-            // Planning runs no writes, but it does evaluate what is declared stable.
-            if (!plain || walk.writes || walk.session)
-                return end(Kind::utility, "EXPLAIN of what is no plain read");
-        } else if (one_of(query, kWriteNodes) || one_of(query, kWriteStatements) || walk.writes) {
-            return end(Kind::write, "EXPLAIN ANALYZE runs it: " + (walk.writes ? walk.why : query));
-        } else if (!plain) {
-            return end(Kind::utility, "EXPLAIN ANALYZE of what is no plain read");
+        std::string inner_type = inner != body.end() && inner->size() == 1 ? inner->begin().key() : "";
+        bool is_select = inner_type == "SelectStmt";
+        if (!runs_statement(body)) {
+            // Planning runs no writes, but it does evaluate functions that are declared stable.
+            if (!is_select || inspector.has_writes || inspector.has_session_effects)
+                return finish(Kind::utility, "EXPLAIN of a statement that is not a plain read");
+        } else if (is_one_of(inner_type, kWriteNodes) || is_one_of(inner_type, kWriteStatements) ||
+                   inspector.has_writes) {
+            return finish(Kind::write, "EXPLAIN ANALYZE runs the statement: " +
+                                           (inspector.has_writes ? inspector.reason : inner_type));
+        } else if (!is_select) {
+            return finish(Kind::utility, "EXPLAIN ANALYZE of a statement that is not a plain read");
         }
-    } else if (top != "SelectStmt" && !one_of(top, kWriteNodes)) {
-        return end(Kind::utility, what + " is no query");
+    } else if (statement_type != "SelectStmt" && !is_one_of(statement_type, kWriteNodes)) {
+        return finish(Kind::utility, command + " is not a query");
     }
-    if (walk.writes) return end(Kind::write, walk.why);
-    if (walk.session) return end(Kind::session, walk.why);
-    if (walk.locks) return end(Kind::locking, walk.why);
-    end(Kind::read, walk.unknown ? walk.why : "it only reads");
-    if (walk.unknown) j.route = Route::primary;
-    return j;
+    if (inspector.has_writes) return finish(Kind::write, inspector.reason);
+    if (inspector.has_session_effects) return finish(Kind::session, inspector.reason);
+    if (inspector.has_row_locks) return finish(Kind::locking, inspector.reason);
+    finish(Kind::read, inspector.has_unknown_names ? inspector.reason : "the statement only reads");
+    if (inspector.has_unknown_names) profile.route = Route::primary;
+    return profile;
 }
 
 }  // namespace indigovane::statement
--- a/src/statement/classifier.hpp
+++ b/src/statement/classifier.hpp
@@ -1,5 +1,6 @@
-// Classes a statement by its parse tree (libpg_query: PostgreSQL 15's own grammar). Used on a miss of the
-// cache only. It sees a canonical text, never a value.
+// Classifies a statement by its parse tree, which libpg_query builds with the grammar of PostgreSQL 15. The
+// analyzer calls it only if the shape cache has no entry. It sees a canonical text, never the values of
+// literals.
 #pragma once
 
 #include <functional>
@@ -12,21 +13,22 @@
 
 namespace indigovane::statement {
 
-// What the operator's file adds to the built-ins. Names are as the tree has them: folded where not quoted.
+// What the operator's statements file declares in addition to the built-ins. Names are spelled as in the
+// parse tree: in lower case unless they are quoted in the statement.
 class Declarations {
   public:
     virtual ~Declarations() = default;
-    // `schema` is empty where the statement names none. Nothing: not declared.
-    virtual std::optional<Effect> function(std::string_view schema, std::string_view name) const = 0;
-    virtual std::optional<Effect> op(std::string_view schema, std::string_view name) const = 0;
-    virtual std::optional<Effect> relation(std::string_view schema, std::string_view name) const = 0;
-    virtual bool type(std::string_view schema, std::string_view name) const = 0;
-    // Whether a function of that name is declared to do more than read, in any schema.
-    virtual bool any_effect(std::string_view name) const = 0;
+    // `schema` is empty if the statement names none. Returns nothing if the name is not declared.
+    virtual std::optional<Effect> function_effect(std::string_view schema, std::string_view name) const = 0;
+    virtual std::optional<Effect> operator_effect(std::string_view schema, std::string_view name) const = 0;
+    virtual std::optional<Effect> relation_effect(std::string_view schema, std::string_view name) const = 0;
+    virtual bool has_type(std::string_view schema, std::string_view name) const = 0;
+    // Whether a function of this name, in any schema, is declared to do more than read.
+    virtual bool may_have_effects(std::string_view name) const = 0;
 };
 
-// What becomes of kinds that no replica may have, by the operator's rule.
-struct Policy {
+// The operator's routes for kinds of statements that never go to a replica.
+struct RoutePolicy {
     Route unparsed = Route::refuse;  // primary or refuse
     Route session = Route::refuse;
     Route transaction = Route::refuse;
@@ -34,20 +36,23 @@
 
 class Classifier {
   public:
-    Classifier(const Declarations& declared, Policy policy, std::size_t longest = 16 * 1024)
-        : declared_(declared), policy_(policy), longest_(longest) {}
+    // Statements with a longer canonical text are not parsed. `declarations` must outlive the classifier.
+    Classifier(const Declarations& declarations, RoutePolicy policy,
+               std::size_t max_canonical_bytes = 16 * 1024)
+        : declarations_(declarations), policy_(policy), max_canonical_bytes_(max_canonical_bytes) {}
 
-    // Kind, route, reason, tables and features; the shape and the rule's class are not its concern. Any text
-    // is judged; it never throws but for want of memory.
+    // Sets kind, route, reason, tables and features; the shape, the class and its cost are left at their
+    // defaults. Accepts any text. Throws only if memory runs out.
     StatementProfile classify(std::string_view canonical) const;
-    // For a text that a scanner has found a flaw in.
-    StatementProfile flawed(Flaw flaw, std::size_t at) const;
-    Route route(Kind kind) const;  // before functions, operators and relations are looked at
+    // The profile of a text in which the scanner found a flaw at the byte `offset`.
+    StatementProfile invalid_profile(Flaw flaw, std::size_t offset) const;
+    // The route of a kind, without regard to unknown functions, operators and types.
+    Route default_route(Kind kind) const;
 
   private:
-    const Declarations& declared_;
-    Policy policy_;
-    std::size_t longest_;
+    const Declarations& declarations_;
+    RoutePolicy policy_;
+    std::size_t max_canonical_bytes_;
 };
 
 }  // namespace indigovane::statement
--- a/src/statement/scanner.cpp
+++ b/src/statement/scanner.cpp
@@ -9,15 +9,15 @@
 
 namespace {
 
-constexpr std::size_t kMaxStatementBytes = 0xffffffff;  // spans count in 32 bits
+constexpr std::size_t kMaxStatementBytes = 0xffffffff;  // Span counts bytes in 32 is_bit_string
 
-// Keywords behind which an expression begins, so that a sign there belongs to the number after it.
-bool is_clause(std::string_view word) {
-    static constexpr std::string_view kClauses[] = {
+// Whether an expression begins after this keyword, so that a sign there belongs to the number after it.
+bool begins_expression(std::string_view word) {
+    static constexpr std::string_view kKeywords[] = {
         "select", "where", "and",    "or",     "not",  "limit",     "offset", "when",  "then",    "else",
         "by",     "on",    "having", "set",    "case", "returning", "like",   "ilike", "between", "distinct",
         "all",    "as",    "fetch",  "values", "from", "default",   "using",  "any",   "escape",  "is"};
-    return std::find(std::begin(kClauses), std::end(kClauses), word) != std::end(kClauses);
+    return std::find(std::begin(kKeywords), std::end(kKeywords), word) != std::end(kKeywords);
 }
 
 }  // namespace
@@ -29,131 +29,134 @@
         case Flaw::empty:
             return "there is no statement";
         case Flaw::unterminated:
-            return "a string, comment or quoted identifier does not end";
+            return "unterminated string, comment or quoted identifier";
         case Flaw::bad_character:
-            return "a character that begins no token";
+            return "a character that can't begin a token";
         case Flaw::bad_number:
-            return "a number with letters behind it, or a parameter out of range";
+            return "a number followed by letters, or a parameter number out of range";
         case Flaw::bad_escape:
-            return "a Unicode escape that names no character";
+            return "invalid Unicode escape";
         case Flaw::bad_identifier:
-            return "a quoted identifier without a character";
+            return "empty quoted identifier";
         case Flaw::too_long:
-            return "too many tokens";
+            return "the statement is too long or has too many tokens";
     }
     return "";
 }
 
 // ---- the canonical text ------------------------------------------------------------------------
 
-bool Scanner::fail(Flaw flaw, std::size_t at) {
+bool Scanner::fail(Flaw flaw, std::size_t offset) {
     flaw_ = flaw;
-    at_ = at;
+    flaw_offset_ = offset;
     return false;
 }
 
-// Only a sign asks what the word before it was: words are not looked up otherwise.
-bool Scanner::sign_belongs() const {
-    if (before_ == Before::word)
+// Whether a sign after the previous token belongs to the number after it. Only here is the previous word
+// compared with the keywords, so that words without a sign after them cost no lookup.
+bool Scanner::is_sign_of_number() const {
+    if (previous_token_ == PreviousToken::word)
         return word_length_ <= 9 &&
-               is_clause(std::string_view(text_.data() + size_ - word_length_, word_length_));
-    return before_ != Before::operand;
+               begins_expression(std::string_view(text_.data() + text_size_ - word_length_, word_length_));
+    return previous_token_ != PreviousToken::operand;
 }
 
-void Scanner::literal(Placeholder kind, std::size_t from) {
+void Scanner::append_literal(Placeholder placeholder, std::size_t from) {
     ++literals_;
-    if (signed_) {
-        // The sign was not written when it came: it waits for what follows.
-        signed_ = false;
-        from = sign_at_;
+    if (has_pending_sign_) {
+        // The pending sign is part of the literal and was not appended as an operator.
+        has_pending_sign_ = false;
+        from = sign_offset_;
     }
-    if (spans_.size() < options_.most_spans)
+    if (spans_.size() < options_.max_spans)
         spans_.push_back({std::uint32_t(from), std::uint32_t(pos_ - from)});
-    put(direct_element() ? char(kAny) : char(kind));
-    before_ = Before::operand;
+    append(is_list_element() ? char(kAny) : char(placeholder));
+    previous_token_ = PreviousToken::operand;
 }
 
+// Removes the element that ends here if it equals the previous one.
 void Scanner::end_element(List& list) {
-    std::size_t length = size_ - list.begin;
-    if (length == 2 && list.has_previous && list.previous_end - list.previous == 2) {
-        // One byte: mostly a literal, of which a list may hold very many.
-        if (text_[list.previous + 1] == text_[list.begin + 1]) {
-            size_ = list.previous_end;
+    std::size_t length = text_size_ - list.begin;
+    if (length == 2 && list.has_previous && list.previous_end - list.previous_begin == 2) {
+        // Fast path for elements of one byte: most are literals, and a list may hold very many of them.
+        if (text_[list.previous_begin + 1] == text_[list.begin + 1]) {
+            text_size_ = list.previous_end;
             return;
         }
-    } else if (list.has_previous && list.previous_end - list.previous == length &&
-               std::memcmp(text_.data() + list.previous, text_.data() + list.begin, length) == 0) {
-        size_ = list.previous_end;  // with the comma between them
+    } else if (list.has_previous && list.previous_end - list.previous_begin == length &&
+               std::memcmp(text_.data() + list.previous_begin, text_.data() + list.begin, length) == 0) {
+        text_size_ = list.previous_end;  // also removes the comma between them
         return;
     }
-    list.previous = list.begin;
-    list.previous_end = size_;
+    list.previous_begin = list.begin;
+    list.previous_end = text_size_;
     list.has_previous = true;
 }
 
-void Scanner::open(char bracket) {
-    List::Kind kind = List::Kind::plain;
-    if (bracket == '(' && before_ == Before::in) kind = List::Kind::elements;
-    if (bracket == '[' && before_ == Before::array) kind = List::Kind::elements;
-    if (bracket == '(' && before_ == Before::values && deep_ == 0 &&
-        lists_.size() + 1 < options_.most_elements) {
-        List rows{List::Kind::rows};
-        rows.begin = size_;
+void Scanner::open_bracket(char bracket) {
+    List::Type type = List::Type::plain;
+    if (bracket == '(' && previous_token_ == PreviousToken::in) type = List::Type::elements;
+    if (bracket == '[' && previous_token_ == PreviousToken::array) type = List::Type::elements;
+    if (bracket == '(' && previous_token_ == PreviousToken::values && unlisted_depth_ == 0 &&
+        lists_.size() + 1 < options_.max_list_depth) {
+        List rows{List::Type::rows};
+        rows.begin = text_size_;
         lists_.push_back(rows);
     }
-    if (bracket == '(' && deep_ == 0 && !lists_.empty() && lists_.back().kind == List::Kind::rows)
-        kind = List::Kind::row;
-    put(bracket);
-    before_ = Before::opener;
-    if (deep_ > 0 || lists_.size() >= options_.most_elements) {
-        ++deep_;
+    if (bracket == '(' && unlisted_depth_ == 0 && !lists_.empty() && lists_.back().type == List::Type::rows)
+        type = List::Type::row;
+    append(bracket);
+    previous_token_ = PreviousToken::opener;
+    if (unlisted_depth_ > 0 || lists_.size() >= options_.max_list_depth) {
+        ++unlisted_depth_;
         return;
     }
-    List list{kind};
-    list.begin = size_;
+    List list{type};
+    list.begin = text_size_;
     lists_.push_back(list);
 }
 
-void Scanner::close(char bracket) {
-    if (deep_ > 0) {
-        --deep_;
+void Scanner::close_bracket(char bracket) {
+    if (unlisted_depth_ > 0) {
+        --unlisted_depth_;
     } else {
-        if (!lists_.empty() && lists_.back().kind == List::Kind::rows) {  // of a VALUES in brackets
+        if (!lists_.empty() && lists_.back().type == List::Type::rows) {  // a VALUES in brackets ends
             end_element(lists_.back());
             lists_.pop_back();
         }
         if (!lists_.empty()) {
-            if (lists_.back().kind == List::Kind::elements) end_element(lists_.back());
+            if (lists_.back().type == List::Type::elements) end_element(lists_.back());
             lists_.pop_back();
         }
     }
-    put(bracket);
-    before_ = Before::operand;
+    append(bracket);
+    previous_token_ = PreviousToken::operand;
 }
 
-void Scanner::comma() {
-    if (deep_ == 0 && !lists_.empty()) {
+void Scanner::append_comma() {
+    if (unlisted_depth_ == 0 && !lists_.empty()) {
         List& list = lists_.back();
-        if (list.kind == List::Kind::elements || list.kind == List::Kind::rows) {
+        if (list.type == List::Type::elements || list.type == List::Type::rows) {
             end_element(list);
-            bool plain = list.kind == List::Kind::elements && list.previous_end - list.previous == 2 &&
-                         text_[list.previous + 1] == char(kAny);
-            put(',');
-            list.begin = size_;
-            before_ = Before::comma;
-            if (plain) skip_alike();
+            bool is_literal = list.type == List::Type::elements &&
+                              list.previous_end - list.previous_begin == 2 &&
+                              text_[list.previous_begin + 1] == char(kAny);
+            append(',');
+            list.begin = text_size_;
+            previous_token_ = PreviousToken::comma;
+            if (is_literal) skip_plain_literals();
             return;
         }
     }
-    put(',');
-    before_ = Before::comma;
+    append(',');
+    previous_token_ = PreviousToken::comma;
 }
 
-// Behind a comma, after a plain literal: those that follow and have a comma behind them would be written and
-// taken back again. Lists may be very long: they are passed over at once.
-void Scanner::skip_alike() {
-    const char* in = in_.data();
-    std::size_t size = in_.size();
+// Called after a literal and a comma in a list. Skips further whole numbers and simple strings that are
+// followed by a comma: end_element() would remove them again, and lists may be very long.
+void Scanner::skip_plain_literals() {
+    const char* in = sql_.data();
+    std::size_t size = sql_.size();
     for (;;) {
         std::size_t at = pos_;
         while (at < size && in[at] == ' ') ++at;
@@ -168,9 +171,10 @@
         }
         std::size_t end = at;
         while (at < size && in[at] == ' ') ++at;
-        if (at >= size || in[at] != ',') return;  // not plain, or the last: the usual way
+        if (at >= size || in[at] != ',')
+            return;  // the last element, or more than a simple literal: scan_token() handles it
         ++literals_;
-        if (spans_.size() < options_.most_spans)
+        if (spans_.size() < options_.max_spans)
             spans_.push_back({std::uint32_t(from), std::uint32_t(end - from)});
         pos_ = at + 1;
     }
@@ -179,36 +183,36 @@
 // ---- the statement -----------------------------------------------------------------------------
 
 void Scanner::reset(std::string_view sql) {
-    in_ = sql;
+    sql_ = sql;
     pos_ = 0;
-    size_ = 0;
+    text_size_ = 0;
     literals_ = 0;
-    deep_ = 0;
+    unlisted_depth_ = 0;
     spans_.clear();
     lists_.clear();
     flaw_ = Flaw::none;
-    at_ = 0;
-    before_ = Before::start;
-    signed_ = false;
-    several_ = false;
-    ended_ = false;
+    flaw_offset_ = 0;
+    previous_token_ = PreviousToken::start;
+    has_pending_sign_ = false;
+    has_several_statements_ = false;
+    is_statement_ended_ = false;
 }
 
 bool Scanner::scan(std::string_view sql) {
     reset(sql);
-    if (in_.size() >= kMaxStatementBytes) return fail(Flaw::too_long, 0);
-    const char* in = in_.data();
-    std::size_t size = in_.size();
+    if (sql_.size() >= kMaxStatementBytes) return fail(Flaw::too_long, 0);
+    const char* in = sql_.data();
+    std::size_t size = sql_.size();
     for (;;) {
-        if (pos_ < size && in[pos_] == ' ') ++pos_;  // mostly one blank, and no comment
-        if (pos_ < size && is(in[pos_], kBlank | kOperator) && !skip_blank()) return false;
+        if (pos_ < size && in[pos_] == ' ') ++pos_;  // fast path: most tokens follow one blank
+        if (pos_ < size && is(in[pos_], kBlank | kOperator) && !skip_blanks()) return false;
         if (pos_ >= size) break;
-        if (size_ > options_.longest) return fail(Flaw::too_long, pos_);
+        if (text_size_ > options_.max_text_bytes) return fail(Flaw::too_long, pos_);
         if (!scan_token(in, size)) return false;
     }
-    while (!lists_.empty() && lists_.back().kind == List::Kind::rows) close_row_list();
-    if (size_ == 0) return fail(Flaw::empty, in_.size());
-    if (size_ > options_.longest) return fail(Flaw::too_long, in_.size());
+    while (!lists_.empty() && lists_.back().type == List::Type::rows) close_row_list();
+    if (text_size_ == 0) return fail(Flaw::empty, sql_.size());
+    if (text_size_ > options_.max_text_bytes) return fail(Flaw::too_long, sql_.size());
     return true;
 }
 
@@ -221,90 +225,90 @@
     std::size_t from = pos_;
     char c = in[from];
     char next = from + 1 < size ? in[from + 1] : '\0';
-    // The rows of VALUES go on as long as brackets and commas do.
-    if (!lists_.empty() && deep_ == 0 && lists_.back().kind == List::Kind::rows && c != ',' && c != '(' &&
-        c != ')')
+    // Any token other than a parenthesis or a comma ends the rows of VALUES.
+    if (!lists_.empty() && unlisted_depth_ == 0 && lists_.back().type == List::Type::rows && c != ',' &&
+        c != '(' && c != ')')
         close_row_list();
     if (c == ';') {
         ++pos_;
-        if (size_ > 0) ended_ = true;
+        if (text_size_ > 0) is_statement_ended_ = true;
         return true;
     }
-    if (ended_) begin_next_statement();
-    if (is(c, kWordStart)) return word_or_prefixed_literal(from, c, next);
-    if (c == '\'') return quoted(from, from, false, kText);
-    if (is(c, kDigit) || (c == '.' && is(next, kDigit))) return number(from);
+    if (is_statement_ended_) begin_next_statement();
+    if (is(c, kWordStart)) return scan_word_or_prefixed_literal(from, c, next);
+    if (c == '\'') return scan_quoted_string(from, from, false, kText);
+    if (is(c, kDigit) || (c == '.' && is(next, kDigit))) return scan_number(from);
     if (is(c, kOperator)) {
-        symbol(from);
+        scan_operator(from);
         return true;
     }
-    return punctuation(from, c, next);
+    return scan_punctuation(from, c, next);
 }
 
 void Scanner::begin_next_statement() {
-    ended_ = false;
-    several_ = true;
-    put(';');
-    before_ = Before::start;
+    is_statement_ended_ = false;
+    has_several_statements_ = true;
+    append(';');
+    previous_token_ = PreviousToken::start;
 }
 
-inline bool Scanner::word_or_prefixed_literal(std::size_t from, char c, char next) {
+inline bool Scanner::scan_word_or_prefixed_literal(std::size_t from, char c, char next) {
     if (next == '\'') {
         char prefix = lower(c);
-        bool bits = prefix == 'b' || prefix == 'x';
-        if (prefix == 'e' || prefix == 'n' || bits)
-            return quoted(from + 1, from, prefix == 'e', bits ? kBits : kText);
+        bool is_bit_string = prefix == 'b' || prefix == 'x';
+        if (prefix == 'e' || prefix == 'n' || is_bit_string)
+            return scan_quoted_string(from + 1, from, prefix == 'e', is_bit_string ? kBits : kText);
     }
-    bool unicode_prefix = lower(c) == 'u' && next == '&' && from + 2 < in_.size() &&
-                          (in_[from + 2] == '\'' || in_[from + 2] == '"');
-    if (unicode_prefix) return unicode(from);
-    word(from);
+    bool has_unicode_prefix = lower(c) == 'u' && next == '&' && from + 2 < sql_.size() &&
+                              (sql_[from + 2] == '\'' || sql_[from + 2] == '"');
+    if (has_unicode_prefix) return scan_unicode(from);
+    scan_word(from);
     return true;
 }
 
-inline bool Scanner::punctuation(std::size_t from, char c, char next) {
+inline bool Scanner::scan_punctuation(std::size_t from, char c, char next) {
     switch (c) {
         case '"':
-            return quoted_identifier(from);
+            return scan_quoted_identifier(from);
         case '$':
-            return is(next, kDigit) ? parameter(from) : dollar(from);
+            return is(next, kDigit) ? scan_parameter(from) : scan_dollar_quote(from);
         case '(':
         case '[':
             ++pos_;
-            open(c);
+            open_bracket(c);
             return true;
         case ')':
         case ']':
             ++pos_;
-            close(c);
+            close_bracket(c);
             return true;
         case ',':
             ++pos_;
-            comma();
+            append_comma();
             return true;
         case '.':
         case ':':
-            dots_or_colons(from);
+            scan_dots_or_colons(from);
             return true;
         default:
             return fail(Flaw::bad_character, from);
     }
 }
 
-bool Scanner::quoted_identifier(std::size_t from) {
+bool Scanner::scan_quoted_identifier(std::size_t from) {
     if (!skip_quoted_identifier(from, from)) return false;
-    put(in_.substr(from, pos_ - from));
-    before_ = Before::operand;
+    append(sql_.substr(from, pos_ - from));
+    previous_token_ = PreviousToken::operand;
     return true;
 }
 
-// Two that belong together, as their characters stand side by side.
-void Scanner::dots_or_colons(std::size_t from) {
-    std::string_view pair = in_.substr(from, 2);
+// Appends ::, := or .. as one token, else the single character.
+void Scanner::scan_dots_or_colons(std::size_t from) {
+    std::string_view pair = sql_.substr(from, 2);
     std::size_t length = pair == "::" || pair == ":=" || pair == ".." ? 2 : 1;
     pos_ += length;
-    put(in_.substr(from, length));
-    before_ = Before::symbol;
+    append(sql_.substr(from, length));
+    previous_token_ = PreviousToken::symbol;
 }
 
 }  // namespace indigovane::statement
--- a/src/statement/scanner_tokens.cpp
+++ b/src/statement/scanner_tokens.cpp
@@ -16,10 +16,10 @@
 
 }  // namespace
 
-// Blanks and comments; false: a comment does not end.
-bool Scanner::skip_blank() {
-    const char* in = in_.data();
-    std::size_t size = in_.size();
+// Skips blanks and comments. Returns false if a comment is not terminated.
+bool Scanner::skip_blanks() {
+    const char* in = sql_.data();
+    std::size_t size = sql_.size();
     while (pos_ < size) {
         if (is(in[pos_], kBlank)) {
             ++pos_;
@@ -28,8 +28,8 @@
         } else if (in[pos_] == '/' && pos_ + 1 < size && in[pos_ + 1] == '*') {
             std::size_t from = pos_, depth = 1;
             pos_ += 2;
-            // Both pairs that matter in a comment hold a slash. `pos_`: what is before it belongs to a pair
-            // already.
+            // Comments nest. Both /* and */ hold a slash, so that it is enough to look at slashes. The bytes
+            // before pos_ already belong to a delimiter.
             std::size_t look = pos_;
             while (depth > 0) {
                 const void* found = look < size ? std::memchr(in + look, '/', size - look) : nullptr;
@@ -52,13 +52,15 @@
     return true;
 }
 
-// A quoted string whose opening quote stands at `open`, with all that continues it on further lines.
-bool Scanner::quoted(std::size_t open, std::size_t from, bool escapes, Placeholder kind) {
-    const char* in = in_.data();
-    std::size_t size = in_.size();
+// Scans a quoted string whose opening quote is at `open`, with its continuations on further lines. `from` is
+// the start of the token, which may have a prefix. `has_escapes`: backslashes escape the next character.
+bool Scanner::scan_quoted_string(std::size_t open, std::size_t from, bool has_escapes,
+                                 Placeholder placeholder) {
+    const char* in = sql_.data();
+    std::size_t size = sql_.size();
     pos_ = open + 1;
     for (;;) {
-        // Most strings are short: a call costs more than a few steps.
+        // Most strings are short, and a loop over a few bytes is cheaper than a call of memchr().
         std::size_t quote = pos_, near = std::min(size, pos_ + 24);
         while (quote < near && in[quote] != '\'') ++quote;
         const void* end = nullptr;
@@ -66,30 +68,30 @@
             end = quote < size ? std::memchr(in + quote, '\'', size - quote) : nullptr;
             quote = end ? std::size_t(static_cast<const char*>(end) - in) : size;
         }
-        while (escapes && pos_ < quote) {
+        while (has_escapes && pos_ < quote) {
             const void* back = std::memchr(in + pos_, '\\', quote - pos_);
             if (!back) break;
             pos_ = std::size_t(static_cast<const char*>(back) - in) + 2;
             if (pos_ <= quote) continue;
-            // The quote was escaped: the next one counts.
+            // The quote was escaped: look for the next one.
             end = pos_ < size ? std::memchr(in + pos_, '\'', size - pos_) : nullptr;
             quote = end ? std::size_t(static_cast<const char*>(end) - in) : size;
         }
         pos_ = quote;
         if (pos_ >= size) return fail(Flaw::unterminated, from);
         ++pos_;
-        if (pos_ < size && in[pos_] == '\'') {  // a quote in the string
+        if (pos_ < size && in[pos_] == '\'') {  // two quotes stand for one
             ++pos_;
             continue;
         }
-        // Behind blanks that hold a new line a quote goes on with this string. Comments to the end of a line
-        // count as blanks there, others do not.
+        // A quote after blanks with a line break continues this string. Comments that begin with -- count as
+        // blanks here; those in /* */ do not.
         if (pos_ >= size || !is(in[pos_], kBlank | kOperator)) break;
         std::size_t next = pos_;
-        bool line = false;
+        bool has_line_break = false;
         while (next < size) {
             if (is(in[next], kBlank)) {
-                line = line || in[next] == '\n' || in[next] == '\r';
+                has_line_break = has_line_break || in[next] == '\n' || in[next] == '\r';
                 ++next;
             } else if (in[next] == '-' && next + 1 < size && in[next + 1] == '-') {
                 while (next < size && in[next] != '\n' && in[next] != '\r') ++next;
@@ -97,71 +99,72 @@
                 break;
             }
         }
-        if (!line || next >= size || in[next] != '\'') break;
+        if (!has_line_break || next >= size || in[next] != '\'') break;
         pos_ = next + 1;
     }
-    literal(kind, from);
+    append_literal(placeholder, from);
     return true;
 }
 
-// Whether each escape of a U& string or identifier names a character; surrogates come in pairs.
-bool Scanner::valid_unicode(std::string_view body, char escape) const {
-    bool high = false;
+// Whether each escape of a U& string or identifier names a character. Surrogates must come in pairs.
+bool Scanner::is_valid_unicode(std::string_view body, char escape) const {
+    bool after_high_surrogate = false;
     for (std::size_t i = 0; i < body.size(); ++i) {
         if (body[i] != escape) {
-            if (high) return false;
+            if (after_high_surrogate) return false;
             continue;
         }
         if (i + 1 < body.size() && body[i + 1] == escape) {
-            if (high) return false;
+            if (after_high_surrogate) return false;
             ++i;
             continue;
         }
-        bool longer = i + 1 < body.size() && body[i + 1] == '+';
-        std::size_t digits = longer ? 6 : 4, begin = i + 1 + (longer ? 1 : 0);
+        bool has_six_digits = i + 1 < body.size() && body[i + 1] == '+';
+        std::size_t digits = has_six_digits ? 6 : 4, begin = i + 1 + (has_six_digits ? 1 : 0);
         std::uint32_t value = 0;
         if (begin + digits > body.size()) return false;
-        for (std::size_t k = 0; k < digits; ++k) {
-            int digit = hex_digit(body[begin + k]);
+        for (std::size_t index = 0; index < digits; ++index) {
+            int digit = hex_digit(body[begin + index]);
             if (digit < 0) return false;
             value = value << 4 | std::uint32_t(digit);
         }
         if (value == 0 || value > 0x10ffff) return false;
         bool is_high = value >= 0xd800 && value <= 0xdbff, is_low = value >= 0xdc00 && value <= 0xdfff;
-        if (high != is_low) return false;
-        high = is_high;
+        if (after_high_surrogate != is_low) return false;
+        after_high_surrogate = is_high;
         i = begin + digits - 1;
     }
-    return !high;
+    return !after_high_surrogate;
 }
 
-// U&'...' or U&"...", with the UESCAPE behind it if there is one.
-bool Scanner::unicode(std::size_t from) {
-    bool text = in_[from + 2] == '\'';
+// Scans U&'...' or U&"...", with a UESCAPE after it if there is one.
+bool Scanner::scan_unicode(std::size_t from) {
+    bool is_string = sql_[from + 2] == '\'';
     std::size_t begin = from + 3;
-    bool was_signed = std::exchange(signed_, false);
-    if (text) {
-        std::size_t size = size_, spans = spans_.size();
-        auto before = before_;
-        auto literals = literals_;
-        if (!quoted(from + 2, from, false, kText)) return false;
-        size_ = size, before_ = before, literals_ = literals;  // written below, with its UESCAPE
-        spans_.resize(spans);
+    bool had_pending_sign = std::exchange(has_pending_sign_, false);
+    if (is_string) {
+        std::size_t old_text_size = text_size_, old_span_count = spans_.size();
+        auto old_previous_token = previous_token_;
+        auto old_literals = literals_;
+        if (!scan_quoted_string(from + 2, from, false, kText)) return false;
+        // The literal is appended below, with its UESCAPE.
+        text_size_ = old_text_size, previous_token_ = old_previous_token, literals_ = old_literals;
+        spans_.resize(old_span_count);
     } else {
         if (!skip_quoted_identifier(from + 2, from)) return false;
     }
-    std::string_view body = in_.substr(begin, pos_ - 1 - begin);
+    std::string_view body = sql_.substr(begin, pos_ - 1 - begin);
     std::size_t end = pos_;
     char escape = '\\';
-    if (!skip_blank()) return false;
-    std::string_view rest = in_.substr(pos_);
+    if (!skip_blanks()) return false;
+    std::string_view rest = sql_.substr(pos_);
     bool has_escape =
         rest.size() >= 7 && (rest.size() == 7 || !is(rest[7], kWordPart)) &&
         std::equal(rest.begin(), rest.begin() + 7, "uescape", [](char a, char b) { return lower(a) == b; });
     if (has_escape) {
         pos_ += 7;
-        if (!skip_blank()) return false;
-        rest = in_.substr(pos_);
+        if (!skip_blanks()) return false;
+        rest = sql_.substr(pos_);
         if (rest.size() < 3 || rest[0] != '\'' || rest[2] != '\'' || hex_digit(rest[1]) >= 0 ||
             is(rest[1], kBlank) || rest[1] == '+' || rest[1] == '\'' || rest[1] == '"')
             return fail(Flaw::bad_escape, pos_);
@@ -170,72 +173,72 @@
         end = pos_;
     }
     pos_ = end;
-    if (!valid_unicode(body, escape)) return fail(Flaw::bad_escape, from);
-    signed_ = was_signed;
-    if (text) {
-        literal(kText, from);
+    if (!is_valid_unicode(body, escape)) return fail(Flaw::bad_escape, from);
+    has_pending_sign_ = had_pending_sign;
+    if (is_string) {
+        append_literal(kText, from);
         return true;
     }
-    put("U&\"" + std::string(body) + '"');
+    append("U&\"" + std::string(body) + '"');
     if (escape != '\\') {
-        put("uescape");
-        put(std::string("'") + escape + "'");
+        append("uescape");
+        append(std::string("'") + escape + "'");
     }
-    before_ = Before::operand;
+    previous_token_ = PreviousToken::operand;
     return true;
 }
 
-// From the opening quote at `open` behind the closing one; flaws are told at `from`.
+// Moves from the opening quote at `open` past the closing one. A flaw is reported at `from`.
 bool Scanner::skip_quoted_identifier(std::size_t open, std::size_t from) {
     pos_ = open + 1;
     for (;;) {
-        pos_ = in_.find('"', pos_);
+        pos_ = sql_.find('"', pos_);
         if (pos_ == std::string_view::npos) return fail(Flaw::unterminated, from);
         ++pos_;
-        if (pos_ >= in_.size() || in_[pos_] != '"') break;
+        if (pos_ >= sql_.size() || sql_[pos_] != '"') break;
         ++pos_;
     }
     return pos_ == open + 2 ? fail(Flaw::bad_identifier, from) : true;
 }
 
-bool Scanner::dollar(std::size_t from) {
-    std::size_t size = in_.size(), tag = from + 1;
-    if (tag < size && is(in_[tag], kWordStart))
-        while (tag < size && is(in_[tag], kWordPart) && in_[tag] != '$') ++tag;
-    if (tag >= size || in_[tag] != '$') return fail(Flaw::bad_character, from);
-    std::string_view delimiter = in_.substr(from, tag + 1 - from);
-    std::size_t end = in_.find(delimiter, tag + 1);
+bool Scanner::scan_dollar_quote(std::size_t from) {
+    std::size_t size = sql_.size(), tag = from + 1;
+    if (tag < size && is(sql_[tag], kWordStart))
+        while (tag < size && is(sql_[tag], kWordPart) && sql_[tag] != '$') ++tag;
+    if (tag >= size || sql_[tag] != '$') return fail(Flaw::bad_character, from);
+    std::string_view delimiter = sql_.substr(from, tag + 1 - from);
+    std::size_t end = sql_.find(delimiter, tag + 1);
     if (end == std::string_view::npos) return fail(Flaw::unterminated, from);
     pos_ = end + delimiter.size();
-    literal(kText, from);
+    append_literal(kText, from);
     return true;
 }
 
-bool Scanner::parameter(std::size_t from) {
+bool Scanner::scan_parameter(std::size_t from) {
     pos_ = from + 1;
     std::uint64_t value = 0;
-    while (pos_ < in_.size() && is(in_[pos_], kDigit) && value <= 1u << 30)
-        value = value * 10 + std::uint64_t(in_[pos_++] - '0');
-    if (value > 1u << 30 || (pos_ < in_.size() && is(in_[pos_], kWordStart)))
+    while (pos_ < sql_.size() && is(sql_[pos_], kDigit) && value <= 1u << 30)
+        value = value * 10 + std::uint64_t(sql_[pos_++] - '0');
+    if (value > 1u << 30 || (pos_ < sql_.size() && is(sql_[pos_], kWordStart)))
         return fail(Flaw::bad_number, from);
-    // Elements that differ by their number only are alike.
-    if (direct_element())
-        put("$1");
+    // Elements that differ only by the number of a parameter have the same canonical text.
+    if (is_list_element())
+        append("$1");
     else
-        put(in_.substr(from, pos_ - from));
-    before_ = Before::operand;
+        append(sql_.substr(from, pos_ - from));
+    previous_token_ = PreviousToken::operand;
     return true;
 }
 
-bool Scanner::number(std::size_t from) {
-    const char* in = in_.data();
-    std::size_t size = in_.size();
+bool Scanner::scan_number(std::size_t from) {
+    const char* in = sql_.data();
+    std::size_t size = sql_.size();
     pos_ = from;
-    bool whole = true;
+    bool is_integer = true;
     while (pos_ < size && is(in[pos_], kDigit)) ++pos_;
     std::size_t digits = pos_ - from;
     if (pos_ < size && in[pos_] == '.' && !(pos_ + 1 < size && in[pos_ + 1] == '.')) {
-        whole = false;
+        is_integer = false;
         ++pos_;
         while (pos_ < size && is(in[pos_], kDigit)) ++pos_;
     }
@@ -243,91 +246,92 @@
         std::size_t next = pos_ + 1;
         if (next < size && (in[next] == '+' || in[next] == '-')) ++next;
         if (next < size && is(in[next], kDigit)) {
-            whole = false;
+            is_integer = false;
             pos_ = next;
             while (pos_ < size && is(in[pos_], kDigit)) ++pos_;
         }
     }
     if (pos_ < size && is(in[pos_], kWordStart)) return fail(Flaw::bad_number, from);
-    if (whole && digits >= 10) {
+    if (is_integer && digits >= 10) {
         std::size_t zeros = 0;
         while (zeros + 1 < digits && in[from + zeros] == '0') ++zeros;
         std::string_view value(in + from + zeros, digits - zeros);
-        whole = value.size() < 10 || (value.size() == 10 && value <= "2147483647");
+        is_integer = value.size() < 10 || (value.size() == 10 && value <= "2147483647");
     }
-    literal(whole ? kWhole : kNumber, from);
+    append_literal(is_integer ? kInteger : kNumber, from);
     return true;
 }
 
-void Scanner::word(std::size_t from) {
-    const char* in = in_.data();
-    std::size_t size = in_.size(), end = from + 1;
+void Scanner::scan_word(std::size_t from) {
+    const char* in = sql_.data();
+    std::size_t size = sql_.size(), end = from + 1;
     while (end < size && is(in[end], kWordPart)) ++end;
     pos_ = end;
     std::size_t length = end - from;
     char* text = reserve(length + 1);
     *text++ = ' ';
     for (std::size_t i = 0; i < length; ++i) text[i] = kLower[std::uint8_t(in[from + i])];
-    std::size_t begin = size_;
-    size_ += length + 1;
-    std::string_view word(text, length);
-    if (before_ == Before::opener && deep_ == 0 && !lists_.empty() &&
-        lists_.back().kind == List::Kind::elements &&
-        (word == "select" || word == "with" || word == "values" || word == "table"))
-        lists_.back().kind = List::Kind::plain;  // IN (SELECT ...): its commas set no elements apart
-    bool rows = false;
+    std::size_t begin = text_size_;
+    text_size_ += length + 1;
+    std::string_view folded(text, length);
+    if (previous_token_ == PreviousToken::opener && unlisted_depth_ == 0 && !lists_.empty() &&
+        lists_.back().type == List::Type::elements &&
+        (folded == "select" || folded == "with" || folded == "values" || folded == "table"))
+        lists_.back().type = List::Type::plain;  // IN (SELECT ...): its commas do not separate elements
+    bool is_values = false;
     if (length == 2 && text[0] == 'i' && text[1] == 'n') {
-        before_ = Before::in;
+        previous_token_ = PreviousToken::in;
         return;
     }
-    if (length == 5 && word == "array") {
-        before_ = Before::array;
+    if (length == 5 && folded == "array") {
+        previous_token_ = PreviousToken::array;
         return;
     }
-    rows = length == 6 && word == "values";
-    if (rows) {
-        before_ = Before::values;
+    is_values = length == 6 && folded == "values";
+    if (is_values) {
+        previous_token_ = PreviousToken::values;
         return;
     }
-    if (length <= 5 && direct_element() && is_constant(word)) {
-        // NULL is an element like any other: rows that differ by it alone are alike.
+    if (length <= 5 && is_list_element() && is_constant(folded)) {
+        // NULL, true and false are elements like literals: rows that differ only by them are equal.
         text[0] = char(kAny);
-        size_ = begin + 2;
-        before_ = Before::operand;
+        text_size_ = begin + 2;
+        previous_token_ = PreviousToken::operand;
         return;
     }
     word_length_ = length;
-    before_ = Before::word;
+    previous_token_ = PreviousToken::word;
 }
 
-void Scanner::symbol(std::size_t from) {
-    const char* in = in_.data();
-    std::size_t size = in_.size();
+void Scanner::scan_operator(std::size_t from) {
+    const char* in = sql_.data();
+    std::size_t size = sql_.size();
     std::size_t end = from;
     while (end < size && is(in[end], kOperator)) {
-        // A comment ends an operator.
+        // The start of a comment ends the operator.
         if (end + 1 < size &&
             ((in[end] == '-' && in[end + 1] == '-') || (in[end] == '/' && in[end + 1] == '*')))
             break;
         ++end;
     }
-    // One of several characters ends in + or - only if it holds one that no plain SQL operator has.
+    // An operator of several characters ends in + or - only if it contains a character that the operators of
+    // standard SQL do not have.
     std::string_view name(in + from, end - from);
     if (name.find_first_of("~!@#^&|`?%") == std::string_view::npos)
         while (name.size() > 1 && (name.back() == '+' || name.back() == '-')) name.remove_suffix(1);
     pos_ = from + name.size();
-    if ((name == "-" || name == "+") && sign_belongs()) {
+    if ((name == "-" || name == "+") && is_sign_of_number()) {
         std::size_t next = pos_;
         while (next < size && is(in[next], kBlank)) ++next;
         if (next < size &&
             (is(in[next], kDigit) || (in[next] == '.' && next + 1 < size && is(in[next + 1], kDigit)))) {
-            signed_ = true;
-            sign_at_ = from;
+            has_pending_sign_ = true;
+            sign_offset_ = from;
             return;
         }
     }
-    put(name == "!=" ? std::string_view("<>") : name);
-    before_ = Before::symbol;
+    append(name == "!=" ? std::string_view("<>") : name);
+    previous_token_ = PreviousToken::symbol;
 }
 
 }  // namespace indigovane::statement
--- a/src/statement/statement_analyzer.hpp
+++ b/src/statement/statement_analyzer.hpp
@@ -1,4 +1,5 @@
-// Entry point of the module: a statement in, its profile out. Scans, looks it up, and parses it on a miss.
+// Entry point of the module. The analyzer scans a statement, looks up its canonical text in the shape cache,
+// and parses it only if the cache has no entry.
 #pragma once
 
 #include <chrono>
@@ -14,27 +15,28 @@
   public:
     using Time = std::chrono::time_point<std::chrono::steady_clock, std::chrono::microseconds>;
     struct Options {
-        std::size_t cache = 8 << 20;             // bytes
-        std::size_t longest_parsed = 16 * 1024;  // bytes of canonical text
-        std::size_t longest = 256 * 1024;        // likewise, to be scanned to the end
-        // Guards the loop against a client that sends a new shape each time: beyond this a new shape is not
-        // parsed but handled as one that can't be.
+        std::size_t cache = 8 << 20;                   // size limit of the shape cache, in bytes
+        std::size_t longest_parsed = 16 * 1024;        // longest canonical text that is parsed, in bytes
+        std::size_t max_canonical_bytes = 256 * 1024;  // the scan fails with Flaw::too_long beyond it
+        // Maximum rate of parses. It protects the event loop from a client that sends a new shape each time:
+        // beyond it, a new shape is handled like a statement that can't be parsed.
         double parses_per_second = 2000;
-        std::uint64_t seed = 1;  // of the cache's hash
+        std::uint64_t seed = 1;  // of the shape cache's hash
     };
     struct Counts {
-        std::uint64_t judged = 0, parsed = 0, unparsed = 0;  // unparsed: for want of room
+        // Statements analyzed, new shapes parsed, and new shapes not parsed because of parses_per_second.
+        std::uint64_t analyzed = 0, parsed = 0, parses_denied = 0;
     };
 
     StatementAnalyzer(Rules rules, Options options);
 
-    // Valid until the next call. Never throws but for want of memory.
+    // The result is valid until the next call. Throws only if memory runs out.
     const StatementProfile& analyze(std::string_view sql, Time now);
-    // Other rules from the next statement on; judgements made by the old ones are forgotten.
+    // Applies to later statements. Clears the shape cache, whose profiles follow from the old rules.
     void set_rules(Rules rules);
 
     const Rules& rules() const { return *rules_; }
-    const Scanner& scanner() const { return scanner_; }  // of the last statement
+    const Scanner& scanner() const { return scanner_; }  // holds the scan of the last statement
     const ShapeCache& cache() const { return cache_; }
     const Counts& counts() const { return counts_; }
 
@@ -44,14 +46,14 @@
     std::unique_ptr<Classifier> classifier_;
     Scanner scanner_;
     ShapeCache cache_;
-    StatementProfile last_;
-    double parse_budget_;  // parses that may be made now
-    Time refilled_{};
+    StatementProfile uncached_profile_;  // of the last statement that was not parsed
+    double parse_budget_;                // number of parses that the rate limit allows now
+    Time budget_refilled_at_{};
     Counts counts_;
 };
 
-// What a statement may cost before it has ever run: microseconds, from its features alone. Only the order
-// matters much: it is learned from the first outcomes on.
+// The expected cost of a statement in microseconds: the declared cost, else an estimate from the features
+// alone. Only the order of magnitude matters, because the cost model learns from the first outcomes on.
 std::uint32_t estimate_cost(const StatementProfile& profile);
 
 }  // namespace indigovane::statement
--- a/tests/statement/scan_helpers.hpp
+++ b/tests/statement/scan_helpers.hpp
@@ -1,4 +1,4 @@
-// Short forms of a scan for the tests: canonical text, shape, flaw.
+// Helpers for tests: scan a statement and return its canonical text, its shape or its flaw.
 #pragma once
 
 #include <doctest/doctest.h>
--- a/tests/statement/scanner_test.cpp
+++ b/tests/statement/scanner_test.cpp
@@ -1,10 +1,11 @@
-// The scanner by examples: canonical texts, literals and flaws.
+// Tests of the scanner by examples: canonical texts, literals and flaws. A wrong canonical text would give
+// different statements one shape, or one statement several.
 #include "statement/scan_helpers.hpp"
 
 namespace indigovane::statement {
 namespace {
 
-TEST_CASE("the canonical text has keywords folded, literals and comments removed, equal elements once") {
+TEST_CASE("the canonical text folds words, replaces literals, drops comments and merges equal elements") {
     CHECK(canonical("SELECT  Content FROM kv WHERE name = 'a''b' -- c") ==
           "select content from kv where name = ?");
     CHECK(canonical("select/*x/*y*/*/1,\"Odd \"\"Name\"") == "select ? , \"Odd \"\"Name\"");
@@ -15,10 +16,10 @@
     CHECK(canonical("insert into t values (now(), 1),(now(),2) returning id") ==
           "insert into t values ( now ( ) , ? ) returning id");
     CHECK(canonical("x in ('a', 'b''c', 'd', E'e', 5 , 6,7, -8, 'f'\n'g', h, 'i')") == "x in ( ? , h , ? )");
-    Scanner counted({.most_spans = 100});
-    REQUIRE(counted.scan("x in ('a', 'b''c' ,5, 6,'d')"));
-    CHECK(counted.literals() == 5);
-    CHECK(counted.spans()[2] == Span{19, 1});
+    Scanner scanner({.max_spans = 100});
+    REQUIRE(scanner.scan("x in ('a', 'b''c' ,5, 6,'d')"));
+    CHECK(scanner.literals() == 5);
+    CHECK(scanner.spans()[2] == Span{19, 1});
     CHECK(canonical("x = any(array[1,2,3])") == "x = any ( array [ ? ] )");
     CHECK(canonical("a-1, a - -1, -1, (-1), a*-1") == "a - ? , a - ? , ? , ( ? ) , a * ?");
     CHECK(canonical("'a'\n  'b' 'c'") == "? ?");
@@ -30,7 +31,7 @@
     CHECK(canonical("SELECT 1; ;") == "select ?");
 }
 
-TEST_CASE("strings with comments and comments with quotes are told apart as PostgreSQL does") {
+TEST_CASE("quotes in comments, comment marks in strings and malformed tokens are handled as in PostgreSQL") {
     CHECK(canonical("'/* ' /* ' */ '--' -- '\n$$'$$ $a$ $$ $a$") == "? ? ? ?");
     CHECK(canonical("E'\\'' || e'\\\\' || 'a\\'") == "? || ? || ?");
     CHECK(flaw("'a") == Flaw::unterminated);
--- a/tests/statement/shape_cache_test.cpp
+++ b/tests/statement/shape_cache_test.cpp
@@ -1,4 +1,5 @@
-// The cache of statement shapes: identity, memory limit, eviction.
+// Tests of the shape cache: it returns the profile of exactly the text, keeps to its memory limit, and evicts
+// rarely used shapes first.
 #include <doctest/doctest.h>
 
 #include <cstdint>
@@ -17,15 +18,15 @@
     return profile;
 }
 
-TEST_CASE("the cache never returns another text's profile and stays within its byte limit") {
+TEST_CASE("the shape cache never returns the profile of another text and stays within its memory limit") {
     ShapeCache cache(256 * 1024, 1);
     std::mt19937_64 random(5);
     for (int step = 0; step < 60000; ++step) {
-        int i = int(random() % (step % 2 ? 50 : 5000));
-        std::string text = "select c" + std::to_string(i) + std::string(std::size_t(i % 200), 'x');
+        int number = int(random() % (step % 2 ? 50 : 5000));
+        std::string text = "select c" + std::to_string(number) + std::string(std::size_t(number % 200), 'x');
         const StatementProfile* cached = cache.find(text);
-        if (!cached) cached = cache.put(text, numbered_profile(i));
-        REQUIRE(cached->shape.high == std::uint64_t(i));
+        if (!cached) cached = cache.put(text, numbered_profile(number));
+        REQUIRE(cached->shape.high == std::uint64_t(number));
         REQUIRE(cache.bytes() <= 256 * 1024 + 4096);
     }
     CHECK(cache.size() > 200);
@@ -33,23 +34,24 @@
     CHECK(cache.size() == 0);
 }
 
-// A plain LRU fails: it evicts a hundred hot shapes once more one-time ones than fit have passed.
-TEST_CASE("shapes used once do not evict those that are used all the time") {
+// Guards against eviction in order of use alone: a plain LRU evicts a hundred frequent shapes as soon as more
+// shapes that are used once have passed than fit into the cache.
+TEST_CASE("shapes that are used once do not evict shapes that are used often") {
     ShapeCache cache(256 * 1024, 1);
     auto look_up = [&](const std::string& text) {
         bool hit = cache.find(text) != nullptr;
         if (!hit) cache.put(text, numbered_profile(0));
         return hit;
     };
-    auto hot = [](int i) { return "select hot" + std::to_string(i) + std::string(100, 'h'); };
+    auto frequent_statement = [](int i) { return "select hot" + std::to_string(i) + std::string(100, 'h'); };
     for (int round = 0; round < 20; ++round)
-        for (int i = 0; i < 100; ++i) look_up(hot(i));
+        for (int i = 0; i < 100; ++i) look_up(frequent_statement(i));
     int hits = 0;
     int lookups = 0;
-    for (int once = 0; once < 20000; ++once) {
-        look_up("select cold" + std::to_string(once) + std::string(100, 'c'));
-        if (once % 20 == 0) {
-            hits += look_up(hot(once / 20 % 100));
+    for (int i = 0; i < 20000; ++i) {
+        look_up("select cold" + std::to_string(i) + std::string(100, 'c'));
+        if (i % 20 == 0) {
+            hits += look_up(frequent_statement(i / 20 % 100));
             ++lookups;
         }
     }
--- a/tests/statement/statement_generator.hpp
+++ b/tests/statement/statement_generator.hpp
@@ -1,4 +1,4 @@
-// Random statements for properties: the same seed draws the same statement.
+// Generates random statements for property tests. The same seed gives the same statement.
 #pragma once
 
 #include <cctype>
@@ -11,13 +11,13 @@
 
 namespace indigovane::statement {
 
-// A statement as tokens; `write` renders it with random literals, blanks, comments and case of keywords.
+// A token of a statement. write() chooses the literals; `text` is empty for them.
 struct Token {
-    enum class Sort { word, name, symbol, number, text } sort;
+    enum class Type { word, name, symbol, number, text } type;
     std::string text;
 };
 
-// Draws a SELECT of nested expressions.
+// Generates a SELECT with nested expressions.
 class StatementGenerator {
   public:
     explicit StatementGenerator(std::mt19937_64& random) : random_(random) {}
@@ -33,7 +33,7 @@
         }
         if (random_() % 2) {
             word("limit");
-            add(Token::Sort::number);
+            add(Token::Type::number);
         }
         return std::move(tokens_);
     }
@@ -44,9 +44,9 @@
             case 0:
                 return name(pick({"a", "b", "hotel", "pieces", "\"Odd\"", "x1"}));
             case 1:
-                return add(Token::Sort::number);
+                return add(Token::Type::number);
             case 2:
-                return add(Token::Sort::text);
+                return add(Token::Type::text);
             case 3:
                 return operation(depth);
             case 4:
@@ -94,10 +94,10 @@
         }
         symbol(")");
     }
-    void add(Token::Sort sort, std::string text = "") { tokens_.push_back({sort, std::move(text)}); }
-    void word(std::string text) { add(Token::Sort::word, std::move(text)); }
-    void name(std::string text) { add(Token::Sort::name, std::move(text)); }
-    void symbol(std::string text) { add(Token::Sort::symbol, std::move(text)); }
+    void add(Token::Type type, std::string text = "") { tokens_.push_back({type, std::move(text)}); }
+    void word(std::string text) { add(Token::Type::word, std::move(text)); }
+    void name(std::string text) { add(Token::Type::name, std::move(text)); }
+    void symbol(std::string text) { add(Token::Type::symbol, std::move(text)); }
     std::string pick(std::initializer_list<const char*> choices) {
         return std::string(*(choices.begin() + std::ptrdiff_t(random_() % choices.size())));
     }
@@ -106,6 +106,7 @@
     std::vector<Token> tokens_;
 };
 
+// Renders the tokens with random literals, blanks, comments and upper or lower case of keywords.
 inline std::string write(const std::vector<Token>& tokens, std::mt19937_64& random) {
     std::string out;
     auto blank = [&] {
@@ -115,20 +116,20 @@
     };
     for (const Token& token : tokens) {
         blank();
-        switch (token.sort) {
-            case Token::Sort::word:
+        switch (token.type) {
+            case Token::Type::word:
                 for (char letter : token.text) out += random() % 2 ? char(std::toupper(letter)) : letter;
                 break;
-            case Token::Sort::name:
-            case Token::Sort::symbol:
+            case Token::Type::name:
+            case Token::Type::symbol:
                 out += token.text;
                 break;
-            case Token::Sort::number: {
+            case Token::Type::number: {
                 static const char* const numbers[] = {"1", "42", "2147483648", "1.5", ".5", "1e9", "007"};
                 out += numbers[random() % std::size(numbers)];
                 break;
             }
-            case Token::Sort::text: {
+            case Token::Type::text: {
                 static const char* const texts[] = {"'a'",       "''",         "'it''s'",
                                                     "E'\\''",    "$$;'--$$",   "$q$ $$ $q$",
                                                     "'/* x */'", "U&'\\0061'", "'a'\n'b'"};
--- a/tests/statement/statement_properties_test.cpp
+++ b/tests/statement/statement_properties_test.cpp
@@ -1,4 +1,4 @@
-// Properties of scanner and analyzer over random statements.
+// Property tests of the scanner and the analyzer with random statements.
 #include <doctest/doctest.h>
 #include <pg_query.h>
 #include <rapidcheck.h>
@@ -13,7 +13,7 @@
 namespace indigovane::statement {
 namespace {
 
-TEST_CASE("a shape does not change with literals, blanks, comments and case of keywords") {
+TEST_CASE("the shape does not depend on literals, blanks, comments or the case of keywords") {
     CHECK(rc::check([](std::uint64_t seed) {
         std::mt19937_64 random(seed);
         auto tokens = StatementGenerator(random).statement();
@@ -21,57 +21,57 @@
     }));
 }
 
-TEST_CASE("a shape changes with table, column, function or structure") {
+TEST_CASE("the shape depends on tables, columns, functions and structure") {
     CHECK(rc::check([](std::uint64_t seed) {
         std::mt19937_64 random(seed);
         auto tokens = StatementGenerator(random).statement();
-        auto other = tokens;
+        auto changed_tokens = tokens;
         std::vector<std::size_t> names;
         for (std::size_t i = 0; i < tokens.size(); ++i)
-            if (tokens[i].sort == Token::Sort::name) names.push_back(i);
-        std::size_t at = names[random() % names.size()];
-        other[at].text = "changed";
-        RC_ASSERT(shape(write(tokens, random)) != shape(write(other, random)));
-        other = tokens;
-        other.push_back({Token::Sort::word, "offset"});
-        other.push_back({Token::Sort::number, ""});
-        RC_ASSERT(shape(write(tokens, random)) != shape(write(other, random)));
+            if (tokens[i].type == Token::Type::name) names.push_back(i);
+        std::size_t name_index = names[random() % names.size()];
+        changed_tokens[name_index].text = "changed";
+        RC_ASSERT(shape(write(tokens, random)) != shape(write(changed_tokens, random)));
+        changed_tokens = tokens;
+        changed_tokens.push_back({Token::Type::word, "offset"});
+        changed_tokens.push_back({Token::Type::number, ""});
+        RC_ASSERT(shape(write(tokens, random)) != shape(write(changed_tokens, random)));
     }));
 }
 
-// PostgreSQL's own normalisation writes $n for each constant: what stands between them must be what stands
-// between the scanner's spans.
-TEST_CASE("the literals that the scanner finds are those that libpg_query normalizes") {
+// libpg_query normalizes a statement as PostgreSQL does and replaces each constant by $n. Replacing the
+// scanner's spans by $n must give the same text.
+TEST_CASE("the scanner finds the same literals as libpg_query's normalization") {
     CHECK(rc::check([](std::uint64_t seed) {
         std::mt19937_64 random(seed);
         std::string sql = write(StatementGenerator(random).statement(), random);
         PgQueryNormalizeResult result = pg_query_normalize(sql.c_str());
-        std::string normalised = result.error ? "" : result.normalized_query;
-        bool failed = result.error != nullptr;
+        std::string normalized = result.error ? "" : result.normalized_query;
+        bool has_error = result.error != nullptr;
         pg_query_free_normalize_result(result);
-        RC_PRE(!failed);
-        Scanner scanner({.most_spans = 10000});
+        RC_PRE(!has_error);
+        Scanner scanner({.max_spans = 10000});
         RC_ASSERT(scanner.scan(sql));
-        std::string own;
+        std::string replaced;
         std::size_t from = 0;
         int number = 0;
         for (Span span : scanner.spans()) {
-            own += sql.substr(from, span.begin - from) + "$" + std::to_string(++number);
+            replaced += sql.substr(from, span.begin - from) + "$" + std::to_string(++number);
             from = span.begin + span.length;
         }
-        own += sql.substr(from);
-        RC_ASSERT(own == normalised);
+        replaced += sql.substr(from);
+        RC_ASSERT(replaced == normalized);
     }));
 }
 
-TEST_CASE("any bytes at all are classified, and only a plain read may go to a replica") {
+TEST_CASE("any bytes can be analyzed, and only a plain read may go to a replica") {
     CHECK(rc::check([](const std::string& bytes) {
         StatementAnalyzer analyzer({}, {});
         const StatementProfile& profile = analyzer.analyze(bytes, {});
         RC_ASSERT(profile.route != Route::replica || profile.kind == Kind::read);
     }));
     CHECK(rc::check([](std::uint64_t seed) {
-        // Pieces that begin and end things, in any order.
+        // Delimiters, keywords and statements in random order.
         static const char* const pieces[] = {
             "'",  "\"",  "$$", "/*",    "*/", "--",     "\n",           "E'",
             "\\", "U&'", "(",  ")",     ";",  "select", "nextval('s')", "delete from t",
