--- a/src/statement/classifier.cpp
+++ b/src/statement/classifier.cpp
@@ -252,7 +252,8 @@
     return runs;
 }
 
-// Makes a reason fit in one line of kMaxReasonBytes; cuts at the boundary of a UTF-8 character.
+// Cuts a reason to kMaxReasonBytes, at the boundary of a UTF-8 character, and replaces control characters by
+// blanks.
 std::string shorten(std::string text) {
     if (text.size() > kMaxReasonBytes) {
         text.resize(kMaxReasonBytes - 3);
--- a/src/statement/rules.hpp
+++ b/src/statement/rules.hpp
@@ -27,8 +27,8 @@
 
 class Rules : public Declarations {
   public:
-    // `name` is "schema.name" or "name". A name without a schema declares what an unqualified name refers to,
-    // but no function of a schema. A function with effects in a schema also makes its unqualified name
+    // `name` is "schema.name" or "name". A name without a schema declares what an unqualified name refers to;
+    // qualified names do not match it. A function with effects in a schema also makes its unqualified name
     // suspect, because the search path may resolve to it.
     void declare_function(const std::string& name, Effect effect);
     void declare_operator(const std::string& name, Effect effect) { operators_[name] = effect; }
--- a/src/statement/scanner.cpp
+++ b/src/statement/scanner.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxStatementBytes = 0xffffffff;  // Span counts bytes in 32 is_bit_string
+constexpr std::size_t kMaxStatementBytes = 0xffffffff;  // Span counts bytes in 32 bits
 
 // Whether an expression begins after this keyword, so that a sign there belongs to the number after it.
 bool begins_expression(std::string_view word) {
--- a/src/statement/statement_analyzer.hpp
+++ b/src/statement/statement_analyzer.hpp
@@ -53,7 +53,8 @@
 };
 
 // The expected cost of a statement in microseconds: the declared cost, else an estimate from the features
-// alone. Only the order of magnitude matters, because the cost model learns from the first outcomes on.
+// alone. Only the order of the estimates matters much, not their exact values, because the cost is learned
+// from the first outcomes on.
 std::uint32_t estimate_cost(const StatementProfile& profile);
 
 }  // namespace indigovane::statement
