--- a/src/adapters/classes.hpp
+++ b/src/adapters/classes.hpp
@@ -15,8 +15,8 @@
     std::string name;
     routing::ClassId id{};
     routing::Duration deadline{};  ///< Timeout of a request whose client names none.
-    /// `write`: its requests write. `session`: its reads see the writes of their own session.
-    bool write = false, session = false, needs_idempotency_key = false;
+    /// With `has_session_consistency` its reads see the writes of their own session.
+    bool is_write = false, has_session_consistency = false, needs_idempotency_key = false;
 };
 
 class Classes {
--- a/src/adapters/client_listener.hpp
+++ b/src/adapters/client_listener.hpp
@@ -16,9 +16,9 @@
     /// Limits the number of open sessions that have had a request, idle or not. Beyond it the session that
     /// has been idle for longest is closed. The number of connections is limited, and without this clients
     /// that send one request and stay connected would leave none to others.
-    void limit_served(std::size_t max_sessions) { max_served_sessions_ = max_sessions; }
+    void limit_served_sessions(std::size_t max_sessions) { max_served_sessions_ = max_sessions; }
     /// Limits the sum of bytes in all sessions' buffers: what is unread, incomplete or unwritten.
-    void limit_bytes(std::size_t bytes) { max_memory_bytes_ = bytes; }
+    void limit_buffered_bytes(std::size_t bytes) { max_memory_bytes_ = bytes; }
     ~ClientListener() override;
     void start() override;
     void stop_accepting() override;
@@ -40,7 +40,7 @@
     bool is_failing_checks() const { return is_failing_checks_; }
     /// Limits the sum of bytes reserved for long messages. A message beyond it waits unread; its request's
     /// time counts from its last byte.
-    void limit_long(std::size_t bytes) { max_long_bytes_ = bytes; }
+    void limit_long_message_bytes(std::size_t bytes) { max_long_bytes_ = bytes; }
     std::size_t max_long_bytes() const { return max_long_bytes_; }
     /// Reserves bytes for a long message. Returns false if they exceed the limit; the session's
     /// resume_reading() is called when there may be capacity.
--- a/src/adapters/pg_request.cpp
+++ b/src/adapters/pg_request.cpp
@@ -76,7 +76,7 @@
 // errors would count as faults of the endpoint.
 const char* verb_error(const pg::Verb& verb, const ClassInfo& request_class) {
     if (verb.kind == pg::Verb::Kind::other) return "statements of this form are not supported";
-    if (request_class.write != (verb.kind == pg::Verb::Kind::write))
+    if (request_class.is_write != (verb.kind == pg::Verb::Kind::write))
         return "the statement does not fit its class";
     if (verb.name.size() > kMaxNameBytes) return "the name is too long";
     bool is_page = verb.kind == pg::Verb::Kind::page;
@@ -160,7 +160,8 @@
     request.key = statement.field("k").value_or("");
     set_class(*request_class, *group, request);
     request.is_retry = statement.field("r") == "1";
-    if (request_class->write || request_class->session) request.session = session_number(request.name);
+    if (request_class->is_write || request_class->has_session_consistency)
+        request.session = session_number(request.name);
     request.statement = sql;
     request.may_stream_answer = true;
     return std::nullopt;
@@ -195,10 +196,10 @@
     request.tenant = statement.field("t").value_or(defaults.user);
     request.is_retry = statement.field("r") == "1";
     // Without a session field the connection is the session: its reads see its own writes.
-    if (request_class->write || request_class->session)
+    if (request_class->is_write || request_class->has_session_consistency)
         request.session = session_number(statement.field("s").value_or(defaults.peer_address));
-    request.may_write = request_class->write;
-    request.is_barred_from_reserve = is_read && !request_class->session;
+    request.may_write = request_class->is_write;
+    request.is_barred_from_reserve = is_read && !request_class->has_session_consistency;
     request.has_no_comment_fields = statement.fields.empty();
     request.shape_high = profile.shape.high;
     request.shape_low = profile.shape.low;
--- a/src/adapters/rest_front.cpp
+++ b/src/adapters/rest_front.cpp
@@ -126,10 +126,11 @@
         if (!group) return Problem{404, "not-found", "The cluster is not a number", ""};
         const ClassInfo* request_class = front_.classes().find(parameter("class"));
         if (!request_class) return invalid("'class' is missing or names no request class");
-        if (request_class->write) return invalid("'class' names a class of writes; only reads are supported");
+        if (request_class->is_write)
+            return invalid("'class' names a class of writes; only reads are supported");
         query_ = rest::Query{request_class->name, std::string(parameter("session")),
                              std::string(parameter("tenant")), std::string(parameter("prefix")), *group};
-        if (request_class->session && query_.session.empty())
+        if (request_class->has_session_consistency && query_.session.empty())
             return invalid("'session' is missing; this request class needs it");
         if (!is_plain_token(query_.tenant))
             return invalid("'tenant' may hold only letters, digits and - _ . :");
@@ -145,7 +146,7 @@
         client_request.class_name = request_class->name;
         client_request.group = GroupId{*group};
         client_request.tenant = query_.tenant;
-        if (request_class->session) client_request.session = session_number(query_.session);
+        if (request_class->has_session_consistency) client_request.session = session_number(query_.session);
         auto id = request.field("request-id");
         if (id && (id->empty() || id->size() > 64 || !is_plain_token(*id)))
             return invalid("Request-Id must be 1 to 64 letters, digits or - _ . :");
@@ -162,9 +163,9 @@
         page_size_ = front_.options().page_size;
         if (auto limit = target.parameter("limit")) {
             auto size = parse_number<std::uint32_t>(*limit);
-            if (!size || *size == 0 || *size > front_.options().page_size_most)
+            if (!size || *size == 0 || *size > front_.options().max_page_size)
                 return invalid("'limit' must lie between 1 and " +
-                               std::to_string(front_.options().page_size_most));
+                               std::to_string(front_.options().max_page_size));
             page_size_ = *size;
         }
         client_request.verb = ClientRequest::Verb::page;
--- a/src/adapters/rest_front.hpp
+++ b/src/adapters/rest_front.hpp
@@ -12,7 +12,7 @@
 
 struct RestOptions {
     /// Rows of a page without a `limit`, and the largest `limit` accepted.
-    std::uint32_t page_size = 50, page_size_most = 500;
+    std::uint32_t page_size = 50, max_page_size = 500;
     /// Time without progress for a first request to arrive and for a request to be completed.
     std::chrono::milliseconds request_timeout{1500};
 };
--- a/src/adapters/statements.cpp
+++ b/src/adapters/statements.cpp
@@ -66,12 +66,12 @@
         return request_class;
     }
     // It must reach the primary. Only a class of writes does that for certain.
-    if (request_class && request_class->write) return request_class;
+    if (request_class && request_class->is_write) return request_class;
     const std::string& fallback = j.kind == Kind::read && !options_.primary_class.empty()
                                       ? options_.primary_class
                                       : options_.write_class;
     const ClassInfo* safe = classes.find(fallback);
-    if (safe && safe->write) return safe;
+    if (safe && safe->is_write) return safe;
     why = std::string("it must go to the primary (") + j.reason + "), and " +
           (request_class ? "class '" + request_class->name + "' does not" : "it has no class that does");
     return nullptr;
--- a/src/program/config.cpp
+++ b/src/program/config.cpp
@@ -32,7 +32,7 @@
 // A default class must exist, and be of writes or of reads as its use demands.
 void check_default_class(const Config& config, const std::string& name, const char* where, bool writes,
                          const std::string& path) {
-    if (name.empty() || find_class(config, name, where, path).write == writes) return;
+    if (name.empty() || find_class(config, name, where, path).is_write == writes) return;
     throw ConfigError(path, std::string(where) + ": class '" + name +
                                 (writes ? "' is none of writes" : "' is one of writes"));
 }
--- a/src/program/platform_config.cpp
+++ b/src/program/platform_config.cpp
@@ -110,8 +110,8 @@
         info.name = list[i].value(keys::kClassName, std::string());
         info.id = routing::ClassId(std::uint32_t(i));
         info.deadline = class_settings.deadline.value_or(kDefaultDeadline);
-        info.write = class_settings.consistency.value_or(Consistency::write) == Consistency::write;
-        info.session = class_settings.consistency == Consistency::session;
+        info.is_write = class_settings.consistency.value_or(Consistency::write) == Consistency::write;
+        info.has_session_consistency = class_settings.consistency == Consistency::session;
         info.needs_idempotency_key = class_settings.idempotency == policy::Idempotency::idempotency_key;
         config.longest_deadline = std::max(config.longest_deadline, info.deadline);
         classes.push_back(info);
--- a/src/program/startup.cpp
+++ b/src/program/startup.cpp
@@ -114,9 +114,9 @@
         std::make_unique<adapters::PgFront>(services.io, listen_at(services, services.config.listen, "pg"),
                                             budget.pg_clients, services.config.classes, adapters::PgOptions{},
                                             services.admission(), services.log, services.statements.get());
-    front->limit_bytes(budget.unread_bytes);
-    front->limit_long(budget.long_statement_bytes);
-    front->limit_served(budget.served_clients);
+    front->limit_buffered_bytes(budget.unread_bytes);
+    front->limit_long_message_bytes(budget.long_statement_bytes);
+    front->limit_served_sessions(budget.served_clients);
     return front;
 }
 
@@ -124,11 +124,11 @@
     const RestConfig& rest = services.config.rest;
     adapters::RestOptions options;
     options.page_size = rest.page_size;
-    options.page_size_most = rest.page_size_most;
+    options.max_page_size = rest.page_size_most;
     auto front = std::make_unique<adapters::RestFront>(services.io, listen_at(services, rest.listen, "rest"),
                                                        services.budget.rest_clients, services.config.classes,
                                                        options, services.admission(), services.log);
-    front->limit_bytes(services.budget.unread_bytes);
+    front->limit_buffered_bytes(services.budget.unread_bytes);
     return front;
 }
 
--- a/tests/adapters/connection_close_test.cpp
+++ b/tests/adapters/connection_close_test.cpp
@@ -64,7 +64,7 @@
         const std::size_t before = client.unread_bytes();
         REQUIRE(before > 0);
         std::vector<std::unique_ptr<RawClient>> others;
-        if (why == Why::served_limit) fixture.pg.limit_served(1);
+        if (why == Why::served_limit) fixture.pg.limit_served_sessions(1);
         if (why == Why::shutdown) {
             fixture.pg.close_idle();
         } else {
--- a/tests/adapters/front_connections_test.cpp
+++ b/tests/adapters/front_connections_test.cpp
@@ -13,7 +13,7 @@
 // A session that is closed before its answer would leave the admission with a pointer to a destroyed object.
 TEST_CASE("a client that pipelines more than the byte limit still gets its answer") {
     ScriptedPgFront fixture(100);
-    fixture.front.limit_bytes(1000);
+    fixture.front.limit_buffered_bytes(1000);
     Client client(fixture.loop, fixture.front.local());
     client.send(pg::Writer().startup("u", "d").query(sql("h1")).take());
     CHECK(client.reply() == "RZ");
@@ -61,7 +61,7 @@
         CHECK(slow.reply() == "TDCZ");
         fixture.admission.value = "v";
     }
-    fixture.front.limit_bytes(100000);
+    fixture.front.limit_buffered_bytes(100000);
     std::vector<std::unique_ptr<Client>> clients;
     const std::string half =
         pg::Writer().startup("u", "d").query(std::string(150000, 'x')).take().substr(0, 70000);
@@ -79,7 +79,7 @@
 TEST_CASE(
     "served clients that are idle are closed at the limit of served sessions, below the connection limit") {
     ScriptedPgFront fixture(100);
-    fixture.front.limit_served(3);
+    fixture.front.limit_served_sessions(3);
     Client busy(fixture.loop, fixture.front.local());
     busy.send(pg::Writer().startup("u", "d").query(sql("h1")).take());
     std::vector<std::unique_ptr<Client>> clients;
--- a/tests/adapters/pg_front_long_values_test.cpp
+++ b/tests/adapters/pg_front_long_values_test.cpp
@@ -88,7 +88,7 @@
 TEST_CASE("pg: long statements are read while there is capacity for them, and wait in line otherwise") {
     ScriptedPgFront fixture(8);
     fixture.admission.capacity = 64 << 20;
-    fixture.front.limit_long(5 << 20);
+    fixture.front.limit_long_message_bytes(5 << 20);
     auto statement = [](std::string id, std::size_t size) {
         return pg::Writer()
             .query("/* id=" + id +
--- a/tests/adapters/rest_front_test.cpp
+++ b/tests/adapters/rest_front_test.cpp
@@ -64,7 +64,7 @@
 TEST_CASE("rest: random requests on one connection are answered in order with the expected status") {
     Dice dice(12);
     for (int round = 0; round < 25; ++round) {
-        ScriptedRestFront fixture(8, adapters::RestOptions{.page_size = 2, .page_size_most = 10});
+        ScriptedRestFront fixture(8, adapters::RestOptions{.page_size = 2, .max_page_size = 10});
         Client client(fixture.loop, fixture.front.local());
         for (int burst = 0; burst < 8; ++burst) {
             std::vector<RequestCase> sent;
@@ -91,7 +91,7 @@
 }
 
 TEST_CASE("rest: a page carries the cursor of the next page, and the last page carries none") {
-    ScriptedRestFront fixture(8, adapters::RestOptions{.page_size = 2, .page_size_most = 10});
+    ScriptedRestFront fixture(8, adapters::RestOptions{.page_size = 2, .max_page_size = 10});
     Client client(fixture.loop, fixture.front.local());
     auto get = [&](std::string target) { return client.get(target, {{"Request-Id", "s"}}); };
     // There are three rows, and a page holds two.
--- a/tests/support/deployment.hpp
+++ b/tests/support/deployment.hpp
@@ -35,7 +35,7 @@
         : core(loop.io, clock, with, 7, limits(links), backend, logger),
           limited(by_cost ? std::make_unique<adapters::LimitedAdmission>(loop.io, clock, *by_cost, core)
                           : nullptr),
-          rest(loop.io, loopback(), 64, known, {.page_size = 4, .page_size_most = 10}, admission(), logger),
+          rest(loop.io, loopback(), 64, known, {.page_size = 4, .max_page_size = 10}, admission(), logger),
           pg(loop.io, loopback(), 64, known, {}, admission(), logger, statements) {
         hosts[0].primary = true;
         for (Host& host : hosts) {
