--- a/src/adapters/client_listener.hpp
+++ b/src/adapters/client_listener.hpp
@@ -17,7 +17,8 @@
     /// has been idle for longest is closed. The number of connections is limited, and without this clients
     /// that send one request and stay connected would leave none to others.
     void limit_served_sessions(std::size_t max_sessions) { max_served_sessions_ = max_sessions; }
-    /// Limits the sum of bytes in all sessions' buffers: what is unread, incomplete or unwritten.
+    /// Limits the sum of bytes in all sessions' buffers, unread and unwritten, without those that are
+    /// reserved for long messages.
     void limit_buffered_bytes(std::size_t bytes) { max_memory_bytes_ = bytes; }
     ~ClientListener() override;
     void start() override;
@@ -55,7 +56,7 @@
     /// Number of half-closed connections that are kept after the end of their session, unless the listener
     /// is retiring.
     static constexpr std::size_t kLingering = 16;
-    /// Keeps a half-closed connection until the client closes it too.
+    /// Keeps a half-closed connection until the client closes it too or its time is up.
     void linger(const std::shared_ptr<transport::Connection>& connection);
     std::size_t lingering() const override { return lingering_.count() + lingering_after_drain_.count(); }
 
--- a/src/adapters/session.hpp
+++ b/src/adapters/session.hpp
@@ -69,8 +69,8 @@
     std::size_t counted_bytes = 0;
 
   protected:
-    /// Consumes one message of the buffer. Returns false if the message is incomplete, or if the session is
-    /// serving a request or closed.
+    /// Consumes one message of the buffer. Returns false if the message is incomplete or the session is
+    /// closed.
     virtual bool process_next_message(transport::Buffer& in) = 0;
     /// Whether the client has yet to send its first message. An idle client has no timeout after that.
     virtual bool is_awaiting_first_message() const { return !has_received_message_; }
@@ -95,7 +95,8 @@
     bool has_capacity(std::size_t bytes) const { return admission_.has_capacity(bytes); }
     /// Writes the answer, or its end, and reads the next request.
     void finish_response(std::string bytes);
-    /// Writes a part of the answer. Returns false if no more is to be given until the admission's resume().
+    /// Writes a part of the answer. Returns false if the client has too much of it unread: no more may be
+    /// written until this session calls the admission's resume().
     bool stream_response(std::string bytes);
     /// Closes the connection at once because the answer can't be completed: the client sees it cut off.
     void abort_response();
