--- a/tests/program/services_test.cpp
+++ b/tests/program/services_test.cpp
@@ -252,7 +252,7 @@
     CHECK(config.settings.classes.at(1).consistency == policy::Consistency::session);
     CHECK(config.settings.classes.at(1).deadline == policy::Duration(600500us));
     CHECK(config.classes.find("stock view")->deadline == routing::Duration(1s));
-    CHECK(config.classes.find("w")->write);
+    CHECK(config.classes.find("w")->is_write);
     CHECK(config.idle_limit == routing::Duration(20s));
     CHECK(config.known_endpoints.members.at(0).zone == 1);
     CHECK(!config.rest.enabled);
@@ -418,7 +418,8 @@
                     slow_start_attempts += send->endpoint == EndpointId{2};
                     AttemptOutcome outcome;
                     outcome.id = arrival.id, outcome.endpoint = send->endpoint,
-                    outcome.status = AttemptStatus::ok, outcome.latency = 10ms, outcome.finished = true;
+                    outcome.status = AttemptStatus::ok, outcome.latency = 10ms,
+                    outcome.is_request_finished = true;
                     handle_event(outcome);
                 }
         }
@@ -493,7 +494,7 @@
         now += 50ms;
         AttemptOutcome outcome;
         outcome.id = arrival.id, outcome.endpoint = EndpointId{1}, outcome.status = AttemptStatus::ok,
-        outcome.finished = true, outcome.role = Role::primary;
+        outcome.is_request_finished = true, outcome.role = Role::primary;
         outcome.position = now;  // the commit
         handle_event(outcome);
         HealthCheckResult health_check;
@@ -565,7 +566,7 @@
         handle_event(arrival);
         AttemptOutcome outcome;
         outcome.id = arrival.id, outcome.endpoint = EndpointId{1}, outcome.status = AttemptStatus::ok,
-        outcome.finished = true, outcome.role = Role::primary;
+        outcome.is_request_finished = true, outcome.role = Role::primary;
         outcome.position = now;
         handle_event(outcome);
     };
@@ -579,7 +580,7 @@
         arrival.client_timeout = 1s, arrival.session = SessionKey{id};
         handle_event(arrival);
         for (const Action& action : actions)
-            if (auto* sent = std::get_if<SendAttempt>(&action)) return sent->needs;
+            if (auto* sent = std::get_if<SendAttempt>(&action)) return sent->required_position;
         FAIL("not sent");
         return std::optional<Time>();
     };
