--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -10,17 +10,20 @@
 
 using std::chrono::milliseconds;
 
-/// Of a request's time: rejected later, it leaves its client no time to come again.
+/// Share of the client's timeout for which a request may be queued. The rest leaves the client
+/// time for a retry.
 constexpr double kMaxQueueShare = 0.45;
-/// Enough for an on-demand check of a replica or two: else a class of slow answers would be rejected on
-/// arrival.
+/// Every read may be queued for this long, which suffices for on-demand checks of one or two replicas.
+/// Without it, all reads of a class with slow answers would be rejected on arrival.
 constexpr Duration kMinQueueTime = milliseconds(50);
-/// Usual answer times that a queued read keeps in hand.
+/// A read is queued only while at least this many usual latencies are left of its latency objective.
 constexpr double kReservedAnswerTimes = 4;
-/// A read is to be on a connection after this part of what is left of its objective.
+/// A read must be on a connection within 1 / kStartPartsPerObjective of the time left until its
+/// latency objective.
 constexpr int kStartPartsPerObjective = 4;
+/// A read has at least this long to be on a connection.
 constexpr Duration kMinStartTime = milliseconds(25);
-/// A replication lag or a primary change lasts longer.
+/// Retry-After of rejections. Replication lag and a change of the primary last longer than this.
 constexpr Duration kRetryAfter = milliseconds(250);
 
 Time latest_useful_dispatch(const Request& request) {
@@ -60,7 +63,8 @@
 
 Time attempt_start_deadline(const Request& request, Time now) {
     Time start_by = std::min(latest_useful_dispatch(request), retry_deadline(request));
-    // Others can serve a read within its objective: it does not wait out a connection that does not come up.
+    // Another replica can serve a read within its objective, so it does not wait for a connection that
+    // is not established.
     if (!request.request_class->needs_primary()) {
         Duration part = (request.latency_objective - now) / kStartPartsPerObjective;
         start_by = std::min(start_by, now + std::max(kMinStartTime, part));
--- a/src/policy/attempt_status.hpp
+++ b/src/policy/attempt_status.hpp
@@ -1,4 +1,4 @@
-// How an attempt ended, and what that proves about whether its statement was executed.
+// How an attempt ended, and what its end proves about whether the statement was executed.
 #pragma once
 
 #include <cstddef>
@@ -7,24 +7,27 @@
 
 enum class AttemptStatus {
     ok,
-    error,        ///< the endpoint answered with an error of its own
-    rejected,     ///< the endpoint turned the work away before running it
-    timeout,      ///< no answer in time
-    unreachable,  ///< no connection came up
-    reset,        ///< the connection broke with the attempt on it
+    error,        ///< the endpoint answered with an error
+    rejected,     ///< the endpoint refused the request before executing it
+    timeout,      ///< no answer arrived before the timeout
+    unreachable,  ///< no connection could be established
+    reset,        ///< the connection broke while the attempt was in flight
     cancelled,
-    not_started,  ///< no connection came free in time
-    miss,  ///< the endpoint doesn't serve this: it refused the read as too far behind, or has no such data
-    stale  ///< the endpoint answered, with older data than the read allows; the answer was not passed on
+    not_started,  ///< no connection became free in time
+    /// The endpoint does not serve this request: it refused the read because its data is too old, or it does
+    /// not hold the data.
+    miss,
+    /// The endpoint answered with older data than the read allows. The client did not get this answer.
+    stale
 };
 constexpr std::size_t kAttemptStatusCount = 10;
 
-/// What is known of whether a statement was executed, the weakest evidence first. It is a fact of its own and
-/// never follows from how useful the answer was: evidence that a statement ran is not taken back by a later
-/// message, a broken connection, a clock or another layer's verdict.
+/// What is known about whether a statement was executed, from the weakest to the strongest evidence. It does
+/// not depend on whether the answer was usable. Evidence that a statement ran is final: no later message,
+/// broken connection, clock reading or decision of another layer withdraws it.
 enum class Execution { never_ran, may_have_run, ran };
 
-/// What a status proves by itself.
+/// What the status alone proves.
 constexpr Execution execution_of(AttemptStatus status) {
     switch (status) {
         case AttemptStatus::rejected:
@@ -44,7 +47,7 @@
     return Execution::may_have_run;
 }
 
-/// The same with evidence beyond the status: the stronger of the two.
+/// The stronger of `evidence` and of what the status proves.
 constexpr Execution execution_of(AttemptStatus status, Execution evidence) {
     return evidence > execution_of(status) ? evidence : execution_of(status);
 }
--- a/src/policy/client_timeouts.cpp
+++ b/src/policy/client_timeouts.cpp
@@ -7,9 +7,9 @@
 
 using std::chrono::milliseconds;
 
-/// Timeouts this close are one: the way from client to pooler takes a part of them.
+/// Timeouts that differ by less than this count as equal: the way from client to pooler takes a varying part.
 constexpr Duration kTimeoutTolerance = milliseconds(15);
-/// A timeout that came this often among the retained ones is the usual one.
+/// A timeout that occurs at least this often among the retained ones is the usual one.
 constexpr int kUsualTimeoutCount = 6;
 
 bool are_close(Duration one, Duration other) {
--- a/src/policy/client_timeouts.hpp
+++ b/src/policy/client_timeouts.hpp
@@ -1,10 +1,10 @@
-// Estimates how much of its deadline a client has used up before the attempt that has just arrived.
+// Estimates how much of its deadline a client had used up before the request that has just arrived.
 //
-// A client that retries by itself tells only how long it will wait this time. Most of a class's requests
-// come with one usual timeout; any other timeout is taken for what is left of the client's deadline. Where
-// timeouts vary from client to client none is usual, and nothing counts as elapsed; nor for a first request
-// where clients mark their retries. Without this, work would go into retries whose latency objective has
-// passed.
+// A client that retries by itself only states how long it will wait for this attempt. Most requests of a
+// class come with one usual timeout; a different timeout is taken as the rest of the client's deadline.
+// Where timeouts vary from client to client, none is usual and no time counts as elapsed. The same holds
+// for an unmarked request where clients mark their retries. Without this estimate, endpoints would work on
+// retries whose latency objective has passed.
 #pragma once
 
 #include <array>
@@ -15,17 +15,17 @@
 
 namespace indigovane::policy {
 
-/// What one request class's clients have shown.
+/// The client timeouts that were recently observed for one request class.
 class ClientTimeouts {
   public:
     struct Arrival {
         Duration client_timeout;
-        Duration deadline;          ///< of the class, over all the client's attempts
-        bool is_marked_as_retry;    ///< RequestArrival::repeat
-        bool clients_mark_retries;  ///< some client has marked a retry before, or this one
+        Duration deadline;          ///< of the class, for all attempts of the client together
+        bool is_marked_as_retry;    ///< RequestArrival::is_retry
+        bool clients_mark_retries;  ///< a client has marked a retry before, or marks this one
     };
 
-    /// Records the arrival; returns the time already used up by the client's earlier attempts.
+    /// Records the arrival and returns the estimated time that the client's earlier attempts took.
     Duration elapsed_before(const Arrival& arrival);
 
   private:
--- a/src/policy/concurrency_limit.cpp
+++ b/src/policy/concurrency_limit.cpp
@@ -7,26 +7,26 @@
 namespace indigovane::policy {
 namespace {
 
-/// After a restart or a fault: the way back is gradual.
+/// Window after a restart or a fault, from which the endpoint gets its load back gradually.
 constexpr double kRestartWindow = 2;
 constexpr double kMaxWindow = 64;
 
 /// Mean latency ratio below which a window grows, and above which it shrinks.
 constexpr double kGrowBelowLatencyRatio = 0.5;
 constexpr double kShrinkAboveLatencyRatio = 0.75;
-/// Weight of one answer in the means.
+/// Weight of one sample in the moving averages.
 constexpr double kSampleWeight = 0.12;
-/// One answer counts as at most so many objectives.
+/// A sample counts as at most this many latency objectives.
 constexpr double kMaxLatencyRatio = 2;
 
 /// Replication lag ratio below which a window may grow, and above which it shrinks on busy cores.
 constexpr double kGrowBelowLagRatio = 0.5;
 constexpr double kShrinkAboveLagRatio = 0.6;
-/// CPU utilization at which a lagging replica's cores count as busy.
+/// CPU utilization above which a lagging replica's window shrinks.
 constexpr double kBusyUtilizationWhileLagging = 0.7;
-/// CPU utilization at which a replica will fall behind, lagging or not.
+/// CPU utilization above which a replica's window shrinks in any case, because the replica will fall behind.
 constexpr double kBusyUtilization = 0.85;
-/// Requests in flight that stand for fully used cores, where no utilization is reported.
+/// Where an endpoint reports no CPU utilization, this many requests in flight stand for fully used cores.
 constexpr double kInFlightOfBusyCores = 6;
 
 constexpr double kReductionFactor = 0.8;
@@ -75,7 +75,7 @@
 
 void ConcurrencyLimit::reduce(double factor, int in_flight, Time now) {
     grows_fast_ = false;
-    // One reduction for the requests that were in flight together.
+    // Requests that were in flight together reduce the window only once.
     if (now - reduced_at_ < from_milliseconds(usual_latency_ms_)) return;
     reduced_at_ = now;
     window_ = std::max(1.0, std::min(window_, in_flight + 1.0) * factor);
--- a/src/policy/concurrency_limit.hpp
+++ b/src/policy/concurrency_limit.hpp
@@ -1,16 +1,18 @@
-// The concurrency limit: how many requests this pooler has in flight at one endpoint.
+// The concurrency limit: how many requests this pooler may have in flight at one endpoint.
 //
-// The window follows how answers compare with the class's latency objective, whatever slows them: it grows
-// while they take little of it and shrinks, by a factor, when they take much. A replica's window follows
-// its replication lag as well: it applies the log with what its reads leave of its cores, and answers as
-// fast as ever while it falls behind. Beside idle cores a lag says that the log stands still for another
-// reason (its primary is gone, a link is cut), and changes nothing. It guards against a queue whose every
-// answer is late; where answers are slow for a reason that less work doesn't mend, the window is small
-// without use.
+// The limit is a window that adapts to latency, relative to the class's latency objective and regardless of
+// the cause: it grows while answers take a small part of the objective and shrinks by a factor when they take
+// a large part. A replica's window also adapts to its replication lag: a replica applies the log with the CPU
+// time that its reads leave, and still answers as fast as usual while it falls behind. A lag with idle cores
+// has another cause (the primary is gone, a link is cut) and changes nothing.
 //
-// Units: requests; ratios are shares of the latency objective, or of the strictest staleness bound.
-// Source: docs/design.md, "Holding and refusing". Settings read: none; the callers hand in objective and
-// bound.
+// The limit prevents a queue at the endpoint in which every answer is late. If answers are slow for a reason
+// that fewer requests do not remove, the window is small without benefit.
+//
+// Units: the window counts requests; ratios are relative to the latency objective or to the strictest
+// staleness bound.
+// Source: docs/design.md, "Holding and refusing". Settings read: none; the callers pass the latency
+// objective and the staleness bound.
 #pragma once
 
 #include <algorithm>
@@ -20,12 +22,14 @@
 
 namespace indigovane::policy {
 
+/// The concurrency limit of one endpoint. Times are on the caller's clock.
 class ConcurrencyLimit {
   public:
-    /// `share`: of the window, that is open to the request at hand.
+    /// Whether one more request fits. `share`: the part of the window, 0 to 1, that is open to this request.
     bool admits(int in_flight, double share) const { return in_flight < std::max(1.0, window_ * share); }
 
-    /// An attempt's end; `answered`: with an answer, else by a timeout or a cancellation.
+    /// The end of an attempt. `answered`: it ended with an answer; otherwise with a timeout
+    /// or a cancellation.
     struct Sample {
         Duration latency;
         Duration latency_objective;
@@ -34,15 +38,16 @@
     };
     void record_latency(const Sample& sample, Time now);
 
-    /// A replica's report with a position and a load. `strictest_bound`: of any class of bounded reads.
+    /// A replica's report with a position and a load. `strictest_bound`: the smallest staleness
+    /// bound of a class.
     void record_replication_lag(const LoadReport& report, Duration strictest_bound, int in_flight, Time now);
 
-    /// The endpoint turned work away.
+    /// The endpoint rejected a request.
     void record_rejection(int in_flight, Time now);
 
-    /// After a restart: a small window that grows fast again.
+    /// After a restart of the endpoint: a small window that grows fast.
     void restart();
-    /// After an ejection: the same, and old latencies no longer count.
+    /// After an ejection: the same as restart(), and earlier latencies no longer count.
     void recover();
 
     double window() const { return window_; }
@@ -54,10 +59,10 @@
     static constexpr double kInitialWindow = 6;
 
     double window_ = kInitialWindow;
-    bool grows_fast_ = true;       // by one request an answer, until the first reduction
-    double latency_ratio_ = 0;     // mean latency as a share of the objective
-    double lag_ratio_ = 0;         // last reported lag as a share of the strictest bound
-    double usual_latency_ms_ = 0;  // mean; 0: no answer yet
+    bool grows_fast_ = true;       // by one request per answer, until the first reduction
+    double latency_ratio_ = 0;     // moving average of latency / objective
+    double lag_ratio_ = 0;         // last reported lag / strictest bound
+    double usual_latency_ms_ = 0;  // moving average; 0: no answer yet
     Time reduced_at_{};
 };
 
--- a/src/policy/endpoint_capacity.cpp
+++ b/src/policy/endpoint_capacity.cpp
@@ -7,7 +7,7 @@
 namespace indigovane::policy {
 namespace {
 
-/// Of a primary's window, the share open to reads that no replica could serve.
+/// Share of a primary's window that is open to reads which no replica can serve.
 constexpr double kReadShareOfPrimary = 0.75;
 
 }  // namespace
@@ -15,7 +15,7 @@
 bool has_capacity(const Endpoint& endpoint, const CapacityContext& context, const Request& request,
                   const Settings& settings, Time now) {
     bool needs_primary = request.request_class->needs_primary();
-    // An ejected endpoint gets trials alone, which outlier_ejection.hpp counts out.
+    // An ejected endpoint gets only trials, whose number outlier ejection limits.
     if (!endpoint.ejection.is_ejected()) {
         double share = needs_primary || &endpoint != context.primary ? 1 : kReadShareOfPrimary;
         if (!endpoint.limit.admits(endpoint.in_flight, share)) return false;
--- a/src/policy/endpoint_capacity.hpp
+++ b/src/policy/endpoint_capacity.hpp
@@ -1,4 +1,4 @@
-// Whether an endpoint has capacity for a request: the concurrency limit and slow start together.
+// Whether an endpoint has capacity for a request, by the concurrency limit and by slow start.
 //
 // Settings read: those of slow_start.hpp.
 #pragma once
@@ -12,12 +12,13 @@
 
 namespace indigovane::policy {
 
-/// Among which endpoints of its group one is asked for.
+/// The group's endpoints among which one is selected.
 struct CapacityContext {
     const ReplicaGroup& group;
-    const Endpoint* primary;  ///< last known; nullptr: none
-    std::size_t candidates;   ///< among which the request is drawn, the endpoint included
+    const Endpoint* primary;  ///< the last known primary; nullptr: none
+    std::size_t candidates;   ///< number of endpoints among which one is drawn, this endpoint included
 };
+/// Whether the endpoint has capacity for one more attempt of the request.
 bool has_capacity(const Endpoint& endpoint, const CapacityContext& context, const Request& request,
                   const Settings& settings, Time now);
 
--- a/src/policy/endpoint_list_poll.cpp
+++ b/src/policy/endpoint_list_poll.cpp
@@ -11,15 +11,16 @@
 using std::chrono::seconds;
 
 constexpr Duration kMaxBackoff = seconds(4);
-/// The first requests are spread over this time a pooler of the fleet...
+/// The first requests are spread over this time per pooler of the fleet.
 constexpr Duration kSpreadPerPooler = milliseconds(60);
-/// ...and over that of so many poolers at least.
-constexpr double kMinSpreadPoolers = 10;
+/// Poolers that are added to the fleet's size for that spread, so that small fleets spread
+/// their requests too.
+constexpr double kExtraSpreadPoolers = 10;
 
 }  // namespace
 
 Duration EndpointListPoll::first_delay(double fleet_size, Random& random) {
-    return from_milliseconds(to_milliseconds(kSpreadPerPooler) * (kMinSpreadPoolers + fleet_size) *
+    return from_milliseconds(to_milliseconds(kSpreadPerPooler) * (kExtraSpreadPoolers + fleet_size) *
                              uniform(random));
 }
 
--- a/src/policy/endpoint_list_poll.hpp
+++ b/src/policy/endpoint_list_poll.hpp
@@ -1,7 +1,7 @@
 // When the endpoint list is requested, where it has to be polled.
 //
-// The first requests of a fleet that starts at once are spread over time; one that failed is made again
-// after a backoff that doubles, with jitter. Settings read: Settings::fleet_size.
+// The first requests are spread over time, because all poolers of a fleet may start at once. A failed request
+// is repeated after an exponential backoff with jitter. Settings read: Settings::fleet_size.
 #pragma once
 
 #include "policy/events.hpp"
@@ -10,15 +10,16 @@
 
 namespace indigovane::policy {
 
+/// The delays of one pooler's requests for the endpoint list.
 class EndpointListPoll {
   public:
-    /// Until the first request. Draws once.
+    /// Time from the start to the first request. Draws one random number.
     static Duration first_delay(double fleet_size, Random& random);
 
     void record_request() { has_requested_ = true; }
-    /// Until the next request, after one that failed. Draws once.
+    /// Time from a failed request to the next one. Draws one random number.
     Duration retry_delay(Random& random);
-    /// A list has arrived: an answer from the service itself ends the backoff.
+    /// A list has arrived. Unless it is cached, it ends the backoff, because discovery has answered.
     void record_list(EndpointListKind kind);
 
   private:
--- a/src/policy/endpoint_table.cpp
+++ b/src/policy/endpoint_table.cpp
@@ -10,9 +10,9 @@
 
 using std::chrono::seconds;
 
-/// After an endpoint left the list.
+/// How long an endpoint is kept after it left the list.
 constexpr Duration kUnlistedRetention = seconds(60);
-/// Over which a group's reads are averaged.
+/// Time constant with which the count of a group's reads decays.
 constexpr Duration kReadRateDecayTime = seconds(1);
 
 }  // namespace
@@ -55,7 +55,7 @@
         endpoint.group = entry.group;
         endpoint.zone = entry.zone;
         groups_[entry.group].endpoints.push_back(&endpoint);
-        // A hint: any claim of a role that is observed later outweighs it.
+        // The list only gives a hint: any claim that is observed later takes precedence.
         if (entry.primary) endpoint.replication.primary_as_of = Time::min();
     }
     if (entry.started && endpoint.started != entry.started) {
--- a/src/policy/engine.cpp
+++ b/src/policy/engine.cpp
@@ -36,7 +36,7 @@
     std::visit([this](const auto& typed_event) { on_event(typed_event); }, event);
 }
 
-/// Timers begin with the first event, which is the list.
+/// The first event starts the poll of the endpoint list, if it has to be polled.
 void Engine::start() {
     if (has_started_) return;
     has_started_ = true;
@@ -57,7 +57,7 @@
 void Engine::on_event(const EndpointList& list) {
     if (list.kind == EndpointListKind::failed) {
         append_action(SetTimer{kEndpointListTimer, list_poll_.retry_delay(random_)});
-        log("list call failed; keeping the last list");
+        log("endpoint list request failed; keeping the last list");
         return;
     }
     list_poll_.record_list(list.kind);
@@ -78,7 +78,8 @@
     bool class_is_known = class_index < classes_.size();
     ReplicaGroup* group = class_is_known ? endpoints_.find_group(arrival.group) : nullptr;
     if (!group) {
-        // No list has named an endpoint of the group: the request never ran.
+        // No list has named an endpoint of the group, or the class is unknown. The request never ran, so that
+        // a rejection is harmless.
         append_action(
             RejectRequest{arrival.id, class_is_known ? retry_after(settings_) : std::nullopt, false});
         return;
@@ -97,7 +98,8 @@
     dispatch_queued(*group);
 }
 
-/// The endpoint has done its work; what is left is to carry the answer over, at the client's pace.
+/// The endpoint has done its work. The transfer of the answer is left, and its speed depends on the client,
+/// so that the attempt no longer counts as in flight at the endpoint.
 void Engine::on_event(const ResponseStarted& started) {
     Endpoint* endpoint = endpoints_.find(started.endpoint);
     Request* request = requests_.find(started.id);
@@ -147,7 +149,7 @@
     dispatch_queued(endpoints_.group_of(*endpoint));
 }
 
-/// Gossip proves nothing: it is worth a health check of one's own.
+/// Gossip is no proof of the role: it only triggers a health check by this pooler.
 void Engine::on_event(const PrimaryGossip& gossip) {
     Endpoint* endpoint = endpoints_.find(gossip.endpoint);
     if (endpoint && known_primary(endpoints_.group_of(*endpoint)) != endpoint)
--- a/src/policy/engine.hpp
+++ b/src/policy/engine.hpp
@@ -1,17 +1,20 @@
-// The engine behind RoutingPolicy: it takes each event, asks the modules in order, and appends the actions.
+// The engine behind RoutingPolicy: it receives each event, calls the modules in order and
+// appends the actions.
 //
-// It holds the state that several modules share (endpoint table, open requests, session tokens, random
-// draws) and decides nothing that a module could decide by itself. The order of a request's life:
-//  1. on arrival: admission (worth admitting?), then its group's queue;
-//  2. dispatch of the queue: retry policy (may it go?), replica selection, which asks outlier ejection and
-//     rejection backoff, replication state, round trips, concurrency limit and slow start; else admission
-//     (how long queued?);
-//  3. on an attempt's end: what it tells of the endpoint, session tokens, retry policy, then the queue
-//     again or the final answer.
-// Maintenance, every 20 ms while a group is in use: unresponsive endpoints, health checks, dispatch.
+// It holds the state that several modules share (endpoint table, open requests, session tokens, random number
+// generator) and makes no decision that belongs to one module. The steps of a request:
+//  1. On arrival, admission decides whether it is admitted; then it joins its group's queue.
+//  2. When the queue is dispatched, the retry policy decides whether it may be sent. Replica selection
+//     chooses the endpoint; it consults outlier ejection, rejection backoff, replication state, round trip
+//     times, concurrency limit and slow start. If none is chosen, admission decides how long the request
+//     stays queued.
+//  3. When an attempt ends, the engine records what that shows about the endpoint, then the session token.
+//     The retry policy decides whether the request is queued again or gets its final answer.
+// Maintenance, every 20 ms while a group is in use, ejects unresponsive endpoints, sends health checks and
+// dispatches the queue.
 //
-// Files: engine.cpp (events), engine_observations.cpp (what events tell of endpoints), engine_requests.cpp
-// (a request's way), engine_maintenance.cpp.
+// Files: engine.cpp (events), engine_observations.cpp (what events show about endpoints), engine_requests.cpp
+// (the steps of a request), engine_maintenance.cpp.
 #pragma once
 
 #include <cstdint>
@@ -35,10 +38,12 @@
 
 namespace indigovane::policy {
 
+/// The implementation of RoutingPolicy, with the same contract. Not thread-safe.
 class Engine {
   public:
     Engine(const Settings& settings, std::uint64_t seed, Time now);
 
+    /// Appends the actions that the event leads to to `out`.
     void handle(Time now, const Event& event, Actions& out);
     SessionTokens tokens() const { return session_tokens_.snapshot(); }
 
@@ -58,7 +63,7 @@
     void apply_settings(const Settings& settings);
     void forget_endpoints();
 
-    // What events tell of endpoints.
+    // What events show about endpoints.
     void observe_answer(Endpoint& endpoint, const AttemptOutcome& outcome, const RequestClass* request_class);
     void observe_report(Endpoint& endpoint, const LoadReport& report);
     void observe_health(Endpoint& endpoint, const AttemptOutcome& outcome, RequestClass* request_class);
@@ -66,7 +71,7 @@
     void eject(Endpoint& endpoint, Fault fault);
     void apply_ejection_change(Endpoint& endpoint, const EjectionChange& change);
 
-    // A request's way.
+    // The steps of a request.
     void enqueue(ReplicaGroup& group, Request& request);
     void dispatch_queued(ReplicaGroup& group);
     void dispatch(ReplicaGroup& group, Request& request);
@@ -83,7 +88,7 @@
     Time session_token(const Request& request) const;
     std::optional<Time> required_position_of(const Request& request) const;
 
-    // Maintenance of groups in use.
+    // Maintenance of the groups in use.
     void record_use(ReplicaGroup& group, const Request& request);
     void maintain_groups();
     void maintain(ReplicaGroup& group);
@@ -91,7 +96,7 @@
 
     double fleet_size() const;
     void append_action(Action action) { actions_->push_back(std::move(action)); }
-    /// Drops the line if another was logged less than a second ago.
+    /// Logs at most one line a second: drops this one if another was logged less than a second ago.
     void log(std::string text);
 
     Settings settings_;
@@ -99,17 +104,18 @@
     Duration health_check_interval_{};
     Random random_;
 
+    // Set by handle() for the event that it handles.
     Time now_;
-    Actions* actions_ = nullptr;  // of the event at hand
+    Actions* actions_ = nullptr;
 
     EndpointTable endpoints_;
     RequestTable requests_;
     SessionTokenStore session_tokens_;
     HealthCheckBudget health_check_budget_;
     EndpointListPoll list_poll_;
-    std::vector<ReplicaGroup*> maintained_groups_;  // by the time since which they are in use
+    std::vector<ReplicaGroup*> maintained_groups_;  // ordered by the start of their present use
     bool has_started_ = false;
-    bool clients_mark_retries_ = false;  // some client has
+    bool clients_mark_retries_ = false;  // a client has marked a retry since the start
     std::optional<Time> logged_at_;
 };
 
--- a/src/policy/engine_maintenance.cpp
+++ b/src/policy/engine_maintenance.cpp
@@ -7,7 +7,8 @@
 
 namespace indigovane::policy {
 
-/// A group's first use checks its endpoints. From then on it is maintained until it is idle.
+/// The first use of a group sends health checks to its endpoints. Each use starts maintenance of the group,
+/// which goes on until the group is idle.
 void Engine::record_use(ReplicaGroup& group, const Request& request) {
     if (!group.first_used) {
         group.first_used = now_;
@@ -40,7 +41,7 @@
             eject(*endpoint, Fault::unresponsive);
     Endpoint* primary = known_primary(group);
     if (primary && group.logged_primary != primary->id) {
-        log("primary is member " + std::to_string(std::uint32_t(primary->id)));
+        log("primary is endpoint " + std::to_string(std::uint32_t(primary->id)));
         group.logged_primary = primary->id;
     }
     HealthCheckSchedule schedule(group, primary, health_check_interval_, health_check_cost(settings_), now_);
@@ -54,7 +55,8 @@
     dispatch_queued(group);
 }
 
-/// Every health check goes through here: one in flight an endpoint, none that the budget doesn't pay for.
+/// Sends a health check, unless one is in flight at the endpoint, the budget is used up, or the settings or
+/// the endpoint list do not allow it. All health checks are sent here.
 void Engine::check_health(Endpoint& endpoint, HealthCheckPurpose purpose) {
     if (!health_checks_allowed(settings_) || endpoint.health_check.is_in_flight() || !endpoint.is_listed)
         return;
--- a/src/policy/engine_observations.cpp
+++ b/src/policy/engine_observations.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-/// Position and role, as the answer tells them.
+/// Records the load report, the position and the role that came with an answer.
 void Engine::observe_answer(Endpoint& endpoint, const AttemptOutcome& outcome,
                             const RequestClass* request_class) {
     observe_report(endpoint, outcome.report);
@@ -35,7 +35,8 @@
                                                   endpoint.in_flight, now_);
     }
     if (!report.primary) return;
-    // A primary's position is the time of its report.
+    // The position of a primary is the time of its report, by which the reports of several
+    // endpoints are ordered.
     Time as_of = report.position.value_or(now_);
     if (*report.primary)
         replication.record_primary(as_of);
@@ -43,7 +44,8 @@
         replication.record_replica(as_of);
 }
 
-/// What an attempt's end tells of the endpoint: whether it answers, whether it errs, how loaded it is.
+/// Records what the end of an attempt shows about the endpoint: whether it answers, whether it returns
+/// errors, and how loaded it is.
 void Engine::observe_health(Endpoint& endpoint, const AttemptOutcome& outcome, RequestClass* request_class) {
     AttemptStatus status = outcome.status;
     if (status == AttemptStatus::ok) endpoint.rejection_backoff.record_success();
@@ -74,11 +76,11 @@
 
 void Engine::apply_ejection_change(Endpoint& endpoint, const EjectionChange& change) {
     if (change.was_readmitted) {
-        log("member " + endpoint_text(endpoint.id) + " is back");
+        log("endpoint " + endpoint_text(endpoint.id) + " readmitted");
         endpoint.limit.recover();
     }
     if (change.was_ejected)
-        log("member " + endpoint_text(endpoint.id) + " " + describe(endpoint.ejection.fault()));
+        log("endpoint " + endpoint_text(endpoint.id) + " " + describe(endpoint.ejection.fault()));
 }
 
 }  // namespace indigovane::policy
--- a/src/policy/engine_requests.cpp
+++ b/src/policy/engine_requests.cpp
@@ -13,7 +13,8 @@
     group.queue.push_back(request.id);
 }
 
-/// Sends what is queued, as far as endpoints have capacity.
+/// Sends the queued requests for which an endpoint has capacity; the others stay queued or get
+/// their final answer.
 void Engine::dispatch_queued(ReplicaGroup& group) {
     if (group.queue.empty()) return;
     std::vector<Request*> queue;
@@ -25,7 +26,7 @@
 }
 
 void Engine::dispatch(ReplicaGroup& group, Request& request) {
-    // The deduplication window of a retry may have closed while it was queued.
+    // The deduplication window may have ended while a retry was queued.
     if (!may_retry(request, now_)) return send_final_answer(request);
     Selection selection = select_endpoint(group, request);
     if (selection.decision == Selection::Decision::send) return send(request, *selection.endpoint);
@@ -63,8 +64,9 @@
     set_review_timer(request, request.answer_due());
 }
 
-/// As the client carries it, or as it is remembered now: a session may write while a read of it is queued.
-/// Where endpoints don't check positions, a write in flight may have been answered already.
+/// The token that the client sent, or the one that is remembered now: the session may have written since this
+/// read was queued. Where endpoints do not check positions, a write of the session in flight may have been
+/// answered already; then the token is the present time.
 Time Engine::session_token(const Request& request) const {
     if (settings_.token_source.value_or(TokenSource::carried) == TokenSource::carried)
         return request.carried_token;
@@ -89,7 +91,8 @@
         send_final_answer(request);
 }
 
-/// A write's commit, or, where endpoints don't check positions, that a write may have committed up to now.
+/// Remembers the commit of a write as its session's token. Where endpoints do not check positions, an attempt
+/// of a write that failed but may have run counts as a commit now.
 void Engine::remember_write(const Request& request, const AttemptOutcome& outcome) {
     if (!request.session || !request.is_write_of(*request.session)) return;
     bool ok = outcome.status == AttemptStatus::ok;
@@ -101,7 +104,8 @@
         session_tokens_.remember(*request.session, *outcome.position, now_);
 }
 
-/// An open request is looked at again: its time is up, or it may be.
+/// Called when the request's timer expires. Gives the final answer if the request's time is over, or else
+/// sets the timer again.
 void Engine::review(Request& request) {
     if (request.phase() == Request::Phase::finished || request.has_response_started()) return;
     bool queued = request.phase() == Request::Phase::queued;
@@ -112,7 +116,7 @@
         set_review_timer(request, next);
 }
 
-/// The final answer, at once: none is held back once it is decided.
+/// Gives the final answer immediately: a rejection if a retry by the client is harmless, else a failure.
 void Engine::send_final_answer(Request& request) {
     cancel_attempts(request);
     bool late = now_ >= request.answer_due();
@@ -123,7 +127,7 @@
     finish(request);
 }
 
-/// Nobody waits for their answers any more.
+/// Cancels the attempts in flight, whose answers nobody waits for any more, where the settings allow it.
 void Engine::cancel_attempts(const Request& request) {
     if (!settings_.may_cancel_attempts.value_or(false)) return;
     std::uint32_t number = 0;
@@ -140,7 +144,8 @@
     if (request.attempts_in_flight() == 0) requests_.erase(request.id);
 }
 
-/// Keeps an earlier timer that is still to come.
+/// Sets the request's timer, but not after its final answer is due. An earlier timer that has
+/// not expired stays.
 void Engine::set_review_timer(Request& request, Time at) {
     at = std::max(std::min(at, request.answer_due()), now_);
     if (request.review_at && *request.review_at <= at && *request.review_at > now_) return;
--- a/src/policy/engine_timers.hpp
+++ b/src/policy/engine_timers.hpp
@@ -1,4 +1,4 @@
-// The engine's timers: which TimerId is whose.
+// The engine's timers and their ids.
 #pragma once
 
 #include <cstdint>
@@ -9,10 +9,10 @@
 
 constexpr TimerId kMaintenanceTimer{0};
 constexpr TimerId kEndpointListTimer{1};
-/// Every request has one timer: its id plus this.
+/// Each request has one timer, whose id is the request's id plus this.
 constexpr std::uint64_t kFirstRequestTimer = 2;
 
-/// Between two rounds of maintenance.
+/// Time between two rounds of maintenance.
 constexpr Duration kMaintenanceInterval = std::chrono::milliseconds(20);
 
 constexpr TimerId request_timer(RequestId request) {
--- a/src/policy/events.hpp
+++ b/src/policy/events.hpp
@@ -1,6 +1,6 @@
-// Events: what the caller observes and hands to RoutingPolicy::handle.
+// Events: what the caller observes and passes to RoutingPolicy::handle.
 //
-// Every event is a fact as the caller saw it; what follows from it is decided in the module.
+// An event states a fact as the caller observed it. The routing policy decides what follows from it.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +15,22 @@
 
 namespace indigovane::policy {
 
-/// What an endpoint reports of itself; as old as the report.
+/// What an endpoint reports about itself. The values are as old as the report; an absent one
+/// was not reported.
 struct LoadReport {
-    std::optional<Time> position;  ///< up to which it has applied the log
-    std::optional<bool> primary;
-    std::optional<double> in_flight;        ///< requests in work or waiting
-    std::optional<double> queued;           ///< requests waiting
-    std::optional<double> cpu_utilization;  ///< share of its cores in use
+    std::optional<Time> position;           ///< log position that the endpoint has applied
+    std::optional<bool> primary;            ///< whether it acts as primary
+    std::optional<double> in_flight;        ///< requests executing or queued
+    std::optional<double> queued;           ///< requests queued
+    std::optional<double> cpu_utilization;  ///< share of its cores in use, 0 to 1
 };
 
-enum class EndpointListKind { changes, full, cached, failed };
+enum class EndpointListKind {
+    changes,  ///< only the entries that changed
+    full,     ///< the complete list, from discovery
+    cached,   ///< a complete list from a cache, which may be old
+    failed    ///< the list could not be retrieved; no entries
+};
 enum class EndpointState { ready, draining, gone };
 
 struct EndpointEntry {
@@ -32,11 +38,11 @@
     GroupId group{};
     ZoneId zone{};
     EndpointState state{};
-    bool primary = false;         ///< as the list has it, which may be late or never
-    std::optional<Time> started;  ///< its latest start; none: long ago
+    bool primary = false;         ///< what the list says, which may lag or stay wrong
+    std::optional<Time> started;  ///< its latest start; absent if that was long ago
 };
 
-/// The endpoint list or a part of it, or that it could not be had (`failed`).
+/// The endpoint list or a part of it, or the failure to retrieve it.
 struct EndpointList {
     EndpointListKind kind{};
     std::vector<EndpointEntry> entries;
@@ -46,42 +52,45 @@
     RequestId id{};
     ClassId request_class{};
     GroupId group{};
-    Duration client_timeout{};          ///< until the client gives up this attempt of its own
-    std::optional<SessionKey> session;  ///< of writes and session reads
-    std::optional<Duration>
-        since_last_write;   ///< carried token: age of the session's last commit, none: no write
-    bool is_retry = false;  ///< the client marks that it has asked before
+    Duration client_timeout{};                 ///< after which the client abandons this attempt of its own
+    std::optional<SessionKey> session;         ///< set for writes and session reads
+    std::optional<Duration> since_last_write;  ///< session token sent by the client: the age of the session's
+                                               ///< last commit; absent: no write
+    bool is_retry = false;                     ///< the client marks this request as a retry of its own
 };
 
 struct AttemptOutcome {
     RequestId id{};
-    std::uint32_t attempt = 0;  ///< SendAttempts of a request count from 0
+    std::uint32_t attempt = 0;  ///< index of the request's SendAttempt, from 0
     EndpointId endpoint{};
     AttemptStatus status{};
-    Duration latency{};
-    bool is_request_finished = false;  ///< the request has its final answer
-    std::optional<Role> role;
-    std::optional<Time> position;  ///< for a write that went through: its commit
+    Duration latency{};                ///< from sending to the end
+    bool is_request_finished = false;  ///< the client has got its final answer
+    std::optional<Role> role;          ///< the role in which the endpoint answered
+    std::optional<Time> position;  ///< log position of the answer's data; of a successful write, its commit
     LoadReport report;
-    /// Beyond what the status proves, such as a row that came before a refusal.
+    /// What is known beyond the status, such as that a row arrived before a refusal.
     Execution evidence = Execution::never_ran;
 
+    /// What status and evidence together prove about the statement's execution.
     Execution execution() const { return execution_of(status, evidence); }
 };
 
-/// The answer has begun to reach the client: no deadline any more, and no other attempt.
+/// The client has begun to receive the answer: the deadline no longer applies, and no further
+/// attempt is sent.
 struct ResponseStarted {
     RequestId id{};
     std::uint32_t attempt = 0;
     EndpointId endpoint{};
-    Duration latency{};
+    Duration latency{};  ///< from sending to the first byte of the answer
 };
 
-/// The client is gone; nothing more is owed.
+/// The client has left; the request needs no final answer.
 struct RequestCancelled {
     RequestId id{};
 };
 
+/// The end of the health check that a CheckHealth action started.
 struct HealthCheckResult {
     EndpointId endpoint{};
     AttemptStatus status{};
@@ -89,24 +98,25 @@
     LoadReport report;
 };
 
+/// The delay of a SetTimer action has passed.
 struct TimerExpired {
     TimerId id{};
 };
 
-/// Other settings from now on. Open requests keep their class and their number of attempts.
+/// Replaces the settings. Open requests keep their class and their maximum number of attempts.
 struct SettingsChanged {
     Settings settings;
-    std::vector<std::optional<ClassId>>
-        previous_classes;  ///< by class: the one before whose experience it takes over
+    /// By new class: the class before the change whose usual latency it takes over.
+    std::vector<std::optional<ClassId>> previous_classes;
 };
 
-/// Sessions' last commits, the oldest first, as another process of the same pooler knows them.
+/// The last commit of each session, the oldest first, as another process of the same pooler remembers them.
 struct SessionTokens {
     std::vector<std::pair<SessionKey, Time>> commits;
-    Time floor{};  ///< session reads of sessions without a commit here must see this
+    Time floor{};  ///< position that reads of all other sessions must see
 };
 
-/// Another pooler has seen the endpoint act as primary.
+/// Another pooler reports that the endpoint acts as primary.
 struct PrimaryGossip {
     EndpointId endpoint{};
 };
--- a/src/policy/health_check_budget.cpp
+++ b/src/policy/health_check_budget.cpp
@@ -5,9 +5,9 @@
 namespace indigovane::policy {
 namespace {
 
-/// Of what requests earn, the share that may go into health checks.
+/// Share of the requests' earnings that health checks may cost.
 constexpr double kHealthCheckShareOfEarnings = 0.015;
-/// A request earns at most ten checks.
+/// Lower limit of the cost, so that one request earns at most ten checks.
 constexpr double kMinCost = 0.1;
 
 }  // namespace
--- a/src/policy/health_check_schedule.cpp
+++ b/src/policy/health_check_schedule.cpp
@@ -12,17 +12,17 @@
 using std::chrono::seconds;
 
 constexpr Duration kMaxCheckInterval = seconds(1);
-/// Over which steady use is judged, and reads are counted (ReadRate).
+/// Period to which the rate of reads (ReadRate) refers.
 constexpr Duration kUsePeriod = seconds(1);
 
-/// A search for a primary: reports are hardly newer any sooner...
+/// While a primary is searched for, endpoints are checked no more often: their reports would hardly be newer.
 constexpr Duration kMinSearchInterval = milliseconds(100);
-/// ...no more than so many checks a read...
+/// While a primary is searched for, the upper limit of checks per read.
 constexpr double kSearchChecksPerRead = 2.5;
-/// ...but one each second at least.
+/// While a primary is searched for, each endpoint is checked at least this often.
 constexpr Duration kMaxSearchInterval = seconds(1);
 
-/// At a group's first use, where checks have a price.
+/// Checks at a group's first use, where checks have a price.
 constexpr std::size_t kFirstUseChecks = 3;
 
 Duration primary_search_interval(const ReplicaGroup& group, Time now) {
--- a/src/policy/health_check_schedule.hpp
+++ b/src/policy/health_check_schedule.hpp
@@ -1,17 +1,18 @@
 // When an endpoint's health is checked.
 //
-// Each endpoint of a group in steady use is checked at a third of the strictest staleness bound and at
-// least each second; a primary, whose position nobody waits for, each second. A group with queued requests
-// and no usable primary is searched for one, at a pace that its traffic pays for. An unreachable endpoint
-// gets its trials as checks. What checks may cost is bounded in health_check_budget.hpp.
+// In a group in steady use, each replica is checked at a third of the strictest staleness bound and at least
+// every second. The primary is checked every second, because no read waits for its position. If a group has
+// queued requests and no usable primary, its endpoints are checked to find one, at a rate that depends on the
+// group's traffic. The trials of an unreachable endpoint are health checks. health_check_budget.hpp limits
+// what the checks cost.
 //
-// Departure from the design, where checks have a price: the design's pace is for groups whose reads come at
-// least as fast as such checks would; any other is treated as at first use, so that a read that needs a
-// position has one replica checked. And a group's first use checks the listed primary and a few others
-// alone.
+// Departure from the design, where checks have a price: the rate above applies only to groups whose reads
+// arrive at least as fast as those checks would. Any other group is treated as at its first use, so that a
+// read that requires a position has one replica checked. At its first use, only the listed primary and a few
+// other endpoints of a group are checked.
 //
-// Source: docs/design.md; docs/capacity.md. Settings read: Settings::health_check_price, and bound of
-// the classes.
+// Source: docs/design.md; docs/capacity.md. Settings read: Settings::health_check_price, and the classes'
+// staleness bounds.
 #pragma once
 
 #include <memory>
@@ -24,30 +25,32 @@
 
 namespace indigovane::policy {
 
-/// Checks in the time of the strictest staleness bound.
+/// Number of checks of a replica within the strictest staleness bound.
 constexpr int kHealthChecksPerBound = 3;
 
-/// Between two checks of a replica in steady use.
+/// Time between two checks of a replica in steady use.
 Duration health_check_interval(const std::vector<std::shared_ptr<RequestClass>>& classes);
 
-/// The strictest staleness bound, or what stands for it where no class has one.
+/// The strictest staleness bound of the classes; 3 s where no class has a stricter one.
 inline Duration strictest_bound(Duration health_check_interval) {
     return health_check_interval * kHealthChecksPerBound;
 }
 
-/// Whether reads that need a position come at least as fast as health checks of the whole group would.
+/// Whether reads that require a position arrive at least as fast as health checks of all replicas would.
+/// `cost` is health_check_cost().
 bool is_in_steady_use(const ReplicaGroup& group, Duration interval, double cost, Time now);
 
-/// The endpoints to check at a group's first use. Draws once an endpoint.
+/// The endpoints to check at a group's first use, the listed primary first. Draws random
+/// numbers to order them.
 std::vector<Endpoint*> first_use_checks(const ReplicaGroup& group, double cost, Random& random);
 
-/// One round over a group. Refers to its arguments.
+/// Decides which endpoints of a group are due for a check now. Keeps a pointer to `primary`.
 class HealthCheckSchedule {
   public:
     HealthCheckSchedule(const ReplicaGroup& group, const Endpoint* primary, Duration interval, double cost,
                         Time now);
 
-    /// An unreachable endpoint is to be tried again.
+    /// Whether the endpoint is unreachable and due for its next trial.
     bool is_trial_due(const Endpoint& endpoint) const;
     bool is_check_due(const Endpoint& endpoint) const;
 
--- a/src/policy/health_check_state.hpp
+++ b/src/policy/health_check_state.hpp
@@ -1,4 +1,4 @@
-// One endpoint's health checks: of which one is in flight at most.
+// The health checks of one endpoint, of which at most one is in flight.
 #pragma once
 
 #include "policy/attempt_status.hpp"
@@ -6,10 +6,11 @@
 
 namespace indigovane::policy {
 
+/// Whether a check is in flight, and what the results so far show. Times are on the caller's clock.
 class HealthCheckState {
   public:
     bool is_in_flight() const { return in_flight_; }
-    /// Of the last one; the clock's origin before the first.
+    /// When the last check was sent; the clock's origin before the first.
     Time sent() const { return sent_; }
 
     void record_sent(Time now) {
@@ -17,9 +18,9 @@
         sent_ = now;
     }
 
-    /// True if the result shows that the endpoint can't be reached: a refused or broken connection at once,
-    /// one that stays without answer after two in a row. A check that was rejected or not begun shows
-    /// nothing.
+    /// Records a result and returns whether it shows that the endpoint is unreachable. A refused or broken
+    /// connection shows it immediately, a check without a valid answer only if it is the second failure in a
+    /// row. A check that was rejected or not started shows nothing.
     bool record_result(AttemptStatus status) {
         in_flight_ = false;
         switch (status) {
--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -10,21 +10,24 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Weight of one answer in the error share, and the share above which an endpoint is ejected.
+/// Weight of one answer in the moving average of the error share.
 constexpr double kErrorWeight = 0.15;
+/// An endpoint with a higher error share is ejected.
 constexpr double kMaxErrorShare = 0.5;
 
-/// No answer is a fault after this time (longer than a usual pause)...
+/// An endpoint is unresponsive after this time without an answer at the earliest: it is longer than the
+/// pauses that usually occur.
 constexpr Duration kMinUnresponsiveTime = milliseconds(350);
-/// ...in which this many answers were to be expected...
+/// An endpoint is unresponsive only after a time in which this many answers were expected.
 constexpr double kMissedAnswers = 12;
-/// ...of at least so many requests in flight: one long request alone proves nothing.
+/// An endpoint is unresponsive only with at least this many requests in flight: a single one
+/// may just take long.
 constexpr int kMinUnresponsiveInFlight = 2;
 
-/// A request that must not run twice is a trial only this long after the ejection.
+/// A request that is not idempotent may be a trial only this long after the ejection.
 constexpr Duration kNonIdempotentTrialDelay = seconds(2);
 
-/// The endpoint itself has said something.
+/// Whether the status shows that the endpoint itself has answered.
 bool is_answer(AttemptStatus status) {
     switch (status) {
         case AttemptStatus::ok:
@@ -106,7 +109,6 @@
     return change;
 }
 
-/// True if errors are now so many that the endpoint is an outlier.
 bool Ejection::record_error(bool is_error) {
     error_share_ += kErrorWeight * (is_error - error_share_);
     return error_share_ > kMaxErrorShare;
@@ -130,14 +132,14 @@
 const char* describe(Fault fault) {
     switch (fault) {
         case Fault::unresponsive:
-            return "takes work and answers nothing";
+            return "ejected: no answer to requests in flight";
         case Fault::erring:
-            return "answers with errors";
+            return "ejected: too many errors";
         case Fault::unreachable:
         case Fault::none:
             break;
     }
-    return "can't be reached";
+    return "ejected: unreachable";
 }
 
 }  // namespace indigovane::policy
--- a/src/policy/outlier_ejection.hpp
+++ b/src/policy/outlier_ejection.hpp
@@ -1,12 +1,13 @@
-// Outlier ejection: when an endpoint gets no more work, and when it is tried again.
+// Outlier ejection: when an endpoint gets no more requests, and when it is tried again.
 //
-// An endpoint is ejected when it can't be reached, when more than half of its answers are errors or broken
-// connections, or when it has work and answers nothing at all. After a pause that doubles one request is a
-// trial; any answer (for an erring endpoint: a success) readmits it. An endpoint that can't be reached is
-// tried by health checks where they are allowed, which risks no request; a request that must not run twice
-// is a trial only late.
+// An endpoint is ejected when it is unreachable, when more than half of its recent answers are errors
+// or broken connections, or when it has requests in flight and answers none of them. After a pause, one
+// request is sent to it as a trial; the pause doubles with each trial. Any answer readmits the
+// endpoint, but one ejected for errors needs a success. Where health checks are allowed, they are the
+// trials of an unreachable endpoint, so that no request is at risk. A request that is not idempotent is
+// used as a trial only after a longer delay.
 //
-// The pause after a rejection is another matter: rejection_backoff.hpp.
+// rejection_backoff.hpp handles the pause after a rejection.
 // Source: docs/design.md. Settings read: Settings::may_check_health, by the caller of admits_request.
 #pragma once
 
@@ -15,40 +16,46 @@
 
 namespace indigovane::policy {
 
+/// Why an endpoint is ejected; `none`: it is not.
 enum class Fault { none, unreachable, unresponsive, erring };
 
-/// What an observation changed.
+/// What an observation changed about an endpoint's ejection.
 struct EjectionChange {
     bool was_readmitted = false;
-    bool was_ejected = false;  ///< that was not ejected before
+    bool was_ejected = false;  ///< and was not ejected before
 };
 
-/// One endpoint's faults. Times are of the caller's clock.
+/// The ejection of one endpoint. Times are on the caller's clock.
 class Ejection {
   public:
     Fault fault() const { return fault_; }
     bool is_ejected() const { return fault_ != Fault::none; }
-    /// True where a trial is due at `now`, or none is needed.
+    /// Whether an ejected endpoint may get its next trial. Without meaning for one that is not ejected.
     bool is_trial_due(Time now) const { return now >= trial_at_; }
+    /// When the present or latest ejection began.
     Time ejected_at() const { return ejected_at_; }
 
-    /// True if the endpoint was not ejected before.
+    /// Returns true if the endpoint was not ejected before.
     bool eject(Fault fault, Time now);
-    /// A trial goes out: the next one is due after twice the pause.
+    /// Records that a trial is sent: the next one is due after twice the pause.
     void start_trial(Time now);
 
-    /// An attempt goes out; `others_in_flight` beside it, `usual_latency_ms` of its class.
+    /// An attempt is sent while `others_in_flight` attempts are in flight at the endpoint. `usual_latency_ms`
+    /// is that of the request's class.
     void record_attempt_sent(int others_in_flight, double usual_latency_ms, Time now);
-    /// An attempt has ended, or its response has started (`ok`).
+    /// An attempt has ended, or its response has started (recorded as `ok`).
     EjectionChange record_attempt_end(AttemptStatus status, Time now);
-    /// `unreachable`: as HealthCheckState::record_result has it. A success shows that the process runs, which
-    /// is all that an unreachable endpoint lacked; it says nothing of one that takes work and answers none.
+    /// A health check has ended; `is_unreachable` is the result of HealthCheckState::record_result. A success
+    /// readmits an unreachable endpoint, because it shows that its process runs. It does not readmit an
+    /// unresponsive or erring endpoint, because it does not show that requests are answered.
     EjectionChange record_health_check(bool is_ok, bool is_unreachable, Time now);
-    /// Work is in flight and for too long nothing has been answered: hung, cut off, or its answers are lost.
+    /// Whether requests are in flight and none has been answered for too long: the endpoint hangs, is cut
+    /// off, or its answers are lost. `usual_latency_ms` is that of the endpoint; 0: not known.
     bool is_unresponsive(int in_flight, double usual_latency_ms, Time now) const;
 
   private:
     void readmit(Time now);
+    /// Returns true if the share of errors now makes the endpoint an outlier.
     bool record_error(bool is_error);
 
     static constexpr Duration kInitialTrialPause = std::chrono::milliseconds(200);
@@ -58,16 +65,20 @@
     Time ejected_at_{};
     Time trial_at_{};
     Duration trial_pause_ = kInitialTrialPause;
-    double error_share_ = 0;         // mean over recent answers, 0 to 1
-    Time unanswered_since_{};        // the last answer, or when work went out after none was in flight
-    double awaited_latency_ms_ = 0;  // usual latency of the slowest class sent since nothing was in flight
+    double error_share_ = 0;  // moving average over answers, 0 to 1
+    // Time of the last answer or readmission, or of the first attempt since nothing was in flight,
+    // if that is later.
+    Time unanswered_since_{};
+    // Usual latency of the slowest class sent since nothing was in flight.
+    double awaited_latency_ms_ = 0;
 };
 
-/// Whether a request of this idempotency may be sent to the endpoint: always while it is not ejected, then
-/// only as a trial. `health_checks`: whether they are allowed, and try unreachable endpoints instead.
+/// Whether a request of this idempotency may be sent to the endpoint: always if it is not ejected, else
+/// only as a trial. `may_check_health`: health checks are allowed, so that they are the trials of
+/// unreachable endpoints.
 bool admits_request(const Ejection& ejection, Idempotency idempotency, bool may_check_health, Time now);
 
-/// What the log says of an endpoint that is ejected for this.
+/// The text for log lines: the predicate of a sentence about the ejected endpoint.
 const char* describe(Fault fault);
 
 }  // namespace indigovane::policy
--- a/src/policy/rejection_backoff.hpp
+++ b/src/policy/rejection_backoff.hpp
@@ -1,8 +1,8 @@
-// The pause that an endpoint gets after it turned work away.
+// The pause of an endpoint after it rejected a request.
 //
-// A rejecting endpoint gets no work for a pause that doubles with each rejection, with jitter so that
-// poolers don't come back in step, and halves with each success. Where only no connection came free in time
-// the pause is the shortest. Settings read: none.
+// An endpoint gets no requests during its pause. The pause doubles with each rejection and halves with each
+// success. Jitter keeps poolers from returning at the same moment. If an attempt ended only because no
+// connection became free in time, the pause is the shortest one. Settings read: none.
 #pragma once
 
 #include "policy/random.hpp"
@@ -10,18 +10,20 @@
 
 namespace indigovane::policy {
 
+/// The pauses of one endpoint. Times are on the caller's clock.
 class RejectionBackoff {
   public:
     bool is_paused(Time now) const { return now < until_; }
 
     void record_success() { pause_ /= 2; }
+    /// An attempt ended as `not_started`.
     void record_no_connection(Time now);
-    /// Draws once.
+    /// Draws one random number.
     void record_rejection(Time now, Random& random);
 
   private:
-    Duration pause_{};
-    Time until_{};
+    Duration pause_{};  // before jitter
+    Time until_{};      // end of the present pause
 };
 
 }  // namespace indigovane::policy
--- a/src/policy/replica_selection.cpp
+++ b/src/policy/replica_selection.cpp
@@ -12,17 +12,19 @@
 
 using std::chrono::milliseconds;
 
-/// Endpoints so much farther than the nearest share its reads.
+/// Endpoints whose round trip is at most this much longer than the nearest endpoint's share
+/// the reads with it.
 constexpr Duration kLatencyWindow = milliseconds(15);
-/// Longest wait for a fresh pooler's first health checks.
+/// Longest time after a group's first use for which reads wait for its first health checks.
 constexpr Duration kMaxFirstUseWait = milliseconds(300);
-/// An on-demand check that takes so many round trips longer is passed over...
+/// A read waits for an on-demand check for at most this many usual round trips; then it has another
+/// replica checked.
 constexpr double kMaxCheckRoundTrips = 3;
-/// ...or this, if that is longer.
+/// Lower limit of the time for which a read waits for an on-demand check.
 constexpr Duration kMinCheckWait = milliseconds(5);
-/// On-demand checks for a session read before it goes to the primary.
+/// On-demand checks for one session read; after them it goes to the primary.
 constexpr int kMaxSessionReadChecks = 2;
-/// An endpoint that checks staleness hears of a commit this late.
+/// An endpoint that checks staleness may learn of a commit this much later than the session.
 constexpr Duration kCommitPropagationTime = milliseconds(200);
 
 }  // namespace
@@ -38,7 +40,8 @@
     return request_.request_class->needs_primary() ? select_primary() : select_replica();
 }
 
-/// Writes, fresh reads, and session reads that no replica can serve. Without a usable primary they wait.
+/// For writes, fresh reads, and session reads that no replica can serve. They wait while no
+/// primary is usable.
 Selection ReplicaSelector::select_primary() const {
     if (!primary_ || !admits(*primary_) || !has_capacity(*primary_, 1)) return {Selection::Decision::wait};
     return {Selection::Decision::send, primary_};
@@ -56,15 +59,15 @@
 
 std::vector<Endpoint*> ReplicaSelector::candidate_replicas() const {
     std::vector<Endpoint*> healthy;
-    std::vector<Endpoint*> reachable_ejected;
+    std::vector<Endpoint*> fallback;
     for (Endpoint* endpoint : group_.endpoints) {
         if (endpoint == primary_ || request_.was_sent_to(*endpoint)) continue;
         if (admits(*endpoint))
             healthy.push_back(endpoint);
         else if (endpoint->is_listed && endpoint->ejection.fault() != Fault::unreachable)
-            reachable_ejected.push_back(endpoint);
+            fallback.push_back(endpoint);
     }
-    if (healthy.empty()) return reachable_ejected;
+    if (healthy.empty()) return fallback;
     return healthy;
 }
 
@@ -92,11 +95,11 @@
     if (std::ranges::any_of(eligible, is_behind)) std::erase_if(eligible, std::not_fn(is_behind));
 }
 
-/// No replica is known to have the position.
+/// Called when no replica is known to have the required position.
 Selection ReplicaSelector::select_without_eligible(const std::vector<Endpoint*>& candidates) {
     bool is_bounded_read = has_consistency(Consistency::bounded);
     bool endpoints_check_positions = endpoints_check_staleness(context_.settings);
-    // What is known of these is merely old.
+    // Replicas that may have the position although their last report does not show it.
     std::vector<Endpoint*> uncertain;
     for (Endpoint* endpoint : candidates) {
         const ReplicationState& replication = endpoint->replication;
@@ -119,7 +122,8 @@
                                                                         : Selection::Decision::reject};
 }
 
-/// Of those that can still reach the token while they wait for the log; among equals, one by chance.
+/// The replica with the newest estimated position, among those that can still reach the token while they wait
+/// for the log. Among equals, a random one.
 Endpoint* ReplicaSelector::least_behind(std::vector<Endpoint*> uncertain) {
     std::shuffle(uncertain.begin(), uncertain.end(), context_.random);
     Time now = context_.now;
@@ -170,9 +174,9 @@
                                request_.request_class->staleness_bound, context_.now);
 }
 
-/// An endpoint that checks may not have heard yet of a commit that the session has been told of, and then
-/// answers with older data. A read that may not run again after that is sent only where its data is known to
-/// be new enough.
+/// An endpoint that checks staleness may not know yet of a commit that was confirmed to the session, and then
+/// answers with older data. A read that is not idempotent could not be retried after such an answer: it is
+/// sent only to a replica that is known to have the position.
 bool ReplicaSelector::needs_proven_position() const {
     return request_.request_class->idempotency == Idempotency::not_idempotent &&
            has_consistency(Consistency::session) && context_.now < token_ + kCommitPropagationTime;
--- a/src/policy/replica_selection.hpp
+++ b/src/policy/replica_selection.hpp
@@ -1,20 +1,21 @@
-// Replica selection: the endpoint that a request is sent to now.
+// Replica selection: which endpoint a request is sent to now.
 //
-// Writes and fresh reads go to the primary. Others go to a replica, by the read preference's steps: mode
-// (replicas), tags (none by default), position, the 15 ms latency window around the nearest, then capacity,
-// then chance. When no replica is known to have the position, one that may have it has its health
-// checked or, where endpoints check positions themselves, is simply tried; session reads go to the primary
-// then.
+// Writes and fresh reads go to the primary. Other reads go to a replica, chosen by the steps of a read
+// preference: mode (replicas), tags (none by default), position, the 15 ms latency window above the nearest
+// replica, capacity, and then a random draw. If no replica is known to have the required position, the health
+// of one that may have it is checked; where endpoints check positions themselves, the read is sent to one
+// without a check. If that fails too, a session read goes to the primary.
 //
 // Departures from the design:
-//  * A session read for which no replica that has its position has capacity goes to the primary.
-//  * While some replicas are too far behind for bounded reads, they serve the any reads: else long reads
-//    hold up the log on one replica after another, until none is left for the rest.
-//  * Where all replicas are ejected for faults that may be everyone's (a slow network, a shared disk),
-//    those that can be reached stay in.
+//  * A session read goes to the primary if no replica that has its position has capacity.
+//  * While some replicas are too far behind for bounded reads, all any reads go to them. Otherwise long reads
+//    would delay the replay of the log on one replica after another, until none was left for bounded reads.
+//  * If each replica is ejected or paused after a rejection, those that are not unreachable are used all the
+//    same: the cause may be common to all (a slow network, a shared disk).
 //
 // Source: "Reading from MongoDB Replica Sets with PyMongo"; docs/design.md.
-// Settings read: Settings::may_check_health, staleness_check, those of slow_start.hpp, and bound of the class.
+// Settings read: Settings::may_check_health, staleness_check, those of slow_start.hpp, and the class's
+// staleness bound.
 #pragma once
 
 #include <optional>
@@ -28,21 +29,23 @@
 
 namespace indigovane::policy {
 
+/// What to do with a queued request now.
 struct Selection {
     enum class Decision {
-        send,          ///< to the endpoint
-        check_health,  ///< check the endpoint's health, to learn its position, and wait
-        wait,          ///< nothing now; it may change
-        reject         ///< no replica will serve it in time
+        send,          ///< send it to the endpoint
+        check_health,  ///< check the endpoint's health to learn its position, and keep the request queued
+        wait,          ///< keep the request queued: an endpoint may become available
+        reject         ///< reject it: no replica will be able to serve it in time
     };
     Decision decision = Decision::wait;
-    Endpoint* endpoint = nullptr;
+    Endpoint* endpoint = nullptr;  ///< for `send` and `check_health`
 };
 
-/// The position that the request's data must have reached. `token`: of its session; Time{}: no commit known.
+/// The position that the data must have reached for this request; absent: any. `token` is the commit that the
+/// request's session must see; Time{}: none is known.
 std::optional<Time> required_position(const Request& request, Time token, Time now);
 
-/// Selects for one request, once. Refers to its arguments.
+/// Selects an endpoint for one request. Used once; its arguments must outlive it.
 class ReplicaSelector {
   public:
     struct Context {
@@ -59,7 +62,7 @@
           primary_(known_primary(group)),
           token_(token) {}
 
-    /// Draws for the choice among several.
+    /// Draws random numbers when it chooses among several endpoints.
     Selection select();
 
   private:
@@ -83,7 +86,7 @@
     Context context_;
     const ReplicaGroup& group_;
     const Request& request_;
-    Endpoint* primary_;  // last known; nullptr: none
+    Endpoint* primary_;  // the last known primary; nullptr: none
     Time token_;
 };
 
--- a/src/policy/replication_state.cpp
+++ b/src/policy/replication_state.cpp
@@ -8,15 +8,16 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A report may be this old: less is no proof of lag.
+/// A report may be this old when it arrives, so that a smaller difference does not prove a lag. A report
+/// counts as recent for the same time.
 constexpr Duration kMaxReportAge = milliseconds(400);
-/// An endpoint that waits for the log before a read does so about this long.
+/// Approximate time for which an endpoint waits for the log before a read.
 constexpr Duration kEndpointLogWait = milliseconds(50);
-/// An endpoint that is behind applies the log about so much faster than time passes.
+/// A lagging endpoint applies the log about this many times faster than it is written.
 constexpr int kCatchUpSpeed = 2;
-/// Waited longer than catching up takes, since misses keep an endpoint from it.
+/// Added to the time that catching up takes, because reads that miss delay the endpoint.
 constexpr Duration kCatchUpMargin = seconds(1);
-/// A new endpoint begins with a copy that may be so old.
+/// A new endpoint starts with a copy of the data that may be this old.
 constexpr Duration kInitialCopyAge = seconds(6);
 
 }  // namespace
--- a/src/policy/replication_state.hpp
+++ b/src/policy/replication_state.hpp
@@ -1,8 +1,8 @@
-// What is known of an endpoint's replication: its log position, how old that knowledge is, and its role.
+// What is known about an endpoint's replication: its log position, the age of that knowledge, and its role.
 //
-// Positions come with answers, health checks and load reports, and never go back. The newest claim of a
-// role counts: a primary's position is the time of its report, which orders the reports of several
-// endpoints.
+// Positions arrive with answers, health checks and load reports. A lower position never replaces a higher
+// one. The newest claim of a role is valid. A primary's position is the time of its report, by which the
+// reports of several endpoints are ordered.
 //
 // Source: docs/design.md; the paper's bounded staleness. Settings read: none.
 #pragma once
@@ -13,30 +13,32 @@
 
 namespace indigovane::policy {
 
+/// The replication state of one endpoint. Times and positions are on the caller's clock.
 struct ReplicationState {
-    std::optional<Time> position;  ///< the newest position reported
-    Time reported_at{};            ///< when a position was last reported, new or not
-    std::optional<Time> primary_as_of;
-    std::optional<Time> replica_as_of;
+    std::optional<Time> position;       ///< the highest position reported; absent: none
+    Time reported_at{};                 ///< when a position was last reported, higher or not
+    std::optional<Time> primary_as_of;  ///< newest claim to be primary; absent: none, or refuted
+    std::optional<Time> replica_as_of;  ///< newest observation as a replica
 
     void record_position(Time reported, Time now);
-    /// Ignored where the endpoint was seen as a replica since.
+    /// Ignored if the endpoint was observed as a replica at that time or later.
     void record_primary(Time as_of);
     void record_replica(Time as_of);
 
-    /// Where it is if it still lags as last reported; before all others if nothing was.
+    /// Its position now, if its lag is still the one last reported. Time{} if no position was reported.
     Time estimated_position(Time now) const { return position ? *position + (now - reported_at) : Time{}; }
-    /// Fresh reports put it further behind than their own age could explain.
+    /// Whether its lag certainly exceeds `bound`: a recent report shows more lag than `bound` and the age
+    /// that a report may have together.
     bool is_surely_behind(Duration bound, Time now) const;
-    /// Just reported to lag so far that it won't reach `needed` in the time that an endpoint waits for the
-    /// log.
+    /// Whether a recent report shows so much lag that it will not reach `needed` in the time for which an
+    /// endpoint waits for the log before a read.
     bool will_miss(Time needed, Time now) const;
 };
 
-/// Departure from the design, for endpoints that check reads' positions themselves: the lag last reported is
-/// taken to last, and a bounded read (`bound` above zero) tries the endpoint again once it may have caught
-/// up. Else the endpoint that was reported on last would get all reads, and a new one none. `started`: its
-/// latest start.
+/// Whether the endpoint is expected to have reached `needed`; for endpoints that check the positions of reads
+/// themselves. This departs from the design: the lag last reported is assumed to persist, and a bounded read
+/// (`bound` above zero) tries the endpoint again once it may have caught up. Otherwise the endpoint with the
+/// latest report would get all reads, and a new one none. `started`: its latest start.
 bool is_expected_to_have(const ReplicationState& state, std::optional<Time> started, Time needed,
                          Duration bound, Time now);
 
--- a/src/policy/request_class.cpp
+++ b/src/policy/request_class.cpp
@@ -7,9 +7,9 @@
 namespace indigovane::policy {
 namespace {
 
-/// Usual latency before any answer, as a share of the latency objective.
+/// Initial estimate of the usual latency, as a share of the latency objective.
 constexpr double kInitialLatencyShare = 0.25;
-/// Least weight of one answer in the usual latency.
+/// Minimum weight of one answer in the moving average of the latency.
 constexpr double kMinSampleWeight = 0.05;
 constexpr Duration kDefaultDeadline = std::chrono::seconds(1);
 
--- a/src/policy/request_class.hpp
+++ b/src/policy/request_class.hpp
@@ -1,4 +1,4 @@
-// A request class: its settings with their defaults, and what its requests have shown.
+// A request class: its settings with defaults applied, and what was observed of its requests.
 //
 // Settings read: all of ClassSettings.
 #pragma once
@@ -11,6 +11,7 @@
 
 namespace indigovane::policy {
 
+/// One request class. Members without a comment are explained at ClassSettings.
 struct RequestClass {
     Consistency consistency = Consistency::write;
     Idempotency idempotency = Idempotency::not_idempotent;
@@ -22,21 +23,22 @@
     double priority_weight = 1;
     double late_share = 0;
 
-    double usual_latency_ms = 0;  ///< mean over all endpoints
-    double latency_samples = 1;   ///< in that mean, the first guess among them
+    double usual_latency_ms = 0;  ///< moving average over all endpoints' answers
+    double latency_samples = 1;   ///< samples in that average, the initial estimate included
     ClientTimeouts client_timeouts;
 
-    /// Served by the primary alone.
+    /// Whether only the primary can serve its requests.
     bool needs_primary() const {
         return consistency == Consistency::write || consistency == Consistency::fresh;
     }
-    /// Some answer has been seen, so that `usual_latency_ms` is more than a guess.
+    /// Whether an answer was observed, so that `usual_latency_ms` is more than the initial estimate.
     bool has_latency_samples() const { return latency_samples > 1; }
     void record_latency(double latency_ms);
 };
 
-/// Missing settings: a write that is not idempotent, its deduplication within the group for no time at all, a
-/// deadline of one second, an objective equal to the deadline, no bound, weight 1, nothing for late answers.
+/// Applies the defaults: a write that is not idempotent, deduplication scope `group` with a window of zero, a
+/// deadline of one second, a latency objective equal to the deadline, a staleness bound of zero, priority
+/// weight 1, and no value for late answers.
 RequestClass make_request_class(const ClassSettings& settings);
 
 }  // namespace indigovane::policy
--- a/src/policy/request_state.hpp
+++ b/src/policy/request_state.hpp
@@ -1,8 +1,8 @@
-// A request from its arrival to its final answer, and the table of those that are open.
+// A request from its arrival to its final answer, and the table of open requests.
 //
-// A request is in one phase at a time, and its attempts tell the rest: whether a response has started is a
-// property of the last attempt, whether it may have run one of all. It stays in the table, finished, until
-// its last attempt has ended, since an attempt's end still tells of its endpoint.
+// A request is in exactly one phase. The rest follows from its attempts: its response has started if that of
+// its last attempt has, and it may have run if any of its attempts may have. A finished request stays in the
+// table until its last attempt has ended, because the end of an attempt still informs about the endpoint.
 //
 // Settings read: none.
 #pragma once
@@ -21,54 +21,56 @@
 
 namespace indigovane::policy {
 
+/// One attempt of a request at an endpoint.
 struct Attempt {
     enum class Progress { awaiting_response, response_started, ended };
 
     Endpoint* endpoint;
     Time sent;
     Progress progress = Progress::awaiting_response;
-    Execution execution = Execution::may_have_run;  ///< while it is in flight
+    Execution execution = Execution::may_have_run;  ///< may_have_run while it is in flight
 
     bool is_in_flight() const { return progress != Progress::ended; }
     bool may_have_run() const { return execution != Execution::never_ran; }
 };
 
-/// A health check that a queued read asked for, to learn an endpoint's position.
+/// The latest health check that was sent for a queued read, to learn an endpoint's position.
 struct OnDemandCheck {
     Endpoint* endpoint = nullptr;
     Time sent{};
-    int count = 0;  ///< sent for this read so far
+    int count = 0;  ///< checks sent for this read so far
 };
 
 class Request {
   public:
     enum class Phase { arrived, queued, in_flight, finished };
 
-    /// `elapsed`: time that the client's earlier attempts have used up; it shortens the latency objective.
-    /// `uniform_draw`: in [0, 1).
+    /// `elapsed`: time that the client's earlier attempts took, by which the latency objective is shortened.
+    /// `uniform_draw`: a random number in [0, 1).
     Request(const RequestArrival& arrival, std::shared_ptr<RequestClass> its_class, std::size_t attempt_limit,
             Duration elapsed, double uniform_draw, Time now);
 
     RequestId id;
-    std::shared_ptr<RequestClass> request_class;  ///< as it was when the request arrived
+    /// Its class when it arrived; kept when the settings change.
+    std::shared_ptr<RequestClass> request_class;
     std::size_t max_attempts;
     GroupId group;
     std::optional<SessionKey> session;
-    Time carried_token{};    ///< a session read must see this, where its client says so
-    double slow_start_draw;  ///< the request's place in whatever lets only a share of requests pass
+    Time carried_token{};    ///< position that a session read must see, if its client sent one
+    double slow_start_draw;  ///< in [0, 1); slow start admits the request if it is below its share
     Time arrived;
-    Time deadline;           ///< at which the client gives up
-    Time latency_objective;  ///< at which an answer is late; not after the deadline
+    Time deadline;           ///< when the client gives up
+    Time latency_objective;  ///< an answer after this is late; never after the deadline
     OnDemandCheck on_demand_check;
-    std::optional<Time> review_at;  ///< at which it is looked at again
+    std::optional<Time> review_at;  ///< when its timer expires; absent: none is set
 
     Phase phase() const { return phase_; }
     const std::vector<Attempt>& attempts() const { return attempts_; }
 
-    /// When a final answer is due, so that it reaches the client before the deadline.
+    /// When the final answer must be given, so that it reaches the client before the deadline.
     Time answer_due() const { return deadline - kAnswerMargin; }
     int attempts_in_flight() const { return int(std::ranges::count_if(attempts_, &Attempt::is_in_flight)); }
-    /// Attempts that may have run, those in flight among them.
+    /// Counts attempts in flight as well: any of them may have run.
     int attempts_that_may_have_run() const {
         return int(std::ranges::count_if(attempts_, &Attempt::may_have_run));
     }
@@ -79,35 +81,41 @@
     bool has_response_started() const {
         return !attempts_.empty() && attempts_.back().progress == Attempt::Progress::response_started;
     }
+    /// Whether this is a write of that session.
     bool is_write_of(SessionKey key) const;
 
     void enqueue() { phase_ = Phase::queued; }
     void start_attempt(Endpoint& endpoint, Time now);
-    /// False if no attempt awaits a response.
+    /// Marks the last attempt's response as started. False if that attempt does not await a response.
     bool start_response();
+    /// `number`: index of the attempt; an unknown one is ignored.
     void end_attempt(std::uint32_t number, Execution execution);
     void finish() { phase_ = Phase::finished; }
 
   private:
+    /// Time that the final answer takes to the client.
     static constexpr Duration kAnswerMargin = std::chrono::milliseconds(10);
 
     Phase phase_ = Phase::arrived;
     std::vector<Attempt> attempts_;
 };
 
-/// The open requests. References stay valid until a request is erased.
+/// The open requests by id. A reference stays valid until its request is erased.
 class RequestTable {
   public:
+    /// Replaces a request with the same id.
     Request& insert(Request request);
     Request* find(RequestId id) {
         auto it = requests_.find(id);
         return it == requests_.end() ? nullptr : &it->second;
     }
+    /// The id must be in the table.
     Request& at(RequestId id) { return requests_.at(id); }
     void erase(RequestId id) { requests_.erase(id); }
 
-    /// Some open write of the session may have run, and may have been answered already.
+    /// Whether an open write of the session may have run. Its client may have got the answer already.
     bool has_unresolved_write(SessionKey session) const;
+    /// Whether an open request was sent to the endpoint or waits for a health check of it.
     bool refers_to(const Endpoint& endpoint) const;
 
   private:
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -5,9 +5,9 @@
 namespace indigovane::policy {
 namespace {
 
-/// Retries of a request that may have run: failures multiply no load.
+/// Retries of a request that may have run. The limit keeps failures from multiplying the load.
 constexpr int kMaxRetriesAfterExecution = 2;
-/// A repeat begins this long before the deduplication window ends.
+/// A retry must start to execute at least this long before the deduplication window ends.
 constexpr Duration kDeduplicationWindowMargin = std::chrono::milliseconds(20);
 
 }  // namespace
@@ -19,7 +19,8 @@
     const RequestClass& request_class = *request.request_class;
     if (request_class.idempotency == Idempotency::idempotent || may_have_run == 0) return true;
     if (request_class.idempotency == Idempotency::not_idempotent) return false;
-    // A group may span zones: no repeat is sure to be dropped there.
+    // A retry stays in its group, but a group may span zones: with scope `zone`, another endpoint of the
+    // group may not recognize the duplicate.
     return request_class.deduplication_scope != DeduplicationScope::zone && now < retry_deadline(request);
 }
 
--- a/src/policy/round_trip_time.hpp
+++ b/src/policy/round_trip_time.hpp
@@ -1,4 +1,4 @@
-// The round trip to an endpoint: the mean of its last five health checks' latencies.
+// The round trip time to an endpoint: the mean latency of its last five health checks.
 //
 // Source: "Reading from MongoDB Replica Sets with PyMongo": a moving average of five samples
 // (docs/design.md).
@@ -12,6 +12,7 @@
 
 namespace indigovane::policy {
 
+/// The round trip time to one endpoint.
 class RoundTripTime {
   public:
     void record(Duration latency) {
--- a/src/policy/routing_policy.hpp
+++ b/src/policy/routing_policy.hpp
@@ -1,20 +1,21 @@
-// The decision module's interface: which endpoint gets which request, and when.
+// The routing policy's interface. The policy decides which endpoint gets which request, and when.
 //
-// A pooler feeds a RoutingPolicy what it observes (events) and carries out what the RoutingPolicy returns
-// (actions). The module does no I/O, starts no threads, keeps no globals and reads no clock: the time of
-// each event is handed in. Equal settings, seed and events give equal actions. One RoutingPolicy belongs to
-// one pooler; several of them share nothing.
+// A pooler passes what it observes (events) to a RoutingPolicy and performs what the RoutingPolicy returns
+// (actions). The policy does no I/O, starts no threads, has no global state and reads no clock: the caller
+// passes the time of each event. Equal settings, seed and events give equal actions. A RoutingPolicy belongs
+// to one pooler; several objects share nothing.
 //
 // Contract
-//  * Events are handed in by order of arrival with a time that never goes back.
-//  * The actions of one call are carried out in the order returned, at the time of the event.
-//  * Each RequestArrival is owed one final answer: an AttemptOutcome with `finished`, or a RejectRequest or
-//    FailRequest from the RoutingPolicy.
-//  * Each SendAttempt gets one AttemptOutcome, each CheckHealth one HealthCheckResult, each SetTimer one
-//    TimerExpired at or after its time.
-//  * Endpoint ids are the caller's: any numbers, stable for as long as the RoutingPolicy lives.
+//  * The caller passes events in the order of arrival. The time of an event is never before that of the one
+//    before it.
+//  * The caller performs the actions of one call in the order returned, at the time of the event.
+//  * Each RequestArrival gets exactly one final answer: an AttemptOutcome with `is_request_finished`, or a
+//    RejectRequest or FailRequest from the RoutingPolicy. A RequestCancelled ends it without one.
+//  * Each SendAttempt leads to one AttemptOutcome, each CheckHealth to one HealthCheckResult, and each
+//    SetTimer to one TimerExpired at or after its time.
+//  * The caller chooses the endpoint ids: any numbers that stay the same during the RoutingPolicy's life.
 //
-// Source: docs/design.md, after "Reading from MongoDB Replica Sets with PyMongo" (/work/given/docs).
+// Source: docs/design.md, after "Reading from MongoDB Replica Sets with PyMongo".
 #pragma once
 
 #include <cstdint>
@@ -30,19 +31,19 @@
 
 class Engine;  // engine.hpp
 
-/// Not thread-safe: one thread at a time may call into one object.
+/// Not thread-safe: only one thread at a time may call an object.
 class RoutingPolicy {
   public:
-    /// `seed` starts the sequence of random draws; `now` is the time at which the pooler starts.
+    /// `seed` initializes the random number generator; `now` is the start of the pooler on its clock.
     RoutingPolicy(const Settings& settings, std::uint64_t seed, Time now);
     ~RoutingPolicy();
     RoutingPolicy(RoutingPolicy&&) noexcept;
     RoutingPolicy& operator=(RoutingPolicy&&) noexcept;
 
-    /// Appends what to do about the event to `out`.
+    /// Handles an event and appends the resulting actions to `out`.
     void handle(Time now, const Event& event, Actions& out);
 
-    /// All session tokens that are remembered, for another process of the same pooler.
+    /// All remembered session tokens, for another process of the same pooler.
     SessionTokens tokens() const;
 
   private:
--- a/src/policy/session_tokens.cpp
+++ b/src/policy/session_tokens.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::size_t kMaxTokens = 50000;
-/// No replica in use is further behind.
+/// Replicas in use lag by less than this, so that an older commit is on all of them.
 constexpr Duration kMaxTokenAge = std::chrono::seconds(60);
 
 }  // namespace
--- a/src/policy/time_units.hpp
+++ b/src/policy/time_units.hpp
@@ -1,4 +1,5 @@
-// Durations as fractional milliseconds, the unit of the module's averages.
+// Conversions between Duration (whole microseconds) and fractional milliseconds, the unit of the averages
+// that the routing policy keeps.
 #pragma once
 
 #include <chrono>
@@ -13,7 +14,7 @@
     return Milliseconds(duration).count();
 }
 
-/// Rounds towards zero, to whole microseconds.
+/// Rounds toward zero to whole microseconds.
 inline Duration from_milliseconds(double milliseconds) {
     return std::chrono::duration_cast<Duration>(Milliseconds(milliseconds));
 }
--- a/src/policy/types.hpp
+++ b/src/policy/types.hpp
@@ -1,6 +1,6 @@
-// The identifiers, times and enumerations that the decision module's interface is written in.
+// Identifiers, times and enumerations of the routing policy's interface.
 //
-// Durations are whole microseconds. Ids are chosen by the caller; they are compared, never interpreted.
+// Durations are whole microseconds. The caller chooses the ids, which have no meaning to the routing policy.
 #pragma once
 
 #include <chrono>
@@ -10,7 +10,8 @@
 
 using Duration = std::chrono::microseconds;
 
-/// The caller's clock: steady, of any origin. Commit positions are times on it.
+/// The caller's clock: steady, with any origin. A position in the replication log is the commit time of its
+/// last entry on this clock.
 struct Clock {
     using duration = Duration;
     using rep = duration::rep;
@@ -22,31 +23,35 @@
 
 enum class RequestId : std::uint64_t {};
 enum class EndpointId : std::uint32_t {};
-enum class GroupId : std::uint32_t {};  ///< a replica group: one primary and its replicas
+enum class GroupId : std::uint32_t {};  ///< a replication group: one primary and its replicas
 enum class ClassId : std::uint32_t {};  ///< an index into Settings::classes
 enum class ZoneId : std::uint32_t {};
 enum class PeerId : std::uint32_t {};
 enum class SessionKey : std::uint64_t {};
 enum class TimerId : std::uint64_t {};
 
-/// What a request needs of the data: a write and a fresh read need the primary, a session read its own writes
-/// (read-your-writes), a bounded read data of bounded staleness, and an any read nothing.
+/// How current the data must be that a request works on. Writes and fresh reads need the primary. A session
+/// read must see its session's own writes (read-your-writes). A bounded read accepts data up to the class's
+/// staleness bound. An any read accepts data of any age.
 enum class Consistency { write, fresh, session, bounded, any };
 
-/// Whether running a statement twice does what running it once does: always, by its idempotency key, or not.
+/// Whether executing a request twice has the effect of executing it once: always (`idempotent`), only where
+/// endpoints drop duplicates by its idempotency key (`idempotency_key`), or not at all (`not_idempotent`).
 enum class Idempotency { idempotent, idempotency_key, not_idempotent };
 
-/// Where repeats of a request with an idempotency key are dropped.
+/// Which endpoints recognize and drop the duplicate of a request with an idempotency key: all endpoints,
+/// those in the zone of the endpoint that executed it first, or those of its group.
 enum class DeduplicationScope { all, zone, group };
 
-/// What an endpoint does with a read that it is too far behind for: answer it all the same, refuse it, or
-/// wait.
+/// What an endpoint does with a read that requires a newer position than it has reached: it answers with old
+/// data (`none`), refuses the read, or waits until it has caught up.
 enum class StalenessCheck { none, refuse, wait };
 
-/// Session tokens come with the read, or are remembered by the RoutingPolicy.
+/// Where a session token comes from: the client sends it with each read, or the RoutingPolicy remembers it.
 enum class TokenSource { carried, remembered };
 
-/// The endpoint list arrives by itself, or only after a WatchEndpoints action.
+/// How the endpoint list arrives: without a request (`pushed`), or only after a WatchEndpoints
+/// action (`polled`).
 enum class EndpointListMode { pushed, polled };
 
 enum class Role { primary, replica };
