--- a/src/simulator/codec.hpp
+++ b/src/simulator/codec.hpp
@@ -1,7 +1,8 @@
-// Between the simulator's messages and the decision module's types. No decision is made here.
+// Converts between the simulator's messages and the routing policy's types. Routing decisions are made only
+// in the routing policy.
 //
-// The wire's names stand in field_names.hpp. Readers throw Malformed where a message breaks the protocol;
-// fields and values that mean nothing here are skipped.
+// The names in the protocol are defined in field_names.hpp. The read functions throw Malformed if a message
+// violates the protocol. They ignore unknown fields, and unknown values of optional enumerations.
 #pragma once
 
 #include <cstdint>
@@ -26,10 +27,12 @@
 using policy::Settings;
 using policy::TimerId;
 
-/// The names of one instance's endpoints: numbered in the order in which messages name them.
+/// Maps the endpoint names of one instance to ids, numbered in the order of their first mention in a message.
 class EndpointNames {
   public:
+    /// Returns the endpoint's id. Assigns the next free id to a new name.
     EndpointId id_of(std::string_view name);
+    /// Throws std::out_of_range for an id that was not assigned.
     const std::string& name(EndpointId id) const { return names_.at(std::size_t(id)); }
 
   private:
@@ -37,15 +40,16 @@
     std::vector<std::string> names_;
 };
 
-/// What log positions are counted from.
+/// The time from which log positions in messages are counted.
 struct PositionOrigin {
+    /// Microseconds of simulated time.
     std::int64_t micros = 0;
 };
 
 Settings read_settings(const Line& line);
 PositionOrigin read_position_origin(const Line& line);
 EndpointEntry read_endpoint_entry(const Line& line, EndpointNames& names);
-/// The list's kind alone; its entries come in lines of their own.
+/// Reads only the kind of an endpoint list. The entries follow in separate lines.
 EndpointList read_list_kind(const Line& line);
 RequestArrival read_request(const Line& line);
 AttemptOutcome read_outcome(const Line& line, const PositionOrigin& origin, EndpointNames& names);
@@ -54,7 +58,7 @@
 RequestId read_request_id(const Line& line);
 TimerId read_timer(const Line& line);
 
-/// One line without its end.
+/// Formats an action as one line without a line terminator.
 std::string write_action(std::uint64_t instance, const Action& action, const EndpointNames& names);
 
 }  // namespace indigovane::simulator
--- a/src/simulator/field_names.hpp
+++ b/src/simulator/field_names.hpp
@@ -1,7 +1,9 @@
-// The simulator's protocol's own names for messages, fields and values, and what the code calls them.
+// The names of messages, fields and values in the simulator protocol, and the terms that the code uses for
+// them.
 //
-// This is the one place where its names stand; they never change, since they go over the wire. The code
-// uses the terms on the left (docs/glossary.md). Source: /work/given/docs, the simulator's protocol.
+// The protocol's names are defined only here. They never change, because they are sent to and received from
+// the simulator. The constants on the left have the code's terms (docs/glossary.md). Source: the simulator
+// protocol in /work/given/docs.
 #pragma once
 
 #include <array>
@@ -13,9 +15,9 @@
 
 namespace indigovane::simulator {
 
-/// Names of messages.
+/// Message names.
 namespace messages {
-// From the simulator.
+// Messages from the simulator.
 inline constexpr std::string_view kFrameStart = "SYNC";
 inline constexpr std::string_view kFrameEnd = "OVER_TO_YOU";
 inline constexpr std::string_view kInstanceStart = "OPEN_INSTANCE";
@@ -28,7 +30,7 @@
 inline constexpr std::string_view kRequestCancelled = "WITHDRAWN";
 inline constexpr std::string_view kTimerExpired = "TIMER";
 inline constexpr std::string_view kHealthCheckResult = "PROBE_RESULT";
-// To the simulator.
+// Messages to the simulator.
 inline constexpr std::string_view kFrameAnswer = "EOR";
 inline constexpr std::string_view kSendAttempt = "HAND_OFF";
 inline constexpr std::string_view kCancelAttempt = "STOP_ATTEMPT";
@@ -40,7 +42,7 @@
 inline constexpr std::string_view kLogMessage = "NOTE_DOWN";
 }  // namespace messages
 
-/// Names of messages' fields. Times are milliseconds with a fraction.
+/// Field names in messages. Times are in milliseconds and may have a fraction.
 namespace fields {
 // Frames.
 inline constexpr std::string_view kNow = "timeMs";
@@ -72,21 +74,21 @@
 inline constexpr std::string_view kPositionAndRole = "progress";
 inline constexpr std::string_view kAttemptTimeout = "capMs";
 inline constexpr std::string_view kRetryAfter = "retryInMs";
-// Load reports: name:value pairs within one field.
+// Load reports. One field holds name:value pairs; the kReport names are the names in these pairs.
 inline constexpr std::string_view kLoadReport = "serverStats";
 inline constexpr std::string_view kReportPosition = "x0";
 inline constexpr std::string_view kReportPrimary = "x1";
 inline constexpr std::string_view kReportInFlight = "concurrent";
 inline constexpr std::string_view kReportQueued = "depth";
 inline constexpr std::string_view kReportCpuUtilization = "load_share";
-// Timers, watch, log.
+// Timers, endpoint watches and log messages.
 inline constexpr std::string_view kTimer = "name";
 inline constexpr std::string_view kDelay = "sleepForMs";
 inline constexpr std::string_view kWatch = "enable";
 inline constexpr std::string_view kText = "noteText";
 }  // namespace fields
 
-/// Names of settings, and of a class's settings after "classes.<number>.".
+/// Setting names. The settings of a request class follow the prefix "classes.<number>.".
 namespace setting_names {
 inline constexpr std::string_view kFleetSize = "fleetSize";
 inline constexpr std::string_view kEndpointListMode = "registryMode";
@@ -99,7 +101,8 @@
 inline constexpr std::string_view kAttempts = "allowed.tryLimit";
 inline constexpr std::string_view kTokenSource = "familyInfo.sessionMarks";
 inline constexpr std::string_view kStalenessCheck = "familyInfo.serverChecks";
-inline constexpr std::string_view kConsistencies = "familyInfo.consistency";  // of the classes, with commas
+/// One value for each class, separated by commas. The staleness bounds have the same form.
+inline constexpr std::string_view kConsistencies = "familyInfo.consistency";
 inline constexpr std::string_view kStalenessBounds = "familyInfo.oldestDataMs";
 inline constexpr std::string_view kPositionOrigin = "familyInfo.baseTimeMs";
 inline constexpr std::string_view kSlowStartShare = "safety.coldFrom";
@@ -118,11 +121,11 @@
 inline constexpr std::string_view kLateShare = "lateShare";
 }  // namespace setting_names
 
-/// Names of an enumeration's values.
+/// The protocol's names for the values of an enumeration.
 template <typename Enum, std::size_t Count>
 using ValueNames = std::array<std::pair<std::string_view, Enum>, Count>;
 
-/// Nothing where no value has the name.
+/// Returns the value with the name `text`, or std::nullopt if there is none.
 template <typename Enum, std::size_t Count>
 constexpr std::optional<Enum> value_of(const ValueNames<Enum, Count>& names, std::string_view text) {
     for (const auto& [name, value] : names)
@@ -162,7 +165,7 @@
     {{"client", policy::TokenSource::carried}, {"router", policy::TokenSource::remembered}}};
 inline constexpr ValueNames<policy::EndpointListMode, 2> kEndpointListModeNames{
     {{"automatic", policy::EndpointListMode::pushed}, {"subscribe", policy::EndpointListMode::polled}}};
-/// By the number that stands for each.
+/// The list kinds, indexed by their numbers in the protocol.
 inline constexpr std::array kEndpointListKinds{
     policy::EndpointListKind::changes, policy::EndpointListKind::full, policy::EndpointListKind::cached,
     policy::EndpointListKind::failed};
--- a/src/simulator/frame.hpp
+++ b/src/simulator/frame.hpp
@@ -1,7 +1,7 @@
-// Lines of the simulator's wire: a name and name=value pairs, set apart by spaces. Nothing here knows what
-// they mean.
+// Parser for the lines of the simulator protocol: a message name followed by name=value pairs, separated by
+// spaces. This file doesn't interpret the names and values.
 //
-// Numbers that can't be read throw Malformed, whose text names the value; nothing else is thrown.
+// A number that cannot be parsed throws Malformed with the value in its text. No other exception is thrown.
 #pragma once
 
 #include <cstdint>
@@ -14,23 +14,24 @@
 
 namespace indigovane::simulator {
 
-/// The input breaks the protocol; the text says how.
+/// Thrown for input that violates the protocol. The text describes the violation.
 struct Malformed : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-/// One message. Keeps views into the text that it was made from.
+/// One parsed message. Holds views into the text passed to the constructor, which must outlive it.
 class Line {
   public:
-    /// Throws Malformed where a part is not name=value.
+    /// Throws Malformed if a part after the name is not name=value.
     explicit Line(std::string_view text);
     explicit Line(const char* text) : Line(std::string_view(text)) {}
-    explicit Line(std::string&& text) = delete;  // would be gone before its views
+    /// Deleted: the views would outlive a temporary string.
+    explicit Line(std::string&& text) = delete;
 
     std::string_view name() const { return name_; }
-    /// A field's value; nothing where it is absent.
+    /// Returns a field's value, or std::nullopt if the field is absent.
     std::optional<std::string_view> find(std::string_view field) const;
-    /// A field's value; throws Malformed where it is absent.
+    /// Returns a field's value. Throws Malformed if the field is absent.
     std::string_view require(std::string_view field) const;
 
   private:
@@ -38,15 +39,17 @@
     std::vector<std::pair<std::string_view, std::string_view>> fields_;
 };
 
+/// Parses an unsigned decimal integer.
 std::uint64_t to_count(std::string_view text);
-/// Finite numbers only.
+/// Parses a decimal number. Throws Malformed for infinity and NaN as well.
 double to_number(std::string_view text);
-/// 1, 0, true or false.
+/// Parses "1", "0", "true" or "false".
 bool to_flag(std::string_view text);
+/// Parses an unsigned hexadecimal integer without a prefix.
 std::uint64_t to_hex(std::string_view text);
-/// Milliseconds with a fraction, as microseconds.
+/// Converts milliseconds with an optional fraction to microseconds, rounded to the nearest.
 std::int64_t to_micros(std::string_view millis);
-/// The reverse, with three digits after the point.
+/// Formats microseconds as milliseconds with three digits after the decimal point.
 std::string from_micros(std::int64_t micros);
 
 }  // namespace indigovane::simulator
--- a/src/simulator/frame_host.hpp
+++ b/src/simulator/frame_host.hpp
@@ -1,7 +1,8 @@
-// The simulator's side of the decision module: reads frames of messages, has each open instance's
-// RoutingPolicy decide, and writes the actions.
+// Connects the simulator to the routing policy: reads frames of messages, passes each message to the
+// RoutingPolicy of its instance, and writes the resulting actions.
 //
-// A frame is a point in time: its messages are events at that time, and its answer is all their actions.
+// A frame is a point in time. Its messages are events at that time. Its answer holds the actions of all these
+// events.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +15,14 @@
 
 namespace indigovane::simulator {
 
+/// Runs one RoutingPolicy for each instance that the simulator has opened. Single-threaded.
 class FrameHost {
   public:
-    /// One line of the input; what is to be printed is appended to `out`. True at the end of a frame. Throws
-    /// Malformed where the input breaks the protocol.
+    /// Handles one line of input and appends the output lines to `out`. Returns true at the end of a frame.
+    /// Throws Malformed if the input violates the protocol.
     bool handle_line(const std::string& text, std::string& out);
-    /// Between two frames.
-    bool idle() const { return !in_frame_; }
+    /// True between two frames.
+    bool is_idle() const { return !is_in_frame_; }
 
   private:
     struct Instance {
@@ -39,11 +41,15 @@
     EndpointList read_list(const Line& line, Instance& instance) const;
 
     std::map<std::uint64_t, Instance> instances_;
-    std::map<std::uint64_t, std::vector<std::string>> lists_;  // their entries, as lines
-    std::uint64_t current_list_ = 0;                           // whose entries are being read
-    std::uint64_t entries_due_ = 0;
-    std::uint64_t frame_ = 0;
-    bool in_frame_ = false;
+    /// The entries of each endpoint list as unparsed lines, by list number.
+    std::map<std::uint64_t, std::vector<std::string>> list_entries_;
+    /// Number of the list whose entries are being read.
+    std::uint64_t current_list_ = 0;
+    /// Number of entries of the current list that have not been read yet.
+    std::uint64_t remaining_entries_ = 0;
+    std::uint64_t frame_number_ = 0;
+    bool is_in_frame_ = false;
+    /// Time of the current frame.
     policy::Time now_{};
     policy::Actions actions_;
 };
